--- a/crates/coordinator/src/endpoints/mod.rs
+++ b/crates/coordinator/src/endpoints/mod.rs
@@ -1,4 +1,5 @@
-//! The list of endpoints: read from the platform by one coordinator, sent to the others, and distributed to agents.
+//! The endpoint list: read from the platform by one coordinator at a time, sent to the other coordinators,
+//! and distributed by each of them to its agents.
 
 pub mod platform_page;
 pub mod platform_reader;
@@ -19,12 +20,13 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A coordinator of which a message arrived this recently keeps its rank in the order of readers.
+/// Only coordinators from which a message arrived this recently count in the order of readers.
 const RANK_CONTACT_WITHIN: Duration = Duration::from_millis(1000);
-/// A coordinator of which a message arrived this recently is sent updates, whether it is in the view or not.
+/// Coordinators from which a message arrived this recently are sent updates, even if they are not in the
+/// view.
 const UPDATE_CONTACT_WITHIN: Duration = Duration::from_secs(10);
 
-/// The present list of endpoints, with the election of its reader and those to whom it is distributed.
+/// The current endpoint list, the election of the coordinator that reads it, and its distribution.
 pub struct EndpointRegistry {
     election: Mutex<ReaderElection>,
     seeds: Mutex<Vec<SocketAddrV4>>,
@@ -36,21 +38,22 @@
     schedule_changed: Notify,
 }
 
-/// What is known of the list.
+/// What this coordinator knows of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointListSummary {
-    /// The coordinator that read it last, if known.
+    /// The address of the coordinator that read the list last; `None` before the first read and after a read
+    /// of this coordinator's own has failed.
     pub reader: Option<SocketAddrV4>,
-    /// Its version.
+    /// The version of the newest read; [`BackendListVersion::NONE`] if there is no list yet.
     pub version: BackendListVersion,
-    /// The entries in it.
+    /// The number of endpoints on the list.
     pub endpoints: usize,
-    /// How long ago this coordinator learned of the newest read.
+    /// The time since this coordinator learned of the newest read, or since its start if there was none.
     pub age: Duration,
 }
 
 impl EndpointRegistry {
-    /// No list yet.
+    /// Starts without a list.
     pub fn new(peers: Arc<Peers>, agents: Arc<Agents>, clock: Clock) -> Self {
         let election = ReaderElection::new(peers.own_address(), clock::unix_time(), clock.now());
         EndpointRegistry {
@@ -64,30 +67,32 @@
         }
     }
 
-    /// Another view is in force.
+    /// Applies a new view: its members, in order, are the candidates to read the list.
     pub fn set_view(&self, view: Arc<View>) {
         *lock(&self.view) = Some(view);
         self.update_order();
     }
 
-    /// The settings name other coordinators.
+    /// Sets the coordinators that the settings name. They are the candidates to read the list while there is
+    /// no view.
     pub fn set_seeds(&self, seeds: Vec<SocketAddrV4>) {
         *lock(&self.seeds) = seeds;
         self.update_order();
     }
 
-    /// Leaves the reading to others, at a shutdown.
+    /// Stops reading the list, because this coordinator is shutting down.
     pub fn stop_reading(&self) {
         self.election().withdraw();
         self.schedule_changed.notify_one();
     }
 
-    /// Determines anew when to read, after another coordinator has announced its shutdown.
+    /// Recomputes when to read next, after another coordinator has announced its shutdown.
     pub fn reconsider_reading(&self) {
         self.schedule_changed.notify_one();
     }
 
-    /// Applies an update of another coordinator.
+    /// Applies an update from another coordinator and forwards a changed list to agents. Requests the full
+    /// list if the update builds on one that is not known here.
     pub fn apply_update(&self, from: SocketAddrV4, update: EndpointListUpdate) {
         let (outcome, before, after) = {
             let mut election = self.election();
@@ -102,7 +107,7 @@
         }
     }
 
-    /// Sends the full list to a coordinator that lacks it.
+    /// Sends the full list to a coordinator that has requested it; nothing if there is no list yet.
     pub fn send_full_list(&self, to: SocketAddrV4) {
         let update = self.election().full_update();
         if let Some(update) = update {
@@ -110,13 +115,13 @@
         }
     }
 
-    /// An agent has a list of this version, from whichever coordinator.
+    /// Records that an agent has a list of this version, which it may have received from any coordinator.
     pub fn observe_version(&self, version: BackendListVersion) {
         self.election().observe_version(version);
         self.schedule_changed.notify_one();
     }
 
-    /// What is known of the list.
+    /// What this coordinator knows of the list.
     pub fn summary(&self) -> EndpointListSummary {
         let election = self.election();
         let list = election.list();
@@ -128,7 +133,7 @@
         }
     }
 
-    /// Reads the platform's list whenever this coordinator is to. Never ends.
+    /// Reads the platform's list whenever it is this coordinator's turn. Never returns.
     pub async fn run(&self, reader: PlatformReader) {
         for peer in self.order() {
             self.peers.send(peer, &PeerMessage::EndpointListRequest);
@@ -141,7 +146,7 @@
             match reader.read().await {
                 Ok(endpoints) => {
                     if std::mem::take(&mut is_failing) {
-                        log::info!("the list of backends can be read again");
+                        log::info!("list of backends: reads from the platform succeed again");
                     }
                     self.apply_read(version, endpoints);
                     self.update_interval(&reader);
@@ -186,7 +191,7 @@
             (outcome, before, update)
         };
         if outcome == UpdateOutcome::Stale {
-            log::debug!("list {version}: a newer one came before it was read");
+            log::debug!("list {version}: discarded, a newer list arrived before this read completed");
             return;
         }
         self.log_reader_change(before, Some(self.peers.own_address()));
@@ -199,7 +204,7 @@
     fn send_to_peers(&self, update: EndpointListUpdate) {
         let frame = match control_protocol::encode(&PeerMessage::EndpointList(update)) {
             Ok(frame) => bytes::Bytes::from(frame),
-            Err(error) => return log::error!("list of backends: {error}"),
+            Err(error) => return log::error!("list of backends: update to peers not encoded: {error}"),
         };
         for peer in self.recipients() {
             self.peers.send_frame(peer, frame.clone());
@@ -218,7 +223,8 @@
         }
     }
 
-    /// The other members of the view, or the seeds where there is none, and every coordinator with recent contact.
+    /// The other members of the view, or the seeds if there is no view, and every coordinator with recent
+    /// contact.
     fn recipients(&self) -> BTreeSet<SocketAddrV4> {
         let mut recipients: BTreeSet<SocketAddrV4> =
             self.peers.recent_contacts(UPDATE_CONTACT_WITHIN).into_iter().collect();
@@ -227,7 +233,7 @@
         recipients
     }
 
-    /// The coordinators in the order in which they are to read.
+    /// The candidates to read the list, by priority.
     fn order(&self) -> Vec<SocketAddrV4> {
         match lock(&self.view).as_deref() {
             Some(view) => members_in_order(view).iter().map(|member| member.address).collect(),
--- a/crates/coordinator/src/endpoints/platform_page.rs
+++ b/crates/coordinator/src/endpoints/platform_page.rs
@@ -1,24 +1,24 @@
-//! Parsing of a page of the platform's list. Unknown fields are ignored, and an entry that is invalid is skipped.
+//! Parsing of a page of the platform's list. Unknown fields are ignored, and invalid entries are skipped.
 
 use control_protocol::{Backend, BackendState};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddrV4;
 
-/// A page of the list.
+/// The valid entries of a page, and what was skipped.
 #[derive(Debug, Default, PartialEq)]
 pub struct PlatformPage {
     /// The valid entries.
     pub endpoints: Vec<Backend>,
-    /// The token of the next page.
+    /// The token of the next page; `None` or empty on the last page.
     pub next_page_token: Option<String>,
-    /// How many entries are invalid.
+    /// How many invalid entries were skipped.
     pub skipped: usize,
-    /// Why the first of them is.
+    /// Why the first of these is invalid.
     pub first_error: Option<String>,
 }
 
-/// A page all of whose entries are valid, as nearly all pages are.
+/// A page without invalid entries, which is the usual case.
 #[derive(Deserialize)]
 struct ValidPage {
     instances: Vec<Entry>,
@@ -26,7 +26,7 @@
     next_page_token: Option<String>,
 }
 
-/// A page whose entries are to be parsed one by one.
+/// A page whose entries are parsed one by one, to skip invalid ones.
 #[derive(Deserialize)]
 struct UncheckedPage {
     instances: Vec<Value>,
@@ -50,7 +50,7 @@
     cold_remaining_ms: f64,
 }
 
-/// Parses a page.
+/// Parses a page. Fails if the bytes are not a page in JSON; invalid entries are no error.
 pub fn parse_page(bytes: &[u8]) -> Result<PlatformPage, serde_json::Error> {
     if let Ok(page) = serde_json::from_slice::<ValidPage>(bytes) {
         let endpoints = page.instances.into_iter().map(Backend::from).collect();
@@ -73,7 +73,7 @@
 
 impl From<Entry> for Backend {
     fn from(entry: Entry) -> Self {
-        // Any state but this one means that the backend accepts no new work.
+        // Backends in any other state, also one unknown to this program, accept no new work.
         let state = if entry.state == "ready" { BackendState::Ready } else { BackendState::Draining };
         let generation = match entry.generation {
             Value::String(text) => text,
--- a/crates/coordinator/src/endpoints/platform_reader.rs
+++ b/crates/coordinator/src/endpoints/platform_reader.rs
@@ -1,4 +1,4 @@
-//! Reading of the platform's list over HTTP, page by page.
+//! Reads the platform's list over HTTP, page by page.
 
 use super::platform_page::{self, PlatformPage};
 use control_protocol::Backend;
@@ -7,21 +7,21 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long a connection to the platform may take to open.
+/// The time limit for opening a connection to the platform.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the platform may take for a page.
+/// The time limit for a page, connecting included.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Pages that are read at most. Guards against a list without end.
+/// How many pages are read at most, in case the platform's pages never end.
 const MAX_PAGES: usize = 100;
-/// Pages that are requested without a pause. Lists of small deployments have no more.
+/// How many pages are requested without a pause. The lists of small deployments have no more pages.
 const UNPACED_PAGES: usize = 10;
-/// Entries on a page, about, as the platform sends them.
+/// The approximate number of entries that the platform puts on a page.
 const ENTRIES_PER_PAGE: usize = 50;
-/// The part of the platform's rate limit that the reading uses.
-const RATE_USED: f64 = 0.8;
-/// How often a page is requested again that the platform rejected for the rate of calls.
+/// The fraction of the platform's rate limit that reads may use.
+const RATE_LIMIT_SHARE: f64 = 0.8;
+/// How often a page is retried that the platform rejected because of its rate limit.
 const MAX_RETRIES: usize = 4;
-/// The pause before each of these requests.
+/// The pause before each of these retries.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// The largest page that is accepted, in bytes.
 const MAX_PAGE_BYTES: usize = 4 << 20;
@@ -30,34 +30,36 @@
     /// Why the list could not be read.
     #[derive(Debug)]
     pub enum ReadError {
-        /// No complete response arrived.
+        /// The request failed, or no complete response arrived in time.
         Http(page: usize, platform: SocketAddrV4, error: reqwest::Error) {
             display("page {page} of the list from {platform}: {}", with_causes(error))
             source(error)
         }
-        /// The platform accepts no more calls for now.
-        RateLimited(platform: SocketAddrV4) { display("list from {platform}: too many calls (429)") }
-        /// The response has another status than that of a page.
+        /// The platform rejected the request because of its rate limit.
+        RateLimited(page: usize, platform: SocketAddrV4) {
+            display("page {page} of the list from {platform}: rate limit exceeded (status 429)")
+        }
+        /// The response has a status other than 200 OK.
         Status(page: usize, platform: SocketAddrV4, status: StatusCode) {
-            display("page {page} of the list from {platform}: status {status}")
+            display("page {page} of the list from {platform}: status {status}, expected 200 OK")
         }
-        /// The response exceeds the largest page.
+        /// The response is larger than a page may be.
         TooLarge(page: usize, platform: SocketAddrV4) {
-            display("page {page} of the list from {platform}: it is too large")
+            display("page {page} of the list from {platform}: more than {MAX_PAGE_BYTES} bytes")
         }
-        /// The list goes on after as many pages as are read.
+        /// The list has more pages than are read.
         TooManyPages(page: usize, platform: SocketAddrV4) {
-            display("page {page} of the list from {platform}: there is no last page")
+            display("list from {platform}: more than {page} pages")
         }
         /// The response is not a page.
         Invalid(page: usize, platform: SocketAddrV4, error: serde_json::Error) {
-            display("page {page} of the list from {platform}: {error}")
+            display("page {page} of the list from {platform}: invalid JSON or fields: {error}")
             source(error)
         }
     }
 }
 
-/// The text of an error with its causes.
+/// The text of an error, followed by those of its causes.
 fn with_causes(error: &reqwest::Error) -> String {
     let mut text = error.to_string();
     let mut cause = std::error::Error::source(error);
@@ -73,15 +75,16 @@
 pub struct PlatformReader {
     client: Client,
     platform: SocketAddrV4,
-    /// The pause between calls that the platform's rate limit requires.
+    /// The pause between requests that keeps reads within their share of the platform's rate limit.
     pause: Duration,
 }
 
 impl PlatformReader {
-    /// A reader; opens no connection yet. The platform accepts `rate_per_s` calls a second; 0 for any number.
+    /// Creates a reader, without opening a connection. `rate_per_s` is the platform's rate limit in requests
+    /// per second; 0 if there is none. Fails if the HTTP stack can't be set up.
     pub fn new(platform: SocketAddrV4, rate_per_s: f64) -> Result<Self, reqwest::Error> {
-        let used = rate_per_s * RATE_USED;
-        let pause = if used > 0.0 { Duration::from_secs_f64(1.0 / used.max(1.0)) } else { Duration::ZERO };
+        let rate = rate_per_s * RATE_LIMIT_SHARE;
+        let pause = if rate > 0.0 { Duration::from_secs_f64(1.0 / rate.max(1.0)) } else { Duration::ZERO };
         let client = Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .timeout(PAGE_TIMEOUT)
@@ -92,12 +95,13 @@
         Ok(PlatformReader { client, platform, pause })
     }
 
-    /// The shortest interval at which a list of so many endpoints can be read within the platform's rate limit.
+    /// The shortest interval at which a list with this number of endpoints can be read within the platform's
+    /// rate limit.
     pub fn min_interval(&self, endpoints: usize) -> Duration {
         self.pause * (endpoints.div_ceil(ENTRIES_PER_PAGE) as u32)
     }
 
-    /// Reads all pages. Invalid entries are skipped and logged.
+    /// Reads all pages. Invalid entries are skipped, and logged at debug level.
     pub async fn read(&self) -> Result<Vec<Backend>, ReadError> {
         let mut endpoints = Vec::new();
         let mut token = None;
@@ -109,7 +113,7 @@
             endpoints.extend(page.endpoints);
             if page.skipped > 0 {
                 let error = page.first_error.unwrap_or_default();
-                log::debug!("page {number} of the list: {} entries can't be read: {error}", page.skipped);
+                log::debug!("page {number} of the list: skipped {} invalid entries: {error}", page.skipped);
             }
             match page.next_page_token {
                 Some(next) if !next.is_empty() => token = Some(next),
@@ -119,13 +123,13 @@
         Err(ReadError::TooManyPages(MAX_PAGES, self.platform))
     }
 
-    /// Reads a page, and retries while the platform accepts no more calls. The first page is not retried: a whole read can as
-    /// well wait.
+    /// Reads a page, and retries it while the platform's rate limit is exceeded. The first page is not
+    /// retried, because nothing is lost if the whole read is repeated later.
     async fn page_with_retries(&self, number: usize, token: Option<&str>) -> Result<PlatformPage, ReadError> {
         let mut retries = if number == 1 { 0 } else { MAX_RETRIES };
         loop {
             match self.page(number, token).await {
-                Err(ReadError::RateLimited(_)) if retries > 0 => tokio::time::sleep(RETRY_DELAY).await,
+                Err(ReadError::RateLimited(..)) if retries > 0 => tokio::time::sleep(RETRY_DELAY).await,
                 result => return result,
             }
             retries -= 1;
@@ -137,7 +141,7 @@
         let mut response = self.client.get(self.url(token)).send().await.map_err(failed)?;
         match response.status() {
             StatusCode::OK => {}
-            StatusCode::TOO_MANY_REQUESTS => return Err(ReadError::RateLimited(self.platform)),
+            StatusCode::TOO_MANY_REQUESTS => return Err(ReadError::RateLimited(number, self.platform)),
             status => return Err(ReadError::Status(number, self.platform, status)),
         }
         let mut body = Vec::new();
@@ -159,7 +163,7 @@
     }
 }
 
-/// A value of a query, with all but the unreserved characters (RFC 3986, section 2.3) percent-encoded.
+/// Percent-encodes a query value: all but the unreserved characters (RFC 3986, section 2.3).
 fn percent_encode(value: &str) -> String {
     let mut text = String::with_capacity(value.len());
     for byte in value.bytes() {
