--- a/crates/coordinator/src/agents/advertised_endpoints.rs
+++ b/crates/coordinator/src/agents/advertised_endpoints.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints that is advertised to all agents, and the messages that carry it.
+//! The endpoint list that is advertised to all agents, and the messages that carry it.
 
 use super::connection::encode_frame;
 use bytes::Bytes;
@@ -6,15 +6,15 @@
 use range_digest::{DigestedSet, KeyRange, RangeContent};
 use std::sync::Arc;
 
-/// The list of endpoints that is advertised to all agents.
+/// The advertised endpoint list, with its digests and its encoded form.
 pub struct AdvertisedEndpoints {
-    /// The version of the newest read that saw it.
+    /// The version of the newest read that saw this list.
     pub version: BackendListVersion,
-    /// Its entries.
+    /// The endpoints on the list.
     pub endpoints: Arc<Vec<Backend>>,
-    /// The same as a set whose ranges can be compared.
+    /// The endpoints' keys and content hashes, with digests of ranges of keys.
     digests: DigestedSet,
-    /// The full list as a frame, once an agent has requested it.
+    /// The encoded full list, cached once an agent has requested it.
     full_frame: Option<VersionedFrame>,
 }
 
@@ -24,13 +24,13 @@
 }
 
 impl AdvertisedEndpoints {
-    /// The first list.
+    /// Creates the first list to be advertised.
     pub fn new(version: BackendListVersion, endpoints: Arc<Vec<Backend>>) -> Self {
         let digests = control_protocol::list_digest_set(&endpoints);
         AdvertisedEndpoints { version, endpoints, digests, full_frame: None }
     }
 
-    /// Replaces the list by another one, of which these are the differences.
+    /// Replaces the list. `changes` have to be the differences of the new list from the current one.
     pub fn replace(
         &mut self,
         version: BackendListVersion,
@@ -48,7 +48,8 @@
         (self.version, self.endpoints, self.full_frame) = (version, endpoints, None);
     }
 
-    /// The full list, in a frame that is encoded once, and its newest confirmation.
+    /// The frames for an agent that requests the full list. The list is encoded once; if it was confirmed
+    /// under a newer version since, a second frame says so.
     pub fn full_frames(&mut self) -> Vec<Bytes> {
         let (version, endpoints) = (self.version, &self.endpoints);
         let full = self.full_frame.get_or_insert_with(|| {
@@ -62,18 +63,18 @@
         frames
     }
 
-    /// The message with the digest of the full list.
+    /// A message with the digest of the full list.
     pub fn digest_message(&self) -> ToAgent {
         let digest = self.digests.digest(KeyRange::ALL);
         ToAgent::BackendsDigest { version: self.version, digest }
     }
 
-    /// Its content in a range of keys.
+    /// The content of the list in a range of keys: its items, or digests of subranges if there are many.
     pub fn content(&self, range: KeyRange) -> RangeContent {
         self.digests.content(range)
     }
 
-    /// The endpoints with these keys.
+    /// The endpoints with these keys; keys without an endpoint are ignored.
     pub fn with_keys(&self, keys: &[u64]) -> Vec<Backend> {
         self.endpoints.iter().filter(|endpoint| keys.contains(&endpoint.key())).cloned().collect()
     }
--- a/crates/coordinator/src/agents/configuration_requests.rs
+++ b/crates/coordinator/src/agents/configuration_requests.rs
@@ -1,11 +1,12 @@
-//! Agents' requests for the newest configuration: each is answered only with what a majority has confirmed to be the newest after
-//! the request arrived (a read index, as in section 6.4 of Ongaro's dissertation on Raft). No I/O, no clock.
+//! Agents' requests for the newest configuration. Each is answered only with a configuration that a majority
+//! has confirmed to be the newest after the request arrived (a read index, as in section 6.4 of Ongaro's
+//! dissertation on Raft). No I/O, no clock.
 
 use super::connection::AgentConnectionId;
 use replication::Sequence;
 use std::collections::BTreeMap;
 
-/// Identifies an agent's request on its connection, as the agent numbers it.
+/// Identifies a request on its connection, with a number that the agent chooses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConfigurationRequestId(u64);
 
@@ -15,45 +16,47 @@
         ConfigurationRequestId(number)
     }
 
-    /// Its number.
+    /// The number that the agent chose.
     pub const fn number(self) -> u64 {
         self.0
     }
 }
 
-/// A request that waits.
+/// A pending request.
 #[derive(Clone, Copy, Debug)]
 struct ConfigurationRequest {
     id: ConfigurationRequestId,
-    /// The agent knows of this sequence and accepts no older one.
+    /// The agent knows that this sequence exists, and accepts no older one.
     min_sequence: Sequence,
-    /// The read index has to be begun with this ticket or a later one.
+    /// Only read indexes with this ticket or a later one were started after the request arrived.
     min_ticket: ReadIndexTicket,
-    /// The sequence that was confirmed to be the newest after the request arrived.
+    /// The sequence that was confirmed to be the newest after the request arrived; `None` until then.
     read_index: Option<Sequence>,
 }
 
 impl ConfigurationRequest {
-    /// Whether the configuration of a sequence answers it: nothing newer was there when the request arrived.
+    /// Whether the configuration with this sequence answers the request: none newer was committed when it
+    /// arrived.
     fn is_answered_by(&self, sequence: Sequence) -> bool {
         self.read_index.is_some_and(|read_index| sequence >= read_index.max(self.min_sequence))
     }
 }
 
-/// Identifies a read index that was begun. It is valid for the requests that had arrived by then.
+/// Identifies a read index that was started, and with it the requests that had arrived by then: it is valid
+/// for these alone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReadIndexTicket(u64);
 
-/// A request that may be answered.
+/// A request that may be answered now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerableRequest {
     /// The connection on which it arrived.
     pub connection: AgentConnectionId,
-    /// The agent's number of it.
+    /// The request's id on that connection.
     pub id: ConfigurationRequestId,
 }
 
-/// The requests that wait, at most one for each connection.
+/// The pending requests, at most one per connection.
 #[derive(Clone, Debug, Default)]
 pub struct PendingConfigurationRequests {
     waiting: BTreeMap<AgentConnectionId, ConfigurationRequest>,
@@ -62,14 +65,15 @@
 }
 
 impl PendingConfigurationRequests {
-    /// Adds a request for the configuration of a sequence or a newer one. Replaces the last request of the connection.
+    /// Adds a request for the newest configuration, which has to have at least this sequence. Replaces the
+    /// connection's earlier request, if any.
     pub fn add(&mut self, connection: AgentConnectionId, min_sequence: Sequence, id: ConfigurationRequestId) {
         let min_ticket = self.next_ticket;
         let request = ConfigurationRequest { id, min_sequence, min_ticket, read_index: None };
         self.waiting.insert(connection, request);
     }
 
-    /// Begins a read index, for all requests that have arrived by now. `None` if none waits for one.
+    /// Starts a read index for all requests that have arrived so far. `None` if no request needs one.
     pub fn begin_read_index(&mut self) -> Option<ReadIndexTicket> {
         if self.waiting.values().all(|request| request.read_index.is_some()) {
             return None;
@@ -79,7 +83,8 @@
         Some(ticket)
     }
 
-    /// A read index was confirmed: this sequence was the newest at some moment after it was begun.
+    /// Applies a confirmed read index: this sequence was the newest at some moment after the ticket was
+    /// issued.
     pub fn complete_read_index(&mut self, ticket: ReadIndexTicket, sequence: Sequence) {
         let unconfirmed = self.waiting.values_mut().filter(|request| request.read_index.is_none());
         for request in unconfirmed.filter(|request| request.min_ticket <= ticket) {
@@ -87,7 +92,7 @@
         }
     }
 
-    /// Removes and returns the requests that the configuration of this sequence answers.
+    /// Removes and returns the requests that the configuration with this sequence answers.
     pub fn take_answerable(&mut self, sequence: Sequence) -> Vec<AnswerableRequest> {
         let answered = self.waiting.iter().filter(|(_, request)| request.is_answered_by(sequence));
         let answered: Vec<AnswerableRequest> = answered
--- a/crates/coordinator/src/agents/connection.rs
+++ b/crates/coordinator/src/agents/connection.rs
@@ -1,4 +1,4 @@
-//! One agent's connection, and the frames that are sent on it.
+//! The connection of one agent.
 
 use bytes::Bytes;
 use control_link::FrameWriter;
@@ -6,7 +6,7 @@
 use replication::Sequence;
 use std::time::Duration;
 
-/// Identifies a connection of an agent within this process; no number is used twice.
+/// Identifies an agent's connection within this process. Numbers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AgentConnectionId(u64);
 
@@ -22,19 +22,19 @@
     }
 }
 
-/// An agent, as its first frame identifies it.
+/// What the first frame of a connection says about its agent.
 #[derive(Clone, Debug)]
 pub struct AgentIdentity {
-    /// The name of its node.
+    /// The name of the agent's node.
     pub node: String,
-    /// The zone of its machine.
+    /// The zone of the agent's machine.
     pub zone: String,
 }
 
 /// An open connection of an agent.
 pub struct AgentConnection {
     pub identity: AgentIdentity,
-    /// The sequence of the configuration that the agent's proxy serves under; 0 for none.
+    /// The sequence of the configuration that the agent's proxy has applied; 0 if none.
     pub applied_sequence: Sequence,
     pub last_sent: Duration,
     pub last_received: Duration,
@@ -58,7 +58,7 @@
 
     pub fn send_frame(&self, frame: Bytes) {
         if let Err(error) = self.outgoing.send_frame(frame) {
-            log::debug!("agent of {}: {error}", self.identity.node);
+            log::debug!("agent of {}: frame not sent: {error}", self.identity.node);
         }
     }
 
@@ -67,13 +67,13 @@
     }
 }
 
-/// The frame of a message. A message of this program can always be encoded, unless a document exceeds the largest frame, and
-/// the operator's interface accepts none so large.
+/// Encodes a message. This can fail only for a configuration that exceeds the largest frame, and the
+/// operator's API does not accept one that large. After a failure, which is logged, the frame is empty.
 pub fn encode_frame(message: &ToAgent) -> Bytes {
     match control_protocol::encode(message) {
         Ok(frame) => frame.into(),
         Err(error) => {
-            log::error!("message to agents: {error}");
+            log::error!("message to agents not encoded: {error}");
             Bytes::new()
         }
     }
--- a/crates/coordinator/src/agents/mod.rs
+++ b/crates/coordinator/src/agents/mod.rs
@@ -1,4 +1,4 @@
-//! The connected agents, what was sent to each, and what is sent to all of them.
+//! The connected agents, and the state that is distributed to all of them.
 
 mod advertised_endpoints;
 mod configuration_requests;
@@ -26,54 +26,57 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How often [`Agents::sweep`] is to be called. A connection on which nothing was sent for about this long gets a heartbeat.
+/// How often [`Agents::sweep`] has to be called. An agent to which nothing was sent for about this long is
+/// sent a heartbeat.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(450);
-/// The part of the interval after which a heartbeat is due, so that a sweep that comes a little early sends it as well.
+/// A heartbeat is due after a little less than the interval, so that a sweep that runs slightly early still
+/// sends it.
 const HEARTBEAT_AFTER: Duration = SWEEP_INTERVAL.saturating_sub(Duration::from_millis(45));
-/// An agent that sends nothing for this long is disconnected.
+/// An agent from which nothing arrives for this long is disconnected.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A node counts among those that carry traffic for this long after its last message.
+/// A node counts as carrying traffic for this long after its agent's last message.
 const NODE_EXPIRY: Duration = Duration::from_secs(10);
-/// How often agents are sent the digest of the endpoint list, to compare with that of their own.
+/// How often agents are sent the digest of the endpoint list, which they compare with that of their own list.
 const DIGEST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The status of a connected agent, for operators. In JSON some fields have older names, which `serde(rename)` keeps.
+/// The status of a connected agent, for operators. Some fields keep their older names in JSON by
+/// `serde(rename)`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AgentStatus {
-    /// The name of its node.
+    /// The name of the agent's node.
     pub node: String,
-    /// The zone of its machine.
+    /// The zone of the agent's machine.
     pub zone: String,
-    /// The sequence of the configuration that its proxy serves under; 0 for none.
+    /// The sequence of the configuration that the agent's proxy has applied; 0 if none.
     #[serde(rename = "in_force")]
     pub applied_sequence: Sequence,
-    /// By how many sequences that trails the newest one committed.
+    /// The difference between the newest committed sequence and the applied one.
     pub lag: u64,
-    /// How long ago its last message arrived, in milliseconds.
+    /// How long ago the agent's last message arrived, in milliseconds.
     #[serde(rename = "heard_ms_ago")]
     pub last_received_ms_ago: u64,
 }
 
-/// The connected agents, and the state that all of them are sent.
+/// The connected agents, and the state that is distributed to them.
 pub struct Agents {
     clock: Clock,
     state: Mutex<AgentsState>,
-    /// Notified when a request for the newest configuration arrives.
+    /// Notified when an agent requests the newest configuration.
     read_index_needed: Notify,
 }
 
 #[derive(Default)]
 struct AgentsState {
     connections: HashMap<AgentConnectionId, AgentConnection>,
-    connections_so_far: u64,
-    /// The nodes that carry traffic, each with the time of its last message.
+    connections_opened: u64,
+    /// The nodes that carry traffic, with the time of the last message from each node's agent.
     nodes: BTreeMap<String, Duration>,
-    /// The number of nodes that was last sent to agents.
+    /// The number of nodes that was last broadcast to agents.
     sent_node_count: u32,
     view: Option<Arc<View>>,
     role: RoleStatus,
     committed: Option<Arc<Entry>>,
-    /// The frame of the newest configuration, once an agent has requested it.
+    /// The encoded newest configuration, cached once an agent has been sent it.
     configuration_frame: Option<Bytes>,
     requests: PendingConfigurationRequests,
     endpoints: Option<AdvertisedEndpoints>,
@@ -81,20 +84,21 @@
 }
 
 impl Agents {
-    /// No connections yet.
+    /// Starts without connections.
     pub fn new(clock: Clock) -> Self {
         Agents { clock, state: Mutex::default(), read_index_needed: Notify::new() }
     }
 
-    /// Adds an agent that has connected, and sends it the state in force.
+    /// Adds an agent that has connected, and sends it the current state.
     pub fn connect(&self, identity: AgentIdentity, outgoing: FrameWriter) -> AgentConnectionId {
         let now = self.clock.now();
         let mut state = self.state();
         state.nodes.insert(identity.node.clone(), now);
-        state.connections_so_far += 1;
-        let id = AgentConnectionId::new(state.connections_so_far);
+        state.connections_opened += 1;
+        let id = AgentConnectionId::new(state.connections_opened);
         let connection = AgentConnection::new(identity, outgoing, now);
-        // The others are sent the new number of nodes by the next sweep: a whole fleet may connect at once.
+        // The other agents are sent the new number of nodes by the next sweep, because a whole fleet may
+        // connect at once.
         for frame in state.snapshot_frames() {
             connection.send_frame(frame);
         }
@@ -102,14 +106,14 @@
         id
     }
 
-    /// Removes a connection that has ended.
+    /// Removes a connection that has ended. Its node still counts as carrying traffic until it expires.
     pub fn disconnect(&self, id: AgentConnectionId) {
         let mut state = self.state();
         state.connections.remove(&id);
         state.requests.remove(id);
     }
 
-    /// Removes a node that has shut down gracefully from those that carry traffic.
+    /// Stops counting a node as carrying traffic, because it has shut down gracefully.
     pub fn remove_node(&self, node: &str) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -117,7 +121,7 @@
         state.broadcast_node_count(now);
     }
 
-    /// Records that a message of an agent has arrived.
+    /// Records that a message has arrived from an agent.
     pub fn record_received(&self, id: AgentConnectionId) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -127,15 +131,16 @@
         state.nodes.insert(node, now);
     }
 
-    /// Records that an agent's proxy serves under the configuration of a sequence.
+    /// Records that an agent's proxy has applied the configuration with this sequence.
     pub fn record_applied(&self, id: AgentConnectionId, sequence: Sequence) {
         if let Some(connection) = self.state().connections.get_mut(&id) {
             connection.applied_sequence = sequence;
         }
     }
 
-    /// An agent requests the configuration of this sequence or a newer one. It is sent once a majority has confirmed, after
-    /// this, which one is the newest, and that one is known here.
+    /// Records an agent's request for the newest configuration, which has to have at least this sequence. The
+    /// agent is sent it once a majority has confirmed, after this call, which one is the newest, and this
+    /// coordinator has it.
     pub fn request_configuration(
         &self,
         id: AgentConnectionId,
@@ -149,17 +154,18 @@
         self.read_index_needed.notify_one();
     }
 
-    /// Waits until a read index is needed.
+    /// Waits until an agent has requested the newest configuration, so that a read index is needed.
     pub async fn read_index_needed(&self) {
         self.read_index_needed.notified().await;
     }
 
-    /// Begins a read index, for all requests that have arrived by now. `None` if none waits for one.
+    /// Starts a read index for all requests that have arrived so far. `None` if no request needs one.
     pub fn begin_read_index(&self) -> Option<ReadIndexTicket> {
         self.state().requests.begin_read_index()
     }
 
-    /// The read index of a ticket was confirmed: this sequence was the newest at some moment since it was begun.
+    /// Applies a confirmed read index: this sequence was the newest at some moment since the ticket was
+    /// issued.
     pub fn complete_read_index(&self, ticket: ReadIndexTicket, sequence: Sequence) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -167,7 +173,7 @@
         state.answer_requests(now);
     }
 
-    /// Sends a message to one agent.
+    /// Sends a message to one agent; nothing if its connection has ended.
     pub fn send_to(&self, id: AgentConnectionId, message: &ToAgent) {
         let now = self.clock.now();
         if let Some(connection) = self.state().connections.get_mut(&id) {
@@ -182,7 +188,7 @@
         self.state().broadcast(now, message);
     }
 
-    /// The endpoints that are advertised to agents.
+    /// The endpoints that are advertised to agents; `None` if there is no list yet.
     pub fn endpoints(&self) -> Option<Arc<Vec<Backend>>> {
         self.with_advertised(|advertised| advertised.endpoints.clone())
     }
@@ -192,7 +198,7 @@
         self.state().nodes.keys().cloned().collect()
     }
 
-    /// Another view is in force.
+    /// Applies a new view and broadcasts it.
     pub fn set_view(&self, view: Arc<View>) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -200,7 +206,8 @@
         state.broadcast_view(now);
     }
 
-    /// This member's role has changed.
+    /// Applies a change of this member's role. Broadcasts the view message if quorum contact or the number of
+    /// nodes has changed.
     pub fn set_role_status(&self, role: RoleStatus) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -212,7 +219,8 @@
         }
     }
 
-    /// A newer configuration is committed.
+    /// Applies a newly committed configuration: announces it to all agents and answers the requests that wait
+    /// for it.
     pub fn set_committed(&self, entry: Arc<Entry>) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -223,7 +231,7 @@
         state.broadcast(now, &ToAgent::ConfigurationAvailable { sequence });
     }
 
-    /// Advertises another list of endpoints.
+    /// Replaces the advertised list and broadcasts the differences, or the digest if it is the first list.
     pub fn advertise_endpoints(&self, version: BackendListVersion, endpoints: &Arc<Vec<Backend>>) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -244,7 +252,7 @@
         state.broadcast(now, &message);
     }
 
-    /// The advertised list was read again, unchanged, under this version.
+    /// Broadcasts that the advertised list was read again, unchanged, and now has this version.
     pub fn confirm_endpoints(&self, version: BackendListVersion) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -254,7 +262,7 @@
         state.broadcast(now, &ToAgent::BackendsConfirmed { version });
     }
 
-    /// Sends an agent the full list.
+    /// Sends an agent the full endpoint list, if there is one.
     pub fn send_endpoints(&self, id: AgentConnectionId) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -264,25 +272,27 @@
         frames.into_iter().for_each(|frame| connection.send_frame(frame));
     }
 
-    /// Sends an agent the digest of the list.
+    /// Sends an agent the digest of the endpoint list, if there is one.
     pub fn send_endpoints_digest(&self, id: AgentConnectionId) {
         if let Some(message) = self.with_advertised(AdvertisedEndpoints::digest_message) {
             self.send_to(id, &message);
         }
     }
 
-    /// Sends an agent the content of the list in a range, for it to find the differences from its own.
+    /// Sends an agent the content of the endpoint list in a range of keys, so that it can locate the
+    /// differences from its own list.
     pub fn send_range_content(&self, id: AgentConnectionId, range: KeyRange) {
         let content = self.with_advertised(|advertised| (advertised.version, advertised.content(range)));
         let Some((version, content)) = content else { return };
         self.send_to(id, &ToAgent::BackendsRange { version, range, content });
     }
 
-    /// Sends an agent the endpoints with these keys, which differ from its own.
+    /// Sends an agent the endpoints with these keys, in which its own list differs. Keys without an endpoint
+    /// are those that the agent has to remove.
     pub fn send_repair(&self, id: AgentConnectionId, keys: Vec<u64>) {
         let entries = self.with_advertised(|advertised| (advertised.version, advertised.with_keys(&keys)));
         let Some((version, backends)) = entries else { return };
-        log::info!("list {version}: an agent differed in {} backends; repaired", keys.len());
+        log::info!("list {version}: repairing {} entries that differ in an agent's list", keys.len());
         self.send_to(id, &ToAgent::BackendsRepaired { version, keys, backends });
     }
 
@@ -290,8 +300,9 @@
         self.state().endpoints.as_ref().map(read)
     }
 
-    /// Sends heartbeats where nothing else was sent, disconnects agents that are timed out, and removes nodes that are gone. To be
-    /// called every [`SWEEP_INTERVAL`].
+    /// Does the periodic work: expires nodes, broadcasts the digest when due, disconnects agents that have
+    /// timed out, and sends heartbeats to those that were sent nothing else. Has to be called every
+    /// [`SWEEP_INTERVAL`].
     pub fn sweep(&self) {
         let now = self.clock.now();
         let mut state = self.state();
@@ -301,7 +312,8 @@
         let heartbeat = encode_frame(&ToAgent::Heartbeat);
         for connection in state.connections.values_mut() {
             if now >= connection.last_received + RECEIVE_TIMEOUT {
-                log::info!("agent of {}: timed out, dropped", connection.identity.node);
+                let (node, timeout) = (&connection.identity.node, RECEIVE_TIMEOUT.as_secs());
+                log::info!("agent of {node}: disconnecting, no message within {timeout} s");
                 connection.close();
             } else if now >= connection.last_sent + HEARTBEAT_AFTER {
                 connection.last_sent = now;
@@ -310,22 +322,22 @@
         }
     }
 
-    /// How many nodes carry traffic, as far as this coordinator knows.
+    /// The number of nodes that carry traffic, as far as this coordinator knows.
     pub fn node_count(&self) -> u32 {
         self.state().node_count()
     }
 
-    /// How many agents are connected.
+    /// The number of open connections of agents.
     pub fn connection_count(&self) -> usize {
         self.state().connections.len()
     }
 
-    /// How many connections agents have opened since the start.
+    /// The number of connections that agents have opened since this process started.
     pub fn connections_opened(&self) -> u64 {
-        self.state().connections_so_far
+        self.state().connections_opened
     }
 
-    /// The status of each connected agent, by the names of their nodes.
+    /// The status of each connected agent, in the order of their nodes' names.
     pub fn status(&self) -> Vec<AgentStatus> {
         let now = self.clock.now();
         let state = self.state();
@@ -365,14 +377,14 @@
         self.broadcast(now, &message);
     }
 
-    /// Sends the view if the number of nodes in it has changed.
+    /// Broadcasts the view message if the number of nodes that it carries has changed.
     fn broadcast_node_count(&mut self, now: Duration) {
         if self.node_count() != self.sent_node_count {
             self.broadcast_view(now);
         }
     }
 
-    /// Sends the digest of the list if that is due.
+    /// Broadcasts the digest of the endpoint list if it is due.
     fn broadcast_digest(&mut self, now: Duration) {
         let is_due = now >= self.digest_sent_at + DIGEST_INTERVAL;
         let Some(advertised) = self.endpoints.as_ref().filter(|_| is_due) else { return };
@@ -381,7 +393,8 @@
         self.broadcast(now, &message);
     }
 
-    /// The state in force, except for what is large: agents request that.
+    /// The current state for a new connection. Of the configuration and the endpoint list only the sequence
+    /// and the digest are included: agents request the content if they lack it.
     fn snapshot_frames(&self) -> Vec<Bytes> {
         let mut messages = vec![self.view_message()];
         let available = |entry: &Arc<Entry>| ToAgent::ConfigurationAvailable {
@@ -392,7 +405,7 @@
         messages.iter().map(encode_frame).collect()
     }
 
-    /// Sends the newest configuration to those whose requests it answers.
+    /// Sends the newest configuration to the agents whose requests it answers.
     fn answer_requests(&mut self, now: Duration) {
         let Some(entry) = self.committed.clone() else { return };
         for request in self.requests.take_answerable(entry.sequence) {
@@ -427,7 +440,7 @@
     members_in_order(view).into_iter().map(core_member).collect()
 }
 
-/// The sequence of a committed entry, as messages to agents have it.
+/// Converts the sequence of a committed entry to the type of the messages to agents.
 fn configuration_sequence(sequence: Sequence) -> ConfigurationSequence {
     ConfigurationSequence(sequence.get())
 }
