--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,9 +1,12 @@
-//! The coordinator: a member of the core. It stores the configuration in the replicated register, reads the platform's list of
-//! endpoints, distributes both to agents, allocates the tenants' rate limits and audits the index of cached prompt blocks.
+//! The coordinator: a member of the core, the replicated control plane.
 //!
-//! [`node::CoordinatorNode`] holds the parts, each of which is a module of its own; [`startup`] builds them and starts the
-//! background tasks that join them. The interfaces ([`status`], [`metrics`], the operator's HTTP interface and the listener
-//! for the fleet's own programs) use the node and are not known to it.
+//! It stores the configuration in the replicated register, reads the platform's list of endpoints,
+//! distributes both to agents, allocates the tenants' rate limits to nodes and audits the index of cached
+//! prompt blocks.
+//!
+//! [`node::CoordinatorNode`] owns the components, one module each. [`startup`] builds them and starts the
+//! background tasks that connect them. The interfaces ([`status`], [`metrics`], the operator's HTTP API and
+//! the listener for coordinators and agents) depend on the node; the node does not depend on them.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/coordinator/src/quotas.rs
+++ b/crates/coordinator/src/quotas.rs
@@ -10,7 +10,8 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The allocator and the limits that it allocates.
+/// The quota allocator, which exists only while this coordinator is the acting head, and the limits that it
+/// allocates.
 pub struct Quotas {
     settings: QuotaSettings,
     policy: LimitsPolicy,
@@ -20,14 +21,16 @@
 #[derive(Default)]
 struct QuotaState {
     allocator: Option<QuotaAllocator>,
-    /// Added to the allocator's response numbers, so that those of an allocator that starts later in the same view are higher.
+    /// Added to the allocator's response numbers, so that an allocator that starts later in the same view
+    /// uses higher numbers.
     number_offset: u64,
     view: ViewNumber,
     tenants: Vec<Tenant>,
 }
 
 impl Quotas {
-    /// Allocates nothing yet. The bounds of the rule are those of the settings.
+    /// Starts without an allocator. The accounting window, the allowed overuse and the token slack are taken
+    /// from the settings.
     pub fn new(bounds: &Bounds, policy: LimitsPolicy) -> Self {
         let settings = QuotaSettings {
             window_s: bounds.quota_window_s,
@@ -37,8 +40,9 @@
         Quotas { settings, policy, state: Mutex::default() }
     }
 
-    /// Applies a change of this member's role: an allocator starts when it becomes the acting head, and ends when it no longer
-    /// is. `number_offset` has to be higher for each allocator; where it isn't, nodes reject its responses for a while.
+    /// Applies a change of this member's role: starts an allocator when it becomes the acting head, and drops
+    /// it when it no longer is. `number_offset` has to be higher for each new allocator; otherwise nodes
+    /// reject its responses until its numbers exceed those of the allocator before.
     pub fn set_role_status(&self, role: RoleStatus, now: Duration, number_offset: u64) {
         let mut state = self.state();
         if !role.acting_head {
@@ -50,21 +54,22 @@
         }
     }
 
-    /// Another view is in force.
+    /// Applies a new view.
     pub fn set_view(&self, number: ViewNumber, now: Duration) {
         let mut state = self.state();
         state.view = number;
         state.configure(now);
     }
 
-    /// Another configuration is in force.
+    /// Applies the tenants of a newly committed configuration.
     pub fn set_tenants(&self, tenants: Vec<Tenant>, now: Duration) {
         let mut state = self.state();
         state.tenants = tenants;
         state.configure(now);
     }
 
-    /// Responds to a node's request; `nodes` is how many carry traffic. `None` while this coordinator has no allocator.
+    /// Responds to a node's request; `nodes` is the number of nodes that carry traffic. `None` while this
+    /// coordinator has no allocator.
     pub fn respond(
         &self,
         node: &str,
@@ -81,9 +86,12 @@
         Some(response)
     }
 
-    /// A node has shut down gracefully. Returns whether the allocator runs here and knows it now. Otherwise, and if the node was
-    /// not in contact with an allocator until its end, it has to count among the nodes for a while longer: an allocator that
-    /// starts later must reckon with what the node has allowed itself.
+    /// Removes a node that has shut down gracefully. Returns whether an allocator runs here and has recorded
+    /// that.
+    ///
+    /// If it returns false, and the node has not reported all its use of quota, the node has to keep counting
+    /// until it expires: an allocator that starts later must allow for requests that the node admitted
+    /// without a grant.
     pub fn remove_node(&self, node: &str, now: Duration) -> bool {
         let mut state = self.state();
         let Some(allocator) = &mut state.allocator else { return false };
