--- a/crates/coordinator/src/cached_blocks.rs
+++ b/crates/coordinator/src/cached_blocks.rs
@@ -1,4 +1,6 @@
-//! Requests to backends for the prompt blocks that they cache, over HTTP: `GET PATH?first=HEX&bits=N`.
+//! HTTP requests to backends for the prompt blocks that they cache: `GET PATH?first=HEX&bits=N`.
+//!
+//! The texts of the errors are shown in the status that operators read, so they stay as they are.
 
 use index_audit::{AuditError, BackendKey, RangeReport, RangeResult};
 use range_digest::{KeyRange, RangeContent, RangeDigest};
@@ -7,29 +9,30 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long a connection to a backend may take to open.
+/// The time limit for opening a connection to a backend.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a backend may take for a response.
+/// The time limit for a complete response from a backend, connecting included.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The largest response that is accepted, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 << 10;
 
-/// An HTTP client for the cached blocks of backends.
+/// An HTTP client that requests the cached blocks of backends.
 #[derive(Clone, Debug)]
 pub struct CachedBlocksClient {
     client: Client,
 }
 
-/// A response in JSON. Keys and sums are in hex, as JSON has no integers of 64 bits.
+/// A response in JSON. Keys and sums are strings in hex, because JSON numbers cannot hold 64-bit integers
+/// exactly. Exactly one of `parts` and `items` is set.
 #[derive(Deserialize)]
 struct RangeResponse {
     instance_id: String,
     count: u64,
     sum: String,
-    /// The digests of the parts of the range, where it has many blocks.
+    /// The digests of the subranges, if the range has many blocks.
     #[serde(default)]
     parts: Option<Vec<DigestResponse>>,
-    /// The blocks of the range with their tokens, where it has few.
+    /// The keys of the blocks with their numbers of tokens, if the range has few blocks.
     #[serde(default)]
     items: Option<Vec<(String, u64)>>,
 }
@@ -41,7 +44,7 @@
 }
 
 impl CachedBlocksClient {
-    /// A client; opens no connection yet.
+    /// Creates a client, without opening a connection. Fails if the HTTP stack can't be set up.
     pub fn new() -> Result<Self, reqwest::Error> {
         let client = Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
@@ -53,7 +56,8 @@
         Ok(CachedBlocksClient { client })
     }
 
-    /// Requests the blocks that a backend caches in a range of keys.
+    /// Requests the blocks that a backend caches in a range of keys. `path` is that of the service's
+    /// configuration.
     pub async fn request(&self, backend: SocketAddrV4, path: &str, range: KeyRange) -> RangeResult {
         let url = format!("http://{backend}{path}?first={:016x}&bits={}", range.first(), range.bits());
         let failed = |error: reqwest::Error| AuditError::RequestFailed(error.without_url().to_string());
@@ -72,7 +76,7 @@
     }
 }
 
-/// Parses the body of a response.
+/// Parses the body of a response. Does not check that the digest matches the content.
 pub fn parse_report(body: &[u8]) -> RangeResult {
     let response: RangeResponse =
         serde_json::from_slice(body).map_err(|error| AuditError::Malformed(error.to_string()))?;
--- a/crates/coordinator/src/index_audits/mod.rs
+++ b/crates/coordinator/src/index_audits/mod.rs
@@ -1,5 +1,8 @@
-//! The audit of the fleet's index of prompt blocks, while this coordinator is the acting head of the chain and a service has a path
-//! at which its backends report the blocks that they cache.
+//! The audit of the fleet's index of prompt blocks: compares what frontends have in their indexes with what
+//! backends cache.
+//!
+//! It runs while this coordinator is the acting head of the chain and the configuration has a service with a
+//! path at which its backends report their cached blocks.
 
 mod status;
 
@@ -22,7 +25,7 @@
 /// How often the audit is polled for requests that are due.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The audit, with the agents and backends that it exchanges messages with.
+/// The audit, if one runs, with the connections to agents and backends that it needs.
 pub struct IndexAudits {
     state: Mutex<AuditState>,
     agents: Arc<Agents>,
@@ -34,15 +37,16 @@
 #[derive(Default)]
 struct AuditState {
     audit: Option<Audit>,
-    /// Made with the first audit: most fleets have none.
+    /// Created with the first audit, because most fleets have none.
     client: Option<CachedBlocksClient>,
     acting_head: bool,
-    /// The paths at which backends report their cached blocks, by service.
+    /// The paths at which backends report their cached blocks, by the name of their service.
     paths: HashMap<String, String>,
-    /// The endpoint list that the audited backends were derived from.
+    /// The endpoint list from which the audited backends were derived; `None` if they have to be derived
+    /// again.
     endpoints: Option<Arc<Vec<Backend>>>,
     targets: HashMap<BackendKey, AuditTarget>,
-    /// The frontends that have reported changes of their index.
+    /// The nodes whose frontends have reported changes of their index.
     frontends: BTreeSet<String>,
 }
 
@@ -53,30 +57,31 @@
     path: String,
 }
 
-/// Changes of the index that a frontend reports.
+/// A frontend's report of changes to its index.
 #[derive(Clone, Copy, Debug)]
 pub struct IndexReport<'a> {
-    /// The name of its node.
+    /// The name of the frontend's node.
     pub frontend: &'a str,
-    /// Whether its reports start anew, so that earlier ones are no longer valid.
+    /// Whether the report replaces all earlier ones of this frontend.
     pub restart: bool,
-    /// The changes.
+    /// The changes since the last report, or the whole index after a restart.
     pub changes: &'a [IndexChange],
 }
 
 impl IndexAudits {
-    /// No audit yet.
+    /// Starts without an audit.
     pub fn new(agents: Arc<Agents>, clock: Clock) -> Self {
         IndexAudits { state: Mutex::default(), agents, clock, changed: Notify::new() }
     }
 
-    /// Whether this coordinator is the acting head. An audit starts when it becomes that, and ends when it no longer is.
+    /// Records whether this coordinator is the acting head. An audit starts when it becomes the acting head,
+    /// and ends when it no longer is.
     pub fn set_acting_head(&self, acting_head: bool) {
         self.state().acting_head = acting_head;
         self.start_or_end();
     }
 
-    /// Another configuration is in force.
+    /// Applies the services of a newly committed configuration.
     pub fn set_services(&self, services: &[Service]) {
         let path = |service: &Service| Some((service.name.clone(), service.holdings_path.clone()?));
         let mut state = self.state();
@@ -94,22 +99,22 @@
             return;
         }
         if is_wanted && let Err(error) = state.create_client() {
-            return log::error!("index: not audited: {error}");
+            return log::error!("index audit: not started, cannot create the HTTP client: {error}");
         }
         state.audit = is_wanted.then(|| Audit::new(AuditSettings::default()));
         state.endpoints = None;
         state.frontends.clear();
-        // Reports of frontends on backends that are not known yet would be lost.
+        // Applied before reports are requested: those on backends that the audit does not know would be lost.
         state.apply_endpoints(now, endpoints);
         drop(state);
-        log::info!("index: {}", if is_wanted { "audited from here" } else { "no longer audited from here" });
+        log::info!("index audit: {} on this coordinator", if is_wanted { "started" } else { "stopped" });
         if is_wanted {
             self.agents.broadcast(&ToAgent::IndexRequested);
         }
         self.changed.notify_one();
     }
 
-    /// Applies a frontend's report.
+    /// Applies a frontend's report; ignored while no audit runs.
     pub fn apply_report(&self, report: &IndexReport<'_>) {
         let (now, endpoints) = (self.clock.now(), self.agents.endpoints());
         let frontend = report.frontend;
@@ -129,7 +134,7 @@
         }
     }
 
-    /// Audits for as long as this coordinator is to. Never ends.
+    /// Polls the audit whenever one runs. Never returns.
     pub async fn run(self: Arc<Self>) {
         loop {
             if self.state().audit.is_none() {
@@ -141,7 +146,7 @@
         }
     }
 
-    /// Applies the present endpoints and nodes, and sends the requests that are due.
+    /// Applies the current endpoints and nodes, and sends the requests that are due.
     fn poll(self: &Arc<Self>) {
         let now = self.clock.now();
         let (endpoints, nodes) = (self.agents.endpoints(), self.agents.node_names());
@@ -149,7 +154,7 @@
         state.apply_endpoints(now, endpoints);
         state.forget_departed_frontends(now, &nodes);
         if state.endpoints.is_some() && state.audit.as_mut().is_some_and(Audit::take_lost_reports) {
-            log::info!("index: reports do not fit the list of backends; asked for anew");
+            log::info!("index audit: reports of frontends were lost, requesting their whole indexes");
             self.agents.broadcast(&ToAgent::IndexRequested);
         }
         let Some(client) = state.client.clone() else { return };
@@ -159,7 +164,7 @@
         }
     }
 
-    /// Sends a request, and further ones where the response leads to them.
+    /// Sends a request, and then the follow-up requests to which the responses lead.
     async fn query_backend(
         self: Arc<Self>,
         client: CachedBlocksClient,
@@ -176,11 +181,12 @@
         }
     }
 
-    /// Records the mismatches of a response, corrects the index, and returns the next request to the backend, if any.
+    /// Records the mismatches of a response, corrects the index, and returns the next request to the backend,
+    /// if any.
     fn apply_result(&self, request: &RangeRequest, result: RangeResult) -> Option<RangeRequest> {
         let now = self.clock.now();
         if let Err(error) = &result {
-            log::warn!("index: backend {} is not audited: {error}", request.instance_id);
+            log::warn!("index audit: request to backend {} failed: {error}", request.instance_id);
         }
         let mut state = self.state();
         let audit = state.audit.as_mut()?;
@@ -195,7 +201,7 @@
         output.next_request
     }
 
-    /// The status of the audit; `None` where nothing is audited here.
+    /// The status of the audit; `None` while no audit runs here.
     pub fn status(&self) -> Option<IndexStatus> {
         let now = self.clock.now();
         let state = self.state();
@@ -216,13 +222,13 @@
         Ok(())
     }
 
-    /// Audits the backends of this list from now on.
+    /// Derives the audited backends from an endpoint list: those that are ready and whose service has a path.
     fn apply_endpoints(&mut self, now: Duration, endpoints: Option<Arc<Vec<Backend>>>) {
         let Some(endpoints) = endpoints else { return };
         if self.endpoints.as_ref().is_some_and(|known| Arc::ptr_eq(known, &endpoints)) {
             return;
         }
-        // Frontends report nothing on backends that drain.
+        // Frontends report nothing on draining backends.
         let ready = endpoints.iter().filter(|endpoint| endpoint.state == BackendState::Ready);
         let mut backends: Vec<(BackendKey, String)> = Vec::new();
         self.targets.clear();
@@ -239,7 +245,7 @@
         self.endpoints = Some(endpoints);
     }
 
-    /// Drops the reports of frontends that carry no traffic any more.
+    /// Drops the reports of frontends that no longer carry traffic.
     fn forget_departed_frontends(&mut self, now: Duration, nodes: &BTreeSet<String>) {
         let departed: Vec<String> = self.frontends.difference(nodes).cloned().collect();
         for frontend in departed {
@@ -255,12 +261,13 @@
     IndexChange { backend: correction.backend.0, block: correction.block.0, tokens: correction.tokens }
 }
 
-/// Logs a mismatch, before anything is corrected.
+/// Logs a mismatch with the token counts from before the correction.
 fn log_mismatch(mismatch: &Mismatch) {
     let tokens =
         |tokens: Option<u64>| tokens.map_or("nothing".to_string(), |tokens| format!("{tokens} tokens"));
     log::warn!(
-        "index: backend {}, part {:016x}: {:?}, {} in the index, {} there, after {} looks: {:?}",
+        "index audit: backend {}, block {:016x}: {:?}, {} in the index, {} at the backend, \
+         {} observations: {:?}",
         mismatch.instance_id,
         mismatch.block.0,
         mismatch.kind,
--- a/crates/coordinator/src/index_audits/status.rs
+++ b/crates/coordinator/src/index_audits/status.rs
@@ -1,4 +1,4 @@
-//! The status of the audit, for operators. In JSON some fields have older names, which `serde(rename)` keeps.
+//! The status of the audit, for operators. Some fields keep their older names in JSON by `serde(rename)`.
 
 use index_audit::{
     AuditStatus, BackendAuditState, BackendAuditStatus, Mismatch, MismatchCounts, MismatchKind,
@@ -7,39 +7,40 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Mismatches that the status shows, the newest ones.
+/// How many mismatches the status shows at most: the newest ones.
 const MAX_SHOWN: usize = 50;
 
-/// The status of the audit.
+/// The status of the audit of the index.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct IndexStatus {
     /// The backends under audit.
     pub backends: Vec<AuditedBackend>,
-    /// The newest mismatches, the oldest first.
+    /// The newest mismatches, in the order in which they were recorded.
     pub mismatches: Vec<MismatchStatus>,
-    /// How many mismatches are no longer shown.
+    /// How many older mismatches were recorded that are no longer shown.
     pub older_mismatches: u64,
 }
 
-/// A backend under audit.
+/// The status of a backend under audit.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AuditedBackend {
-    /// Its instance id.
+    /// The backend's instance id.
     pub instance_id: String,
-    /// `matching`, `differing in N`, `not looked at`, or `not audited` with the reason.
+    /// The result of the last comparison: `matching`, `differing in N`, `not looked at` if there was none
+    /// yet, or `not audited: ` and the error.
     pub state: String,
-    /// How many blocks the index has for it.
+    /// How many blocks the index has for this backend.
     #[serde(rename = "parts")]
     pub blocks: usize,
-    /// Differences that were observed once and wait for a second observation.
+    /// How many differences were observed once and have not been confirmed by a second observation.
     pub unconfirmed: usize,
-    /// How long ago it was compared, in milliseconds, if ever.
+    /// How long ago the backend was compared, in milliseconds; `None` if it has not been yet.
     pub compared_ms_ago: Option<u64>,
-    /// Its mismatches so far.
+    /// The backend's mismatches since the audit started, by kind.
     pub mismatches: MismatchCounts,
 }
 
-/// A mismatch.
+/// A mismatch between the index and a backend.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MismatchStatus {
     /// The backend's instance id.
@@ -47,23 +48,23 @@
     /// The key of the prompt block, in hex.
     #[serde(rename = "part")]
     pub block: String,
-    /// The direction in which the index and the backend differ.
+    /// How the index and the backend differ.
     pub kind: MismatchKind,
-    /// The block's tokens in the index, if it was there.
+    /// The block's number of tokens in the index; `None` if the index lacked it.
     pub tokens_in_index: Option<u64>,
-    /// The block's tokens at the backend, if it was there.
+    /// The block's number of tokens at the backend; `None` if the backend lacked it.
     pub tokens_at_backend: Option<u64>,
-    /// How long ago it was first observed, in milliseconds.
+    /// How long ago the mismatch was first observed, in milliseconds.
     pub first_seen_ms_ago: u64,
-    /// How many comparisons with the backend observed it.
+    /// How many comparisons with the backend observed the mismatch.
     #[serde(rename = "looks")]
     pub observations: u32,
-    /// What was done.
+    /// Whether the index was corrected or the mismatch resolved itself.
     pub outcome: MismatchOutcome,
 }
 
 impl IndexStatus {
-    /// The status of an audit at a time.
+    /// Converts the status of an audit, with ages as of `now`.
     pub(super) fn of(audit: AuditStatus, now: Duration) -> Self {
         let shown = audit.mismatches.iter().rev().take(MAX_SHOWN).rev();
         let mismatches: Vec<MismatchStatus> =
