--- a/crates/coordinator/src/log_file.rs
+++ b/crates/coordinator/src/log_file.rs
@@ -1,4 +1,4 @@
-//! The replica's records in a log file on the machine's disk.
+//! The on-disk log of the replica's records.
 
 use crate::storage::ReplicaLog;
 use quick_error::quick_error;
@@ -7,30 +7,31 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The folder of the log, within the data folder.
+/// The log's folder within the data folder.
 const FOLDER: &str = "replica";
-/// A log that can't be read is renamed to this and a number, so that nothing is overwritten.
+/// The folder of a log that can't be read is renamed to this prefix and a number, so that it is kept for
+/// inspection.
 const QUARANTINE_PREFIX: &str = "damaged";
-/// The highest number of such logs. Guards a small disk.
+/// How many such folders are kept at most, so that they don't fill a small disk.
 const MAX_QUARANTINED: usize = 3;
 
 quick_error! {
     /// Why a log could not be opened.
     #[derive(Debug)]
     pub enum OpenError {
-        /// The disk refuses a step; it may work later.
+        /// An operation on the disk failed; a retry may succeed.
         Disk(path: PathBuf, error: LogError) {
             display("{}: {error}", path.display())
             source(error)
         }
-        /// A synced record of the log is damaged.
+        /// An acknowledged record of the log is damaged.
         Damaged(path: PathBuf, error: LogError) {
             display("{}: {error}", path.display())
             source(error)
         }
-        /// A record is intact, but is none that this program knows.
+        /// A record is intact on disk, but can't be decoded as a record of this version of the program.
         Undecodable(path: PathBuf, error: ciborium::de::Error<io::Error>) {
-            display("{}: {error}", path.display())
+            display("{}: cannot decode a record: {error}", path.display())
             source(error)
         }
     }
@@ -52,15 +53,16 @@
     }
 }
 
-/// Opens the log in the data folder, with the records in it.
+/// Opens the log in the data folder and returns it with its records.
 ///
-/// A log that is damaged is renamed: this member then is as one whose disk was lost, which the others tolerate, whereas the
-/// rest of the log may lack a promise.
+/// A damaged log is moved away as a whole and an empty one opened in its place. The member then starts like
+/// one whose disk was lost, which the other members tolerate. Continuing with the readable rest would be
+/// unsafe, because it may lack a promise that this member has made.
 pub fn open(data_dir: &Path) -> Result<(Box<dyn ReplicaLog>, Vec<Record>), OpenError> {
     let folder = data_dir.join(FOLDER);
     match read(&folder) {
         Err(error @ (OpenError::Damaged(..) | OpenError::Undecodable(..))) => {
-            log::error!("{error}; set aside, begins as a new member");
+            log::error!("{error}; moving the log away and starting as a new member");
             quarantine(data_dir, &folder)?;
             read(&folder)
         }
@@ -79,9 +81,9 @@
     Ok((Box::new(ReplicaLogFile { log }), records))
 }
 
-/// Renames the folder of a damaged log, or removes it where there are too many of them.
+/// Renames the folder of a damaged log, or removes it if [`MAX_QUARANTINED`] of them are kept already.
 fn quarantine(data_dir: &Path, folder: &Path) -> Result<(), OpenError> {
-    let failed = |error| OpenError::Disk(folder.into(), LogError::Disk("set aside", error));
+    let failed = |error| OpenError::Disk(folder.into(), LogError::Disk("move the damaged log away", error));
     let names = (1..=MAX_QUARANTINED).map(|number| data_dir.join(format!("{QUARANTINE_PREFIX}-{number}")));
     match names.into_iter().find(|path| !path.exists()) {
         Some(path) => std::fs::rename(folder, path).map_err(failed)?,
--- a/crates/coordinator/src/storage.rs
+++ b/crates/coordinator/src/storage.rs
@@ -1,4 +1,5 @@
-//! The thread that writes the replica's records, so that a disk that hangs blocks nothing else.
+//! The thread that writes the replica's records, so that a disk that hangs does not block the rest of the
+//! coordinator.
 
 use replication::{Input, Record, WriteId};
 use std::io;
@@ -6,25 +7,25 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 
-/// The stack of the storage thread, in bytes.
+/// The size of the storage thread's stack, in bytes.
 const STACK_BYTES: usize = 512 << 10;
-/// A write that takes longer than this is logged.
+/// Writes that take longer than this are logged.
 const SLOW_WRITE: Duration = Duration::from_millis(500);
 
-/// The log that stores a replica's records. Each call returns once the records are on disk.
+/// The log that stores a replica's records. Each call returns only once the records are durable on disk.
 pub trait ReplicaLog: Send {
-    /// Appends records. After an error the log is intact up to the record before them.
+    /// Appends records as one batch. After an error the log still holds everything before this batch.
     fn append(&mut self, records: &[Record]) -> io::Result<()>;
-    /// Replaces all records before by these. After an error the log is as it was.
+    /// Replaces all earlier records with these. After an error the log is unchanged.
     fn rewrite(&mut self, records: &[Record]) -> io::Result<()>;
 }
 
 /// A write for the storage thread.
 #[derive(Debug)]
 pub enum StorageCommand {
-    /// Append a record.
+    /// Append a record; the result is reported under the id.
     Append(WriteId, Box<Record>),
-    /// Replace all records before by these.
+    /// Replace all earlier records with these; the result is reported under the id.
     Rewrite(WriteId, Vec<Record>),
 }
 
@@ -35,7 +36,8 @@
 }
 
 impl Storage {
-    /// Starts the thread. The receiver yields the result of each command, in order.
+    /// Starts the thread. The receiver yields [`Input::Stored`] or [`Input::NotStored`] for each command, in
+    /// order.
     pub fn start(log: Box<dyn ReplicaLog>) -> io::Result<(Self, UnboundedReceiver<Input>)> {
         let (commands, queue) = channel();
         let (results, written) = unbounded_channel();
@@ -44,10 +46,10 @@
         Ok((Storage { commands }, written))
     }
 
-    /// Queues a write.
+    /// Queues a write without waiting for it. The command is dropped if the thread has ended.
     pub fn submit(&self, command: StorageCommand) {
         if self.commands.send(command).is_err() {
-            log::error!("storage: the thread has ended");
+            log::error!("storage: the storage thread has ended, a write was dropped");
         }
     }
 }
@@ -55,9 +57,9 @@
 /// Whether the log accepts appends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LogState {
-    /// It does.
     Writable,
-    /// A write has failed: all later ones fail without being attempted, until a rewrite makes the log intact again.
+    /// A write has failed. All later appends fail without being attempted until a rewrite has restored the
+    /// log.
     AwaitingRewrite,
 }
 
@@ -91,7 +93,7 @@
     Rewrite,
 }
 
-/// Writes that share one sync.
+/// Commands that are written with one sync.
 struct Batch {
     kind: BatchKind,
     ids: Vec<WriteId>,
@@ -99,7 +101,8 @@
 }
 
 impl Batch {
-    /// Writes it unless the log has to be rewritten first. Returns the state of the log after that.
+    /// Writes the batch, unless it is an append and the log has to be rewritten first. Returns the resulting
+    /// state.
     fn write(&self, log: &mut dyn ReplicaLog, state: LogState) -> LogState {
         if state == LogState::AwaitingRewrite && self.kind == BatchKind::Append {
             return state;
@@ -114,7 +117,7 @@
     }
 }
 
-/// Joins appends that follow one another; each rewrite is a batch of its own.
+/// Groups consecutive appends into one batch; each rewrite is a batch of its own.
 fn batches(commands: Vec<StorageCommand>) -> Vec<Batch> {
     let mut batches: Vec<Batch> = Vec::new();
     for command in commands {
@@ -134,14 +137,15 @@
     batches
 }
 
-/// Logs failures as they begin and as they end, and slow writes. `before` is the state of the log before the write.
+/// Logs the start and the end of a series of failures, and slow writes. `before` is the log's state before
+/// the write.
 fn log_result(result: &io::Result<()>, elapsed: Duration, before: LogState) {
     let was_failing = before == LogState::AwaitingRewrite;
     match result {
-        Err(error) if !was_failing => log::warn!("storage: write: {error}"),
-        Err(error) => log::debug!("storage: write: {error}"),
-        Ok(()) if was_failing => log::info!("storage: writes again"),
-        Ok(()) if elapsed > SLOW_WRITE => log::warn!("storage: a write took {} ms", elapsed.as_millis()),
+        Err(error) if !was_failing => log::warn!("storage: write failed: {error}"),
+        Err(error) => log::debug!("storage: rewrite failed: {error}"),
+        Ok(()) if was_failing => log::info!("storage: log rewritten, writes succeed again"),
+        Ok(()) if elapsed > SLOW_WRITE => log::warn!("storage: slow write: {} ms", elapsed.as_millis()),
         Ok(()) => {}
     }
 }
