--- a/crates/coordinator/src/peer_protocol.rs
+++ b/crates/coordinator/src/peer_protocol.rs
@@ -1,36 +1,36 @@
-//! The messages on the port for the fleet's own programs: the first frame of a connection, and what coordinators send to one
-//! another. What agents send after their first frame is in [`control_protocol`].
+//! The messages on the internal port: the first frame of a connection, and the messages between coordinators.
+//! The messages of agents after the first frame are in [`control_protocol`].
 //!
-//! Names on the wire are older than those of the code; `serde(rename)` keeps them.
+//! Some types keep their older names on the wire by `serde(rename)`.
 
 use control_protocol::{Backend, BackendChanges, BackendListVersion};
 use serde::{Deserialize, Serialize};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The first frame of a connection.
+/// The first frame of a connection, which identifies the client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Hello {
-    /// A coordinator, which continues with [`PeerMessage`]s; nothing is sent back on this connection.
+    /// A coordinator, which continues with [`PeerMessage`]s. Nothing is sent back on this connection.
     Peer {
-        /// [`control_protocol::VERSION`].
+        /// The [`control_protocol::VERSION`] of the sender; connections of other versions are rejected.
         version: u16,
-        /// The name of its node.
+        /// The name of the coordinator's node.
         node: String,
-        /// The address at which it listens itself.
+        /// The address at which the coordinator itself listens.
         address: SocketAddrV4,
     },
-    /// An agent; the bytes are those of [`control_protocol::FromAgent::Hello`].
+    /// An agent. Encoded in the same bytes as [`control_protocol::FromAgent::Hello`].
     #[serde(rename = "Hello")]
     Agent {
-        /// [`control_protocol::VERSION`].
+        /// The [`control_protocol::VERSION`] of the sender; connections of other versions are rejected.
         version: u16,
-        /// The name of its node.
+        /// The name of the agent's node.
         node: String,
-        /// The address of its machine.
+        /// The address of the agent's machine.
         ip: Ipv4Addr,
-        /// The zone of its machine.
+        /// The zone of the agent's machine.
         zone: String,
-        /// The sequence of the configuration that it has; 0 for none.
+        /// The sequence of the configuration that the agent has; 0 if none.
         #[serde(rename = "have")]
         configuration_sequence: u64,
     },
@@ -39,45 +39,45 @@
 /// A message from one coordinator to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A message of the replica.
+    /// A message from one replica to another.
     Replica(replication::Message),
-    /// The platform's list was read.
+    /// The result of a read of the platform's list.
     #[serde(rename = "Backends")]
     EndpointList(EndpointListUpdate),
-    /// The sender lacks the list that an update refers to, and requests all of it.
+    /// Requests the full list: the sender lacks the one on which an update builds, or has just started.
     #[serde(rename = "BackendsWanted")]
     EndpointListRequest,
-    /// The sender is about to shut down: its work is to be taken over.
+    /// The sender is shutting down: others have to take over its work.
     Leaving,
 }
 
-/// That the platform's list was read, with its content as far as that is new.
+/// The result of a read of the platform's list, with the content as far as it is new.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointListUpdate {
     /// The version of the read that first saw this content.
     #[serde(rename = "content")]
     pub content_version: BackendListVersion,
-    /// The version of the newest read that saw it.
+    /// The version of the newest read that saw this content.
     pub version: BackendListVersion,
-    /// The content.
+    /// How the receiver obtains the content.
     #[serde(rename = "body")]
     pub content: EndpointListContent,
 }
 
-/// The content of an endpoint list, as it is sent.
+/// The content of an endpoint list, in full or relative to a list that was sent before.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EndpointListContent {
-    /// The content that was sent before.
+    /// The content is the same as that sent before under the content version.
     #[serde(rename = "Same")]
     Unchanged,
-    /// The differences from another list.
+    /// The differences from a base list.
     Changes {
-        /// The version of the read that first saw that other list.
+        /// The version of the read that first saw the base list.
         base: BackendListVersion,
-        /// The differences.
+        /// The differences of the new list from the base list.
         changes: BackendChanges,
     },
-    /// All entries.
+    /// All endpoints on the list.
     #[serde(rename = "Whole")]
     Full(#[serde(with = "control_protocol::backend_table")] Vec<Backend>),
 }
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -1,4 +1,5 @@
-//! Connections to other coordinators: opened on demand, opened again after a backoff, never waited for.
+//! Connections to other coordinators. They are opened when there is something to send, with a backoff between
+//! attempts; no caller waits for them.
 
 use crate::clock::Clock;
 use crate::peer_protocol::{Hello, PeerMessage};
@@ -9,20 +10,20 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The backoff after the first failed connection; it doubles with each failure.
+/// The backoff after the first failed connection. It doubles with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 /// The longest backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// A connection that lasted this long ended for no lasting reason: the backoff starts anew.
+/// After a connection that lasted this long the backoff starts at its initial value again.
 const BACKOFF_RESET_AFTER: Duration = Duration::from_secs(2);
-/// Messages that are queued while a connection is being opened.
+/// How many messages are queued at most while a connection is being opened.
 const MAX_QUEUED_FRAMES: usize = 16;
 /// How long a coordinator that announced its shutdown counts as unreachable.
 const LEAVING_NOTICE_VALID_FOR: Duration = Duration::from_secs(8);
-/// Addresses that are remembered. Guards against a peer that names ever new ones.
+/// How many addresses are remembered at most, in case a peer claims ever new ones.
 const MAX_PEERS: usize = 256;
 
-/// The connections to other coordinators.
+/// The connections to other coordinators, and when each was last heard from.
 #[derive(Debug)]
 pub struct Peers {
     own_address: SocketAddrV4,
@@ -42,11 +43,11 @@
 
 #[derive(Debug)]
 enum ConnectionState {
-    /// There is none, and none is to be opened before this time.
+    /// There is no connection, and none may be opened before this time.
     Idle {
         retry_at: Duration,
     },
-    /// It is being opened; these frames wait for it.
+    /// The connection is being opened; these frames are sent once it is open.
     Connecting(Vec<Bytes>),
     Open(FrameWriter),
 }
@@ -58,25 +59,27 @@
 }
 
 impl Peers {
-    /// No connections yet. `own_address` is where this coordinator listens, `node` the name of its node.
+    /// Starts without connections. `own_address` is where this coordinator listens, `node` the name of its
+    /// node.
     pub fn new(own_address: SocketAddrV4, node: String, clock: Clock) -> Self {
         Peers { own_address, node, clock, connections: Mutex::default() }
     }
 
-    /// The address at which this coordinator listens.
+    /// The address at which this coordinator listens for coordinators and agents.
     pub fn own_address(&self) -> SocketAddrV4 {
         self.own_address
     }
 
-    /// Sends a message, or drops it where there is no connection and none may be opened yet.
+    /// Sends a message without waiting. The message is dropped if there is no connection and none may be
+    /// opened yet, or if the queue is full.
     pub fn send(self: &Arc<Self>, to: SocketAddrV4, message: &PeerMessage) {
         match control_protocol::encode(message) {
             Ok(frame) => self.send_frame(to, frame.into()),
-            Err(error) => log::error!("message to {to}: {error}"),
+            Err(error) => log::error!("message to peer {to} not encoded: {error}"),
         }
     }
 
-    /// Sends a frame that was encoded once for several peers.
+    /// Sends an encoded message, as [`Peers::send`] does. For messages that go to several peers.
     pub fn send_frame(self: &Arc<Self>, to: SocketAddrV4, frame: Bytes) {
         let now = self.clock.now();
         let mut connections = self.connections();
@@ -87,7 +90,7 @@
         match &mut connection.state {
             ConnectionState::Open(outgoing) => {
                 if let Err(error) = outgoing.send_frame(frame) {
-                    log::debug!("message to {to}: {error}");
+                    log::debug!("message to peer {to} not sent: {error}");
                 }
             }
             ConnectionState::Connecting(queued) if queued.len() < MAX_QUEUED_FRAMES => queued.push(frame),
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Records that a message of a peer has arrived, with the name of its node.
+    /// Records that a message has arrived from a peer, and the name of its node.
     pub fn record_received(&self, from: SocketAddrV4, node: &str) {
         let now = self.clock.now();
         let mut connections = self.connections();
@@ -122,13 +125,14 @@
         }
     }
 
-    /// Whether a message of a peer arrived within a span, and it does not shut down.
+    /// Whether a message from this peer arrived within the last `within`, and it has not announced its
+    /// shutdown.
     pub fn has_recent_contact(&self, peer: SocketAddrV4, within: Duration) -> bool {
         let now = self.clock.now();
         self.connections().get(&peer).is_some_and(|connection| connection.has_recent_contact(now, within))
     }
 
-    /// All peers with recent contact.
+    /// The peers with recent contact, as [`Peers::has_recent_contact`] defines it.
     pub fn recent_contacts(&self, within: Duration) -> Vec<SocketAddrV4> {
         let now = self.clock.now();
         let connections = self.connections();
@@ -136,7 +140,7 @@
         recent.map(|(address, _)| *address).collect()
     }
 
-    /// The name of a peer's node, where it is known.
+    /// The name of a peer's node; `None` until a message has arrived from it.
     pub fn node_name(&self, peer: SocketAddrV4) -> Option<String> {
         if peer == self.own_address {
             return Some(self.node.clone());
@@ -149,16 +153,16 @@
         self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Opens a connection and waits for its end.
+    /// Opens a connection, waits for its end and sets the backoff.
     async fn maintain_connection(self: Arc<Self>, to: SocketAddrV4) {
         let started = self.clock.now();
         match self.open(to).await {
             Ok(incoming) => {
                 log::debug!("peer {to}: connected");
                 let error = wait_for_end(incoming).await;
-                log::debug!("peer {to}: {error}");
+                log::debug!("peer {to}: connection ended: {error}");
             }
-            Err(error) => log::debug!("peer {to}: {error}"),
+            Err(error) => log::debug!("peer {to}: connection not established: {error}"),
         }
         self.record_end(to, started);
     }
@@ -200,7 +204,8 @@
     }
 }
 
-/// Waits for the end of a connection on which the other side sends nothing.
+/// Waits for the end of a connection. Nothing is expected on it, because the peer sends on a connection of
+/// its own.
 async fn wait_for_end(mut incoming: FrameReader) -> LinkError {
     loop {
         if let Err(error) = incoming.next::<PeerMessage>().await {
