--- a/crates/coordinator/src/metrics.rs
+++ b/crates/coordinator/src/metrics.rs
@@ -1,5 +1,5 @@
-//! A coordinator's metrics. Gauges are read from its state when the metrics are requested; the counters are those of
-//! [`OutcomeCounters`](crate::outcome_counters::OutcomeCounters).
+//! A coordinator's metrics. Gauges are set from its state when the metrics are requested; the counters are
+//! those of [`OutcomeCounters`](crate::outcome_counters::OutcomeCounters).
 
 use crate::node::CoordinatorNode;
 use crate::status::CoordinatorStatus;
@@ -8,7 +8,7 @@
 use role_runtime::metrics::{MetricsSource, gauge};
 use std::sync::{Arc, Weak};
 
-/// The metrics.
+/// The metrics of a coordinator. They do not keep the coordinator alive.
 pub struct CoordinatorMetrics {
     node: Weak<CoordinatorNode>,
     registry: Registry,
@@ -33,39 +33,48 @@
 }
 
 impl CoordinatorGauges {
-    /// Adds the gauges to a registry. The names of metrics are older than those of the code.
+    /// Registers the gauges. Metrics keep their older names, which differ from those of the fields.
     fn register(registry: &mut Registry) -> Self {
         let mut gauge = |name: &str, help: &str| gauge(registry, name, help);
         CoordinatorGauges {
-            has_quorum_contact: gauge("in_touch", "Whether a majority of the voters was heard from lately"),
-            acting_head: gauge("acting_head", "Whether it is the acting head of the chain"),
-            view: gauge("view", "Number of the view that it knows"),
-            chain_length: gauge("chain_members", "Members of the chain"),
+            has_quorum_contact: gauge(
+                "in_touch",
+                "Whether messages from a majority of the voters arrived recently (1) or not (0)",
+            ),
+            acting_head: gauge(
+                "acting_head",
+                "Whether this coordinator is the acting head of the chain (1) or not (0)",
+            ),
+            view: gauge("view", "Number of the newest known view"),
+            chain_length: gauge("chain_members", "Number of members in the chain"),
             committed_sequence: gauge(
                 "committed_sequence",
                 "Sequence of the newest entry known to be committed",
             ),
-            stored_sequence: gauge("stored_sequence", "Sequence of the newest entry on its disk"),
+            stored_sequence: gauge("stored_sequence", "Sequence of the newest entry on this disk"),
             generation: gauge("generation", "Generation of the newest configuration known to be committed"),
             list_version: gauge("list_version", "Version of the list of backends"),
             list_age_ms: gauge(
                 "list_age_milliseconds",
-                "Time since the newest read of the list was heard of",
+                "Time since this coordinator learned of the newest read of the list of backends",
+            ),
+            endpoints: gauge("backends", "Number of backends in the list"),
+            nodes: gauge("nodes", "Number of frontend nodes known to carry traffic"),
+            agents: gauge("agents", "Number of connected agents"),
+            agent_connections_opened: gauge(
+                "agent_links_made",
+                "Number of connections opened by agents since the start",
             ),
-            endpoints: gauge("backends", "Backends in the list"),
-            nodes: gauge("nodes", "Frontend nodes that carry traffic, as far as is known"),
-            agents: gauge("agents", "Agents that are connected"),
-            agent_connections_opened: gauge("agent_links_made", "Connections of agents since the start"),
             index_mismatches: gauge(
                 "index_mismatches",
-                "Mismatches of the index of prompt parts that are shown",
+                "Number of mismatches of the index of prompt blocks in the status",
             ),
         }
     }
 }
 
 impl CoordinatorMetrics {
-    /// The metrics of a coordinator.
+    /// Registers the metrics of a coordinator.
     pub fn new(node: &Arc<CoordinatorNode>) -> Self {
         let mut registry = Registry::with_prefix("marlwinch_coordinator");
         let gauges = CoordinatorGauges::register(&mut registry);
--- a/crates/coordinator/src/outcome_counters.rs
+++ b/crates/coordinator/src/outcome_counters.rs
@@ -1,4 +1,4 @@
-//! Counters of requests by outcome, incremented where the requests end.
+//! Counters of requests by outcome, incremented when a request completes.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -6,7 +6,7 @@
 use prometheus_client::registry::Registry;
 use replication::RequestOutcome;
 
-/// The label of a counter.
+/// The label set of the counters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct OutcomeLabel {
     outcome: &'static str,
@@ -14,7 +14,7 @@
 
 type OutcomeFamily = Family<OutcomeLabel, Counter>;
 
-/// The counters.
+/// The counters of changes, reads and read indexes by outcome.
 #[derive(Default)]
 pub struct OutcomeCounters {
     changes: OutcomeFamily,
@@ -23,18 +23,23 @@
 }
 
 impl OutcomeCounters {
-    /// Adds the counters to a registry. The names of metrics are older than those of the code.
+    /// Registers the counters. Metrics and labels keep their older names, which differ from those of the
+    /// code.
     pub fn register(&self, registry: &mut Registry) {
-        registry.register("changes", "Operators' changes by outcome", self.changes.clone());
-        registry.register("reads", "Reads of the configuration by outcome", self.reads.clone());
+        registry.register(
+            "changes",
+            "Configuration changes requested by operators, by outcome",
+            self.changes.clone(),
+        );
+        registry.register("reads", "Reads of the configuration, by outcome", self.reads.clone());
         registry.register(
             "proofs",
-            "Questions for the newest configuration by outcome",
+            "Read-index requests that confirm the newest configuration, by outcome",
             self.read_indexes.clone(),
         );
     }
 
-    /// A change was answered.
+    /// Counts a change with the outcome that its response has.
     pub fn record_change(&self, outcome: &RequestOutcome) {
         let label = match outcome {
             RequestOutcome::Committed { .. } => "taken",
@@ -47,18 +52,18 @@
         increment(&self.changes, label);
     }
 
-    /// A change was rejected because its document is invalid.
+    /// Counts a change that was rejected because its document is invalid.
     pub fn record_invalid_change(&self) {
         increment(&self.changes, "invalid");
     }
 
-    /// A read of the configuration was answered.
+    /// Counts a read of the configuration: any outcome but the current configuration counts as unclear.
     pub fn record_read(&self, outcome: &RequestOutcome) {
         let label = if matches!(outcome, RequestOutcome::Current(_)) { "answered" } else { "unclear" };
         increment(&self.reads, label);
     }
 
-    /// A request for the read index was answered.
+    /// Counts a read-index request: any outcome but a confirmed read index counts as unclear.
     pub fn record_read_index(&self, outcome: &RequestOutcome) {
         let label = if matches!(outcome, RequestOutcome::ReadIndex { .. }) { "proven" } else { "unclear" };
         increment(&self.read_indexes, label);
