--- a/crates/coordinator/src/internal_listener.rs
+++ b/crates/coordinator/src/internal_listener.rs
@@ -1,5 +1,5 @@
-//! The listener for the fleet's own programs: accepts connections of other coordinators and of agents, and passes their
-//! messages to the parts that they are for.
+//! The internal listener: accepts connections from other coordinators and from agents, and dispatches their
+//! messages to the components of the node.
 
 use crate::agents::{AgentConnectionId, AgentIdentity, ConfigurationRequestId};
 use crate::index_audits::IndexReport;
@@ -14,16 +14,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Semaphore;
 
-/// How long the first frame of a connection may take.
+/// The time limit for the first frame of a connection.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// A coordinator that sends nothing for this long is gone without a notice; it opens another connection when it has to.
+/// Connections of coordinators on which nothing arrives for this long are closed. A coordinator that is still
+/// alive opens another one when it has something to send.
 const PEER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Connections at once. Guards the descriptors against clients without end.
+/// The maximum number of concurrent connections, so that clients can't exhaust the file descriptors.
 const MAX_CONNECTIONS: usize = 1500;
-/// How long to wait after no connection could be accepted, as when descriptors have run out.
+/// The pause after a connection could not be accepted, for example because file descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Accepts connections. Never ends.
+/// Accepts connections and serves each in a task of its own. Never returns.
 pub async fn run(node: Arc<CoordinatorNode>, listener: TcpListener) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -37,7 +38,7 @@
                 });
             }
             Err(error) => {
-                log::warn!("accept: {error}");
+                log::warn!("internal listener: cannot accept a connection: {error}");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -46,27 +47,27 @@
 
 async fn serve_connection(node: Arc<CoordinatorNode>, stream: TcpStream, peer: SocketAddr) {
     if let Err(error) = control_link::configure_accepted(&stream) {
-        log::debug!("options of the connection from {peer}: {error}");
+        log::debug!("connection from {peer}: cannot set socket options: {error}");
     }
     let (mut incoming, outgoing) = control_link::split(stream, peer);
     let hello = tokio::time::timeout(HELLO_TIMEOUT, incoming.next::<Hello>()).await;
     match hello {
         Ok(Ok(Hello::Peer { version, .. } | Hello::Agent { version, .. })) if version != VERSION => {
-            log::warn!("{peer} speaks version {version} of the protocol, not {VERSION}: rejected");
+            log::warn!("connection from {peer}: rejected, protocol version {version}, expected {VERSION}");
         }
         Ok(Ok(Hello::Peer { node: name, address, .. })) => {
             let error = serve_peer(&node, &mut incoming, &name, address).await;
-            log::debug!("coordinator {name} {address}: {error}");
+            log::debug!("coordinator {name} {address}: connection ended: {error}");
         }
         Ok(Ok(Hello::Agent { node: name, zone, configuration_sequence, .. })) => {
-            log::info!("agent of {name} joined, has sequence {configuration_sequence}");
+            log::info!("agent of {name} connected, has configuration sequence {configuration_sequence}");
             let id = node.agents.connect(AgentIdentity { node: name.clone(), zone }, outgoing);
             let error = serve_agent(&node, &mut incoming, id, &name).await;
             node.agents.disconnect(id);
-            log::info!("agent of {name} left: {error}");
+            log::info!("agent of {name} disconnected: {error}");
         }
-        Ok(Err(error)) => log::debug!("first frame: {error}"),
-        Err(_) => log::debug!("{peer}: no first frame in time"),
+        Ok(Err(error)) => log::debug!("no valid first frame: {error}"),
+        Err(_) => log::debug!("connection from {peer}: no first frame within {HELLO_TIMEOUT:?}"),
     }
 }
 
@@ -88,7 +89,7 @@
             PeerMessage::EndpointList(update) => node.endpoints.apply_update(from, update),
             PeerMessage::EndpointListRequest => node.endpoints.send_full_list(from),
             PeerMessage::Leaving => {
-                log::info!("coordinator {name} {from} leaves");
+                log::info!("coordinator {name} {from} is shutting down");
                 node.peers.record_leaving(from);
                 node.endpoints.reconsider_reading();
             }
@@ -109,8 +110,8 @@
         };
         node.agents.record_received(id);
         if let FromAgent::Leaving { quota_use_reported } = message {
-            // The allocator releases the node's quota, where it runs here; elsewhere the node counts for a while longer,
-            // unless it has reported all its use of quota.
+            // If the allocator runs here, it releases the node's quota. Otherwise the node counts until it
+            // expires, unless it has reported all its use of quota.
             let is_released = node.quotas.remove_node(name, node.clock.now());
             if quota_use_reported || is_released {
                 node.agents.remove_node(name);
@@ -151,7 +152,7 @@
     name: &str,
     request: &QuotaRequest,
 ) {
-    // Checked at the moment of the effect: the process may have been suspended since the role was last published.
+    // Checked again here, because the process may have been suspended since the role was last published.
     if !node.replica.is_acting_head() {
         return;
     }
--- a/crates/coordinator/src/operator_api.rs
+++ b/crates/coordinator/src/operator_api.rs
@@ -1,4 +1,6 @@
-//! The operator's HTTP interface.
+//! The operator's HTTP API: replaces and returns the configuration, and shows the coordinator's status.
+//!
+//! The texts of errors are response bodies that clients may match, so they stay as they are.
 
 use crate::node::CoordinatorNode;
 use crate::status::CoordinatorStatus;
@@ -18,23 +20,25 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// The largest configuration that is accepted, in bytes. It has to fit a frame, and a few of them into memory.
+/// The largest configuration that is accepted, in bytes. It has to fit into one frame, and several into
+/// memory.
 pub const MAX_BODY_BYTES: usize = 8 << 20;
-/// How long a client may take to send its body. A slow one delays nobody else.
+/// The time limit for receiving a request's body. A slow client does not delay others.
 const BODY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a request waits for the replica, which answers sooner. Clients time out long before.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long it waits while this coordinator has no quorum contact: an answer then is only a matter of luck, and the client may
-/// find another coordinator.
-const ANSWER_TIMEOUT_WITHOUT_QUORUM: Duration = Duration::from_millis(400);
-/// A connection on which nothing is sent or received for this long is closed. More than a request waits.
+/// How long a request waits for the replica. A safety limit: the replica responds earlier, and clients time
+/// out long before.
+const REPLICA_TIMEOUT: Duration = Duration::from_secs(10);
+/// The same while this coordinator has no quorum contact. Short, because a response is then unlikely, and the
+/// client may find another coordinator that can respond.
+const REPLICA_TIMEOUT_WITHOUT_QUORUM: Duration = Duration::from_millis(400);
+/// Connections on which nothing is sent or received for this long are closed. Longer than a request may wait.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long requests in progress may take at a shutdown.
+/// How long requests in progress may take to finish at a shutdown.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(1000);
-/// The header with the generation that a configuration builds upon.
+/// The request header with the generation on which a configuration is based.
 const BASE_HEADER: &str = "X-Base-Revision";
-/// The longest text of faults in one response or line of the log, in characters.
-const MAX_FAULT_CHARACTERS: usize = 600;
+/// The longest text of validation errors in one response or log line, in characters.
+const MAX_ERROR_CHARACTERS: usize = 600;
 
 quick_error! {
     /// Why the body of a request could not be read.
@@ -59,25 +63,25 @@
     }
 }
 
-/// The response to a change that is committed.
+/// The response to a committed change.
 #[derive(Serialize)]
 struct ReplaceResponse {
     generation: Generation,
 }
 
-/// The response to a request that failed.
+/// The response to a failed request.
 #[derive(Serialize)]
 struct ErrorResponse {
     error: String,
-    /// The place in the document, as a JSON pointer.
+    /// The location of the first error in the document, as a JSON pointer.
     #[serde(skip_serializing_if = "Option::is_none")]
     place: Option<String>,
-    /// The generation in force.
+    /// The generation of the current configuration.
     #[serde(skip_serializing_if = "Option::is_none")]
     current: Option<Generation>,
 }
 
-/// Serves until the shutdown, and finishes the requests in progress then.
+/// Serves requests until the shutdown, and then finishes those in progress.
 pub async fn run(
     node: Arc<CoordinatorNode>,
     listener: TcpListener,
@@ -109,13 +113,13 @@
     };
     let generation = match configuration::check(&document) {
         Ok(configuration) => Generation(configuration.generation),
-        Err(faults) => {
+        Err(errors) => {
             node.counters.record_invalid_change();
-            return invalid_configuration(&faults);
+            return invalid_configuration(&errors);
         }
     };
     let pending = node.replica.write(change(base, generation, document));
-    let outcome = tokio::time::timeout(answer_timeout(&node), pending.outcome()).await;
+    let outcome = tokio::time::timeout(replica_timeout(&node), pending.outcome()).await;
     let outcome = outcome.unwrap_or(RequestOutcome::Unknown);
     node.counters.record_change(&outcome);
     log_change(base, generation, &outcome);
@@ -125,7 +129,7 @@
 #[handler]
 async fn describe(node: Data<&Arc<CoordinatorNode>>) -> Response {
     let pending = node.replica.read();
-    let outcome = tokio::time::timeout(answer_timeout(&node), pending.outcome()).await;
+    let outcome = tokio::time::timeout(replica_timeout(&node), pending.outcome()).await;
     let outcome = outcome.unwrap_or(RequestOutcome::Unknown);
     node.counters.record_read(&outcome);
     match outcome {
@@ -136,7 +140,7 @@
         RequestOutcome::Current(None) => {
             error_response(StatusCode::NOT_FOUND, "there is no configuration yet".into())
         }
-        _ => unclear(),
+        _ => unknown_outcome(),
     }
 }
 
@@ -145,12 +149,12 @@
     json_response(StatusCode::OK, &CoordinatorStatus::of(&node))
 }
 
-fn answer_timeout(node: &CoordinatorNode) -> Duration {
+fn replica_timeout(node: &CoordinatorNode) -> Duration {
     let has_quorum_contact = node.replica.role_status().borrow().has_quorum_contact;
-    if has_quorum_contact { ANSWER_TIMEOUT } else { ANSWER_TIMEOUT_WITHOUT_QUORUM }
+    if has_quorum_contact { REPLICA_TIMEOUT } else { REPLICA_TIMEOUT_WITHOUT_QUORUM }
 }
 
-/// The generation that a configuration builds upon; `None` if the header is not valid.
+/// The generation on which a configuration is based: none if there is no header, `None` if it is invalid.
 fn base_generation(headers: &HeaderMap) -> Option<Generation> {
     match headers.get(BASE_HEADER) {
         None => Some(Generation::NONE),
@@ -191,36 +195,42 @@
             StatusCode::SERVICE_UNAVAILABLE,
             format!("it is too old to tell whether it was taken; {current} is current"),
         ),
-        RequestOutcome::Current(_) | RequestOutcome::ReadIndex { .. } | RequestOutcome::Unknown => unclear(),
+        RequestOutcome::Current(_) | RequestOutcome::ReadIndex { .. } | RequestOutcome::Unknown => {
+            unknown_outcome()
+        }
     }
 }
 
-fn invalid_configuration(faults: &[configuration::ConfigurationError]) -> Response {
-    let place = faults.first().map(|fault| fault.location().to_string()).filter(|place| !place.is_empty());
-    let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    let error: String = all.join("; ").chars().take(MAX_FAULT_CHARACTERS).collect();
-    log::info!("configuration refused: {error}");
+fn invalid_configuration(errors: &[configuration::ConfigurationError]) -> Response {
+    let place = errors.first().map(|error| error.location().to_string()).filter(|place| !place.is_empty());
+    let texts: Vec<String> = errors.iter().map(ToString::to_string).collect();
+    let error: String = texts.join("; ").chars().take(MAX_ERROR_CHARACTERS).collect();
+    log::info!("configuration rejected: {error}");
     json_response(StatusCode::BAD_REQUEST, &ErrorResponse { error, place, current: None })
 }
 
 fn log_change(base: Generation, generation: Generation, outcome: &RequestOutcome) {
     match outcome {
         RequestOutcome::Committed { sequence } => {
-            log::info!("configuration {generation} on {base}: taken, sequence {sequence}");
+            log::info!("configuration {generation} on base {base}: accepted, sequence {sequence}");
         }
         RequestOutcome::Conflict { current } | RequestOutcome::NotHigher { current } => {
-            log::info!("configuration {generation} on {base}: refused, {current} is current");
+            log::info!("configuration {generation} on base {base}: rejected, {current} is current");
         }
         RequestOutcome::TooOld { current } => {
-            log::info!("configuration {generation} on {base}: too old to tell, {current} is current");
+            log::info!(
+                "configuration {generation} on base {base}: outcome unknown, older than the history; \
+                 {current} is current"
+            );
         }
         RequestOutcome::Current(_) | RequestOutcome::ReadIndex { .. } | RequestOutcome::Unknown => {
-            log::info!("configuration {generation} on {base}: unclear");
+            log::info!("configuration {generation} on base {base}: outcome unknown");
         }
     }
 }
 
-fn unclear() -> Response {
+/// The response to a request whose outcome is not known. The client may repeat it, also a change.
+fn unknown_outcome() -> Response {
     error_response(StatusCode::SERVICE_UNAVAILABLE, "there is no clear answer now; ask again".into())
 }
 
--- a/crates/coordinator/src/process.rs
+++ b/crates/coordinator/src/process.rs
@@ -1,5 +1,5 @@
-//! The coordinator's process: opens the log on disk, starts the coordinator, follows its settings file, and shuts down on
-//! SIGTERM.
+//! The coordinator's process: opens the log on disk, starts the coordinator, applies changes of the settings
+//! file, and shuts down on SIGTERM.
 
 use crate::log_file;
 use crate::metrics::CoordinatorMetrics;
@@ -16,17 +16,19 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::MissedTickBehavior;
 
-/// Pause between attempts to open the log while the disk refuses.
+/// The pause between attempts to open the log while the disk fails.
 const OPEN_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Runs a coordinator until SIGTERM.
+/// Runs a coordinator until SIGTERM. Exits with a failure if it can't start, for example because a setting is
+/// missing or an address can't be listened at.
 pub fn run(settings: Settings, options: RoleOptions) -> ExitCode {
     abort_on_panic();
     role_runtime::process::run("coordinator", serve(settings, options))
 }
 
-/// Aborts the process where an assertion fails: with two histories, or a state that is inconsistent, it must neither answer nor
-/// write any more. The runtime would continue without the task that has panicked.
+/// Makes every panic abort the process. A failed assertion means diverged histories or an inconsistent state,
+/// after which the process must neither respond nor write. Without this, the runtime would continue without
+/// the panicked task.
 fn abort_on_panic() {
     let report = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |failure| {
@@ -51,8 +53,8 @@
     let metrics = Arc::new(CoordinatorMetrics::new(coordinator.node()));
     role_runtime::metrics::start(settings.ip, options.metrics.as_ref(), metrics);
     follow_settings(&mut coordinator, &mut terminate, &mut hang_up).await;
-    // A golden file holds this text.
-    log::info!("coordinator: told to end");
+    // The tests of the command line compare this text with a golden file.
+    log::info!("coordinator: SIGTERM received, shutting down");
     coordinator.shut_down().await;
     Ok(())
 }
@@ -74,28 +76,28 @@
     }
 }
 
-/// Opens the log, however long the disk refuses that.
+/// Opens the log, and retries until the disk allows it.
 async fn open_log(data_dir: PathBuf) -> (Box<dyn ReplicaLog>, Vec<Record>) {
     let mut is_failing = false;
     loop {
         let folder = data_dir.clone();
         match tokio::task::spawn_blocking(move || log_file::open(&folder)).await {
             Ok(Ok(opened)) => return opened,
-            Ok(Err(error)) if !is_failing => log::warn!("storage: open: {error}"),
-            Ok(Err(error)) => log::debug!("storage: open: {error}"),
-            Err(error) => log::error!("storage: open: {error}"),
+            Ok(Err(error)) if !is_failing => log::warn!("storage: cannot open the log, retrying: {error}"),
+            Ok(Err(error)) => log::debug!("storage: cannot open the log: {error}"),
+            Err(error) => log::error!("storage: the task that opens the log failed: {error}"),
         }
         is_failing = true;
         tokio::time::sleep(OPEN_RETRY_DELAY).await;
     }
 }
 
-/// A number that hardly any two starts share.
+/// A seed that differs between starts, also of different machines, with high probability.
 fn random_seed() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     let mut hasher = std::hash::RandomState::new().build_hasher();
     hasher.write_u32(std::process::id());
-    // The wall clock need not be right here; it only has to differ.
+    // The wall clock may be wrong here; it only adds variation.
     if let Ok(time) = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH) {
         hasher.write_u128(time.as_nanos());
     }
--- a/crates/coordinator/src/replica_driver.rs
+++ b/crates/coordinator/src/replica_driver.rs
@@ -1,4 +1,4 @@
-//! The driver of the replica: passes inputs to the state machine and carries out its outputs.
+//! The driver of the replica: passes inputs to the state machine and performs its outputs.
 
 use crate::clock::Clock;
 use crate::membership::{RoleStatus, members_in_order};
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{oneshot, watch};
 
-/// The replica with its storage, its peers and the requests in progress.
+/// Runs the replica: connects it with the storage thread, the peers and the clients of requests in progress.
 pub struct ReplicaDriver {
     state: Mutex<DriverState>,
     peers: Arc<Peers>,
@@ -24,10 +24,12 @@
     replica: Replica,
     storage: Storage,
     pending: HashMap<RequestId, oneshot::Sender<RequestOutcome>>,
-    requests_so_far: u64,
+    /// The id of the last request.
+    last_request: u64,
 }
 
-/// A request in progress. Dropping this cancels it.
+/// A request in progress. Dropping it cancels the request; a change that was already sent may still be
+/// committed.
 pub struct PendingRequest<'a> {
     driver: &'a ReplicaDriver,
     id: RequestId,
@@ -35,7 +37,7 @@
 }
 
 impl ReplicaDriver {
-    /// Starts with a replica that was just opened, and the outputs of that.
+    /// Starts with a replica that was just opened, and performs the outputs of opening it.
     pub fn start(
         replica: Replica,
         outputs: Vec<Output>,
@@ -44,7 +46,7 @@
         clock: Clock,
     ) -> Self {
         let view = replica.view().cloned().map(Arc::new);
-        let state = DriverState { replica, storage, pending: HashMap::new(), requests_so_far: 0 };
+        let state = DriverState { replica, storage, pending: HashMap::new(), last_request: 0 };
         let driver = ReplicaDriver {
             state: Mutex::new(state),
             peers,
@@ -53,37 +55,39 @@
             view: watch::channel(view).0,
             role_status: watch::channel(RoleStatus::default()).0,
         };
-        driver.carry_out_first(outputs);
+        driver.perform_initial(outputs);
         driver
     }
 
-    /// The newest entry that is known to be committed.
+    /// Watches the newest entry that this member knows to be committed; `None` if there is none.
     pub fn committed(&self) -> watch::Receiver<Option<Arc<Entry>>> {
         self.committed.subscribe()
     }
 
-    /// The view in force.
+    /// Watches the view in force; `None` if this member knows no view yet.
     pub fn view(&self) -> watch::Receiver<Option<Arc<View>>> {
         self.view.subscribe()
     }
 
-    /// What this member may do.
+    /// Watches this member's role, which is updated with each tick. It may be out of date after the process
+    /// was suspended: see [`ReplicaDriver::is_acting_head`].
     pub fn role_status(&self) -> watch::Receiver<RoleStatus> {
         self.role_status.subscribe()
     }
 
-    /// The state of the replica, for operators.
+    /// The replica's state, for operators and metrics.
     pub fn status(&self) -> Status {
         self.state().replica.status()
     }
 
-    /// Waits until a chain without this member stores everything that is committed.
+    /// Waits until a chain without this member stores everything that is committed. Has no time limit of its
+    /// own.
     pub async fn wait_until_handed_over(&self) {
-        // The sender lives as long as this driver.
+        // The wait can't fail, because the sender lives as long as this driver.
         let _ = self.role_status().wait_for(|role| role.handed_over).await;
     }
 
-    /// Passes an input to the replica.
+    /// Passes an input to the replica and performs the outputs.
     pub fn handle(&self, input: Input) {
         let is_tick = matches!(input, Input::Tick);
         self.run(&mut self.state(), VecDeque::from([input]));
@@ -92,22 +96,23 @@
         }
     }
 
-    /// Requests a change.
+    /// Requests a change of the configuration.
     pub fn write(&self, change: Change) -> PendingRequest<'_> {
         self.request(|id| Input::Write(id, change))
     }
 
-    /// Requests the newest entry.
+    /// Requests a linearizable read of the newest entry.
     pub fn read(&self) -> PendingRequest<'_> {
         self.request(Input::Read)
     }
 
-    /// Requests the read index: the sequence of the newest entry, confirmed by a majority.
+    /// Requests the read index: the sequence of the newest entry, as confirmed by a majority.
     pub fn read_index(&self) -> PendingRequest<'_> {
         self.request(Input::ReadIndex)
     }
 
-    /// Whether this member is the head of the chain and has quorum contact, at this moment.
+    /// Whether this member is the head of the chain and has quorum contact at this moment. Unlike the
+    /// published role this accounts for the time during which the process was suspended.
     pub fn is_acting_head(&self) -> bool {
         self.state().replica.is_acting_head_at(self.clock.now())
     }
@@ -115,8 +120,8 @@
     fn request(&self, input: impl FnOnce(RequestId) -> Input) -> PendingRequest<'_> {
         let (sender, outcome) = oneshot::channel();
         let mut state = self.state();
-        state.requests_so_far += 1;
-        let id = RequestId(state.requests_so_far);
+        state.last_request += 1;
+        let id = RequestId(state.last_request);
         state.pending.insert(id, sender);
         self.run(&mut state, VecDeque::from([input(id)]));
         PendingRequest { driver: self, id, outcome }
@@ -133,23 +138,24 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Carries out the outputs of opening the replica.
-    fn carry_out_first(&self, outputs: Vec<Output>) {
+    /// Performs the outputs of opening the replica.
+    fn perform_initial(&self, outputs: Vec<Output>) {
         let mut state = self.state();
         let mut inputs = VecDeque::new();
-        self.carry_out(&mut state, outputs, &mut inputs);
+        self.perform(&mut state, outputs, &mut inputs);
         self.run(&mut state, inputs);
     }
 
-    /// Passes inputs to the replica, and those that its outputs lead to.
+    /// Passes inputs to the replica, and then those that follow from its outputs.
     fn run(&self, state: &mut DriverState, mut inputs: VecDeque<Input>) {
         while let Some(input) = inputs.pop_front() {
             let outputs = state.replica.handle(self.clock.now(), input);
-            self.carry_out(state, outputs, &mut inputs);
+            self.perform(state, outputs, &mut inputs);
         }
     }
 
-    fn carry_out(&self, state: &mut DriverState, outputs: Vec<Output>, inputs: &mut VecDeque<Input>) {
+    /// Performs outputs. Messages of the replica to itself are appended to `inputs`.
+    fn perform(&self, state: &mut DriverState, outputs: Vec<Output>, inputs: &mut VecDeque<Input>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } if to == self.peers.own_address() => {
@@ -161,9 +167,9 @@
                 }
                 Output::Rewrite(id, records) => state.storage.submit(StorageCommand::Rewrite(id, records)),
                 Output::Respond(id, outcome) => {
-                    if let Some(waiting) = state.pending.remove(&id) {
-                        // A receiver that was dropped needs no outcome.
-                        let _ = waiting.send(outcome);
+                    if let Some(sender) = state.pending.remove(&id) {
+                        // Fails only if the client no longer waits.
+                        let _ = sender.send(outcome);
                     }
                 }
                 Output::Committed(entry) => self.publish_committed(entry),
@@ -173,7 +179,7 @@
     }
 
     fn publish_committed(&self, entry: Entry) {
-        log::info!("configuration {} is committed, sequence {}", entry.change.generation, entry.sequence);
+        log::info!("configuration {}: committed, sequence {}", entry.change.generation, entry.sequence);
         self.committed.send_if_modified(|known| {
             let is_newer = known.as_ref().is_none_or(|known| known.sequence < entry.sequence);
             if is_newer {
@@ -198,11 +204,12 @@
             return;
         }
         if before.has_quorum_contact != role.has_quorum_contact {
-            let contact = if role.has_quorum_contact { "in touch" } else { "out of touch" };
-            log::info!("{contact} with a majority");
+            let change = if role.has_quorum_contact { "established" } else { "lost" };
+            log::info!("contact with a majority {change}");
         }
         if before.acting_head != role.acting_head {
-            log::info!("{} as head of the chain", if role.acting_head { "acting" } else { "not acting" });
+            let change = if role.acting_head { "acting" } else { "no longer acting" };
+            log::info!("{change} as head of the chain");
         }
         self.role_status.send_replace(role);
     }
@@ -218,9 +225,9 @@
 }
 
 impl PendingRequest<'_> {
-    /// Waits for the outcome.
+    /// Waits for the outcome. Has no time limit of its own.
     pub async fn outcome(mut self) -> RequestOutcome {
-        // Only a driver that is dropped leaves a request without an outcome.
+        // The sender is dropped without an outcome only when the driver is dropped.
         (&mut self.outcome).await.unwrap_or(RequestOutcome::Unknown)
     }
 }
--- a/crates/coordinator/src/startup.rs
+++ b/crates/coordinator/src/startup.rs
@@ -1,4 +1,4 @@
-//! Start and shutdown of a coordinator.
+//! Startup and shutdown of a coordinator.
 
 use crate::agents::Agents;
 use crate::clock::Clock;
@@ -28,41 +28,41 @@
 
 /// Coordinators from which a message arrived this recently are notified of a shutdown.
 const SHUTDOWN_NOTICE_WITHIN: Duration = Duration::from_secs(10);
-/// How long the others may take at least to store what this coordinator stores.
-const MIN_HAND_OVER: Duration = Duration::from_millis(1500);
-/// The part of the time for a shutdown that is left once the coordinator no longer waits for the others.
-const AFTER_HAND_OVER: Duration = Duration::from_secs(2);
+/// The shortest time for which a shutdown waits for the other members to store everything that is committed.
+const MIN_HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// How much of the grace period for a shutdown is reserved for what follows this wait.
+const RESERVED_AFTER_HAND_OVER: Duration = Duration::from_secs(2);
 
 quick_error! {
-    /// Why a coordinator does not start.
+    /// Why a coordinator did not start.
     #[derive(Debug)]
     pub enum StartError {
-        /// A setting is missing.
+        /// A setting that the coordinator needs is missing.
         Missing(name: &'static str) { display("settings: {name} is missing") }
-        /// An address can't be listened at.
+        /// The control or the internal address can't be listened at.
         Listen(error: LinkError) {
             from()
             display("{error}")
             source(error)
         }
-        /// The thread for the disk does not start.
+        /// The storage thread can't be started.
         Thread(error: std::io::Error) {
-            display("storage thread: {error}")
+            display("cannot start the storage thread: {error}")
             source(error)
         }
-        /// No HTTP client can be made.
+        /// The HTTP client for the platform can't be created.
         Client(error: reqwest::Error) {
-            display("client for the platform: {error}")
+            display("cannot create the HTTP client for the platform: {error}")
             source(error)
         }
     }
 }
 
-/// A coordinator that runs. Dropping it ends it at once, as a kill does.
+/// A running coordinator. Dropping it stops it at once, without a handover, as a kill would.
 pub struct RunningCoordinator {
     node: Arc<CoordinatorNode>,
     seeds: Vec<SocketAddrV4>,
-    /// How long others may take at a shutdown to store what this coordinator stores.
+    /// How long a shutdown waits for the other members to store everything that is committed.
     hand_over_timeout: Duration,
     stop: watch::Sender<bool>,
     operator_api: JoinHandle<()>,
@@ -70,7 +70,8 @@
 }
 
 impl RunningCoordinator {
-    /// Starts a coordinator with a log and the records in it. `seed` feeds the random identity of a new disk.
+    /// Starts a coordinator with its log and the records in it, with the default policy. `seed` feeds the
+    /// random identity of a new disk.
     pub fn start(
         settings: &Settings,
         log: Box<dyn ReplicaLog>,
@@ -80,7 +81,7 @@
         RunningCoordinator::start_with_policy(settings, &Policy::default(), log, records, seed)
     }
 
-    /// The same, with a policy other than the default.
+    /// Starts a coordinator as [`RunningCoordinator::start`] does, with this policy.
     pub fn start_with_policy(
         settings: &Settings,
         policy: &Policy,
@@ -101,27 +102,28 @@
         let operator_api = tokio::spawn(serve_operator(node.clone(), control_listener, stopped));
         let tasks = tasks::start(&node, written, internal_listener, platform);
         let grace = Duration::from_secs_f64(settings.bounds.grace_s.max(0.0));
-        let hand_over_timeout = grace.saturating_sub(AFTER_HAND_OVER).max(MIN_HAND_OVER);
+        let hand_over_timeout = grace.saturating_sub(RESERVED_AFTER_HAND_OVER).max(MIN_HAND_OVER_TIMEOUT);
         Ok(RunningCoordinator { node, seeds, hand_over_timeout, stop, operator_api, _tasks: tasks })
     }
 
-    /// The parts.
+    /// The coordinator's components.
     pub fn node(&self) -> &Arc<CoordinatorNode> {
         &self.node
     }
 
-    /// Applies a settings file that was read again.
+    /// Applies reloaded settings. Only a change of the seeds takes effect; the others need a restart.
     pub fn apply_settings(&mut self, settings: &Settings) {
         let seeds = seeds(settings);
         if seeds != self.seeds {
-            log::info!("settings: other seeds: {seeds:?}");
+            log::info!("settings: seeds changed to {seeds:?}");
             self.seeds = seeds.clone();
             self.node.endpoints.set_seeds(seeds.clone());
             self.node.replica.handle(Input::SetSeeds(seeds));
         }
     }
 
-    /// Hands its work over to others, and finishes the operator's requests.
+    /// Shuts down gracefully: hands over to the other coordinators, for a limited time, and then finishes the
+    /// operator's requests in progress.
     pub async fn shut_down(mut self) {
         self.node.replica.handle(Input::Shutdown);
         self.node.endpoints.stop_reading();
@@ -132,12 +134,13 @@
             tokio::time::timeout(self.hand_over_timeout, self.node.replica.wait_until_handed_over());
         if handed_over.await.is_err() {
             log::warn!(
-                "coordinator: ends although no chain without it holds all; its disk may be the only one that does"
+                "coordinator: shutting down although no chain without it stores all that is committed; \
+                 its disk may hold the only copy"
             );
         }
         self.stop.send_replace(true);
         if let Err(error) = (&mut self.operator_api).await {
-            log::warn!("operator's interface: {error}");
+            log::warn!("operator's API: the task failed: {error}");
         }
     }
 }
@@ -148,7 +151,7 @@
     }
 }
 
-/// Makes the parts of a coordinator, and starts its replica with the records of its log.
+/// Builds the components of a coordinator, and starts its replica with the records of its log.
 fn build_node(
     settings: &Settings,
     policy: &Policy,
@@ -189,7 +192,7 @@
     }
 }
 
-/// The addresses at which the seeds listen for the fleet's own programs.
+/// The internal addresses of the seeds.
 fn seeds(settings: &Settings) -> Vec<SocketAddrV4> {
     settings.seed_nodes.iter().map(|seed| settings.coordinator_address(*seed.ip())).collect()
 }
@@ -200,10 +203,10 @@
     mut stopped: watch::Receiver<bool>,
 ) {
     let shutdown = async move {
-        // The sender is dropped only with the whole coordinator.
+        // The wait can't fail, because the sender is dropped only with the whole coordinator.
         let _ = stopped.wait_for(|stopped| *stopped).await;
     };
     if let Err(error) = operator_api::run(node, listener, shutdown).await {
-        log::error!("operator's interface: {error}");
+        log::error!("operator's API: the server failed: {error}");
     }
 }
--- a/crates/marlwinch/tests/golden_cli_log.rs
+++ b/crates/marlwinch/tests/golden_cli_log.rs
@@ -521,21 +521,21 @@
             "coordinator of",
             "metrics: ",
             "] view ",
-            "] in touch with",
+            "] contact with a majority established",
             "] acting as head of",
             "the list of backends is read by",
             ": 1 backends",
         ],
     );
     assert_eq!(configure(&net, 0, &configuration(7)), 200);
-    transcript += &lines("coordinator", &mut coordinator, &["taken, sequence", "is committed"]);
+    transcript += &lines("coordinator", &mut coordinator, &["accepted, sequence", "committed, sequence"]);
     assert_eq!(configure(&net, 3, &configuration(8)), 412);
     assert_eq!(configure(&net, 7, "{\"generation\":0}"), 400);
-    transcript += &lines("coordinator", &mut coordinator, &[": refused, ", "configuration refused: "]);
+    transcript += &lines("coordinator", &mut coordinator, &[": rejected, ", "configuration rejected: "]);
     let mut agent = start("agent", "front.yaml");
     transcript +=
         &lines("agent", &mut agent, &["agent of", "metrics: ", ": connected", "view ", "configuration 1 of"]);
-    transcript += &lines("coordinator", &mut coordinator, &["agent of frontend-1 joined"]);
+    transcript += &lines("coordinator", &mut coordinator, &["agent of frontend-1 connected"]);
     let mut data_plane = start("data-plane", "front.yaml");
     transcript += &lines(
         "data-plane",
@@ -559,7 +559,7 @@
     transcript += &lines("data-plane", &mut data_plane, &["settings: read again"]);
     folder.write("core.yaml", core.replace(":8665\"]", &format!(":8665\", \"{}:8665\"]", net.machine(2))));
     coordinator.signal("HUP");
-    transcript += &lines("coordinator", &mut coordinator, &["settings: other seeds"]);
+    transcript += &lines("coordinator", &mut coordinator, &["settings: seeds changed to"]);
     data_plane.signal("TERM");
     transcript += &lines("data-plane", &mut data_plane, &["told to end", "ends with"]);
     transcript += &format!("data-plane | exit code {}\n", data_plane.end().0.expect("a code"));
@@ -567,9 +567,9 @@
     agent.signal("TERM");
     transcript += &lines("agent", &mut agent, &["told to end"]);
     transcript += &format!("agent | exit code {}\n", agent.end().0.expect("a code"));
-    transcript += &ended("coordinator", &mut coordinator, "agent of frontend-1 left: ");
+    transcript += &ended("coordinator", &mut coordinator, "agent of frontend-1 disconnected: ");
     coordinator.signal("TERM");
-    transcript += &lines("coordinator", &mut coordinator, &["told to end"]);
+    transcript += &lines("coordinator", &mut coordinator, &["SIGTERM received"]);
     transcript += &format!("coordinator | exit code {}\n", coordinator.end().0.expect("a code"));
     approve("log/roles.txt", &transcript);
 }
