--- a/crates/coordinator/src/settings_file.rs
+++ b/crates/coordinator/src/settings_file.rs
@@ -1,7 +1,7 @@
-//! The settings file, read again on SIGHUP or when it changes.
+//! The settings file, reloaded on SIGHUP or when it changes.
 //!
-//! Unlike `node_settings::SettingsWatcher` this does not compare the content: a file that was written again unchanged is read and
-//! checked again, so that a fault in it is logged again.
+//! Unlike `node_settings::SettingsWatcher`, this does not compare the content: a file that was rewritten
+//! unchanged is read and validated again, so that an error in it is logged again.
 
 use node_settings::{FileFingerprint, Settings};
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 /// How often the file is polled for changes.
 pub const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The file with the fingerprint that it had when it was last read.
+/// The file's path and the fingerprint that it had when it was last read.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
@@ -18,7 +18,7 @@
 }
 
 impl SettingsFile {
-    /// The file at a path, in its present state.
+    /// Takes the file's current state as already read.
     pub fn new(path: PathBuf) -> Self {
         let last_read = FileFingerprint::of(&path);
         SettingsFile { path, last_read }
@@ -33,7 +33,8 @@
         self.read()
     }
 
-    /// Reads the file. One that is invalid is logged and ignored: the settings in force stay.
+    /// Reads the file. If it is invalid, the error is logged and `None` returned: the current settings stay
+    /// in force.
     pub fn read(&mut self) -> Option<Settings> {
         self.last_read = FileFingerprint::of(&self.path);
         match Settings::load(&self.path) {
--- a/crates/coordinator/src/status.rs
+++ b/crates/coordinator/src/status.rs
@@ -1,6 +1,6 @@
 //! A coordinator's status, for operators.
 //!
-//! Operators' programs read it as JSON, whose names are older than those of the code; `serde(rename)` keeps them.
+//! Operators' tools read it as JSON, in which some fields keep their older names by `serde(rename)`.
 
 use crate::agents::AgentStatus;
 use crate::index_audits::IndexStatus;
@@ -12,95 +12,95 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A coordinator of which a message arrived this recently is shown as reachable.
+/// A coordinator from which a message arrived this recently is shown as reachable.
 const CONTACT_WITHIN: Duration = Duration::from_secs(2);
 
 /// The response to `GET /api/status`.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct CoordinatorStatus {
-    /// The name of the node.
+    /// The name of the coordinator's node.
     pub node: String,
-    /// The identity of its disk, in hex.
+    /// The coordinator's member id, which is stored on its disk, in hex.
     pub member: String,
-    /// Whether it has received messages from a quorum of the voters recently.
+    /// Whether the coordinator has recently received messages from a quorum of the voters.
     #[serde(rename = "in_touch")]
     pub has_quorum_contact: bool,
-    /// Whether it is the acting head of the chain.
+    /// Whether the coordinator is the acting head of the chain.
     pub acting_head: bool,
-    /// The view that it knows.
+    /// The newest view that the coordinator knows; `None` if it knows none yet.
     pub view: Option<ViewStatus>,
-    /// The configuration.
+    /// The replicated configuration, as far as this coordinator knows it.
     pub configuration: ConfigurationStatus,
-    /// The list of endpoints.
+    /// The endpoint list, as far as this coordinator knows it.
     #[serde(rename = "backends")]
     pub endpoints: EndpointListStatus,
-    /// Nodes that carry traffic.
+    /// The number of nodes that carry traffic, as far as this coordinator knows.
     pub nodes: u32,
-    /// The agents connected to this coordinator.
+    /// The agents connected to this coordinator, in the order of their nodes' names.
     pub agents: Vec<AgentStatus>,
-    /// The audit of the index of prompt blocks, where this coordinator does it.
+    /// The audit of the index of prompt blocks; `None` unless it runs on this coordinator.
     #[serde(default)]
     pub index: Option<IndexStatus>,
 }
 
-/// A view.
+/// A view of the core's membership.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ViewStatus {
-    /// Its number.
+    /// The number of the view; each new view has a higher one.
     pub number: ViewNumber,
-    /// The members: the chain from head to tail, then the other voters.
+    /// The members: the chain from head to tail, then the voters that are not in the chain.
     pub members: Vec<MemberStatus>,
 }
 
 /// A member of a view.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The identity of its disk, in hex.
+    /// The member's id, which is stored on its disk, in hex.
     pub member: String,
-    /// Its node, where known.
+    /// The name of the member's node; `None` until a message has arrived from it.
     pub node: Option<String>,
-    /// The address at which it listens for the fleet's own programs.
+    /// The member's internal address, at which it listens for coordinators and agents.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// The zone of the member's machine.
     pub zone: String,
-    /// Its position in the chain, from 1 for the head; absent where it is only a voter.
+    /// The member's position in the chain, starting with 1 for the head; `None` if it is only a voter.
     #[serde(rename = "place")]
     pub chain_position: Option<usize>,
-    /// Whether a message of it arrived recently, or it is this coordinator.
+    /// Whether a message arrived recently from the member. True for the coordinator itself.
     #[serde(rename = "heard")]
     pub has_recent_contact: bool,
 }
 
-/// The configuration.
+/// The replicated configuration, as far as a coordinator knows it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ConfigurationStatus {
-    /// The sequence of the newest entry on this disk.
+    /// The sequence of the newest entry on the coordinator's disk; 0 if none.
     #[serde(rename = "stored")]
     pub stored_sequence: Sequence,
-    /// The sequence of the newest entry known to be committed.
+    /// The sequence of the newest entry known to be committed; 0 if none.
     #[serde(rename = "committed")]
     pub committed_sequence: Sequence,
-    /// Its generation.
+    /// The generation of the newest entry known to be committed; 0 if none.
     pub generation: Generation,
 }
 
-/// The list of endpoints.
+/// The endpoint list, as far as a coordinator knows it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct EndpointListStatus {
-    /// The node that read it last, where known.
+    /// The name of the node whose coordinator read the list last, if known.
     pub reader: Option<String>,
-    /// The address at which that node listens.
+    /// The internal address of the coordinator that read the list last, if known.
     pub reader_address: Option<SocketAddrV4>,
-    /// The version of the newest read.
+    /// The version of the newest read; 0 if there is no list yet.
     pub version: BackendListVersion,
-    /// How long ago this coordinator learned of that, in milliseconds.
+    /// How long ago the coordinator learned of the newest read, in milliseconds.
     pub age_ms: u64,
-    /// The entries in it.
+    /// The number of endpoints on the list.
     pub count: usize,
 }
 
 impl CoordinatorStatus {
-    /// The status of a coordinator.
+    /// Collects the current status from a coordinator's components.
     pub fn of(node: &CoordinatorNode) -> Self {
         let replica = node.replica.status();
         let list = node.endpoints.summary();
--- a/crates/coordinator/src/tasks.rs
+++ b/crates/coordinator/src/tasks.rs
@@ -1,4 +1,5 @@
-//! The background tasks of a coordinator: they feed the replica, distribute what it commits, and do periodic work.
+//! The background tasks of a coordinator: they feed inputs to the replica, distribute its state to the other
+//! components, and do periodic work.
 
 use crate::agents::SWEEP_INTERVAL;
 use crate::clock;
@@ -14,13 +15,14 @@
 use tokio::task::JoinSet;
 use tokio::time::MissedTickBehavior;
 
-/// How long after a failure the majority is asked for the read index again.
+/// The pause before a failed read index is retried.
 const READ_INDEX_RETRY_DELAY: Duration = Duration::from_millis(25);
-/// The step between the response numbers of allocators that start a millisecond apart: no allocator responds so often.
+/// The distance between the first response numbers of allocators that start one millisecond apart. No
+/// allocator sends as many responses per millisecond.
 const RESPONSES_PER_MS: u64 = 1000;
 
-/// Starts the tasks, which end when the set is dropped. `written` yields the results of the storage thread. The platform's list
-/// is read only with a `platform`.
+/// Starts the tasks, which end when the returned set is dropped. `written` yields the results of the storage
+/// thread. Without a `platform`, this coordinator never reads the platform's list.
 pub fn start(
     node: &Arc<CoordinatorNode>,
     written: UnboundedReceiver<Input>,
@@ -46,7 +48,7 @@
     while let Some(result) = written.recv().await {
         node.replica.handle(result);
     }
-    log::error!("storage: the thread has ended");
+    log::error!("storage: the storage thread has ended, no more results of writes");
 }
 
 async fn tick_replica(node: Arc<CoordinatorNode>) {
@@ -67,8 +69,8 @@
     }
 }
 
-/// Has a majority confirm the read index, the sequence of the newest configuration, whenever agents have requested it. One round
-/// at a time serves all requests that arrived before it.
+/// Has a majority confirm the read index, the sequence of the newest configuration, whenever agents have
+/// requested it. One round runs at a time, and serves all requests that arrived before it started.
 async fn confirm_read_indexes(node: Arc<CoordinatorNode>) {
     loop {
         node.agents.read_index_needed().await;
@@ -78,7 +80,7 @@
             match outcome {
                 RequestOutcome::ReadIndex { sequence } => node.agents.complete_read_index(ticket, sequence),
                 outcome => {
-                    log::debug!("the newest configuration is not known for sure: {outcome:?}");
+                    log::debug!("read index not confirmed, retrying: {outcome:?}");
                     tokio::time::sleep(READ_INDEX_RETRY_DELAY).await;
                 }
             }
@@ -86,7 +88,7 @@
     }
 }
 
-/// Passes changes of the replica's state on to the other parts.
+/// Passes changes of the replica's state on to the other components.
 async fn distribute_replica_state(node: Arc<CoordinatorNode>) {
     let (mut committed, mut view, mut role) =
         (node.replica.committed(), node.replica.view(), node.replica.role_status());
@@ -123,7 +125,10 @@
             node.index_audits.set_services(&configuration.services);
             node.quotas.set_tenants(configuration.tenants, node.clock.now());
         }
-        Err(error) => log::error!("configuration {}: {error}", entry.change.generation),
+        Err(error) => {
+            let generation = entry.change.generation;
+            log::error!("configuration {generation}: the committed document can't be parsed: {error}");
+        }
     }
     node.agents.set_committed(entry);
 }
@@ -134,7 +139,8 @@
     node.agents.set_view(view);
 }
 
-/// Where the response numbers of a quota allocator that starts now begin: above those of one before it.
+/// The offset of the response numbers of a quota allocator that starts now: higher than all numbers of
+/// allocators that started earlier, provided that the wall clock has not gone back.
 fn response_number_offset() -> u64 {
     clock::unix_time().as_millis() as u64 * RESPONSES_PER_MS
 }
