--- a/crates/coordinator/tests/one_world/fleet.rs
+++ b/crates/coordinator/tests/one_world/fleet.rs
@@ -1,11 +1,11 @@
-//! Coordinators around the simulated replicas, agents and nodes, and the messages between them.
+//! Simulated coordinators around the replicas, with agents and nodes and the messages between them.
 
 mod backend_caches;
 mod endpoint_lists;
 mod index_audits;
 mod platform;
 
-use super::frontend::{Frontend, RATE, TERMS, bound, tenant};
+use super::frontend::{Frontend, QUOTA_SETTINGS, RATE, max_admitted_in_window, tenant};
 use super::simulation::ms;
 use super::simulation::schedule::{STEP, Schedule};
 pub use endpoint_lists::ListCounts;
@@ -19,10 +19,10 @@
 use coordinator::membership::{RoleStatus, members_in_order};
 use coordinator::quotas::Quotas;
 use endpoint_lists::{CoordinatorList, ListChecks};
-use index_audits::{AuditRun, NamedMismatch};
+use index_audits::{AuditRun, ReportedMismatch};
 use node_settings::Bounds;
 use platform::Platform;
-pub use platform::PlatformTrouble;
+pub use platform::PlatformFault;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use replication::{RequestId, RequestOutcome, Sequence, ViewNumber};
@@ -30,37 +30,38 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long after a link has ended the agent opens another one.
-const CONNECT_AGAIN: Duration = Duration::from_millis(200);
-/// How long after a read index has failed the next one is begun.
+/// The pause before an agent opens another link after one has ended.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// The pause before a failed read index is retried.
 const READ_INDEX_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// How often the role of a replica is published to the rest of its coordinator.
+/// How often the role of a replica is published to the other components of its coordinator.
 const ROLE_INTERVAL: Duration = Duration::from_millis(50);
-/// How long after the last fault the core is complete again, overlapping losses included.
-const RECOVERED: Duration = Duration::from_secs(12);
-/// How long a change may take from its commit to all agents in calm times.
+/// How long after the last fault the core has recovered, also from overlapping losses.
+const RECOVERY_TIME: Duration = Duration::from_secs(12);
+/// How long a committed change may take to reach all agents while there are no faults.
 const DISTRIBUTED_WITHIN: Duration = Duration::from_secs(2);
-/// Faults of frontends a second, all frontends together.
-const EVENTS_PER_S: f64 = 0.8;
+/// The rate of faults of frontends, over all frontends.
+const FRONTEND_FAULTS_PER_S: f64 = 0.8;
 
-/// A deliberate fault of the coordinators, to show that the checks detect it.
+/// A deliberate fault of the coordinators or agents, to prove that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlantedFault {
-    /// A configuration is sent without a read index.
+    /// A coordinator sends a configuration without a confirmed read index.
     SendsUnconfirmed,
-    /// A quota allocator that was suspended responds by what it was before.
+    /// A quota allocator continues to grant after its coordinator has stopped being the acting head.
     GrantsForEver,
-    /// A read gets its version when it ends, however long ago it saw the list.
+    /// A read gets its version when it ends, no matter how long ago it saw the list.
     VersionsAtEndOfRead,
-    /// Agents tell no coordinator of the versions that they have.
+    /// Agents don't report their list versions to coordinators.
     HidesVersions,
-    /// Coordinators that no majority hears read no list.
+    /// Coordinators without quorum contact don't read the list.
     ReadsWithMajorityOnly,
-    /// An auditor takes what it observes once for a mismatch: the blocks of a frontend that it has not heard yet.
+    /// Backends' responses to the audit have the content of another backend, so that the audit finds false
+    /// mismatches.
     CorrectsWrongBackend,
 }
 
-/// What a coordinator has beside its replica, for one incarnation of its process.
+/// The components of a coordinator other than its replica, for one run of its process.
 struct Coordinator {
     life: u64,
     requests: PendingConfigurationRequests,
@@ -78,9 +79,9 @@
 impl Coordinator {
     fn start(life: u64, address: SocketAddrV4, now: Duration) -> Self {
         let bounds = Bounds {
-            quota_window_s: TERMS.window_s,
-            quota_over: TERMS.overuse_ratio,
-            quota_slack: TERMS.token_slack,
+            quota_window_s: QUOTA_SETTINGS.window_s,
+            quota_over: QUOTA_SETTINGS.overuse_ratio,
+            quota_slack: QUOTA_SETTINGS.token_slack,
             ..Bounds::default()
         };
         Coordinator {
@@ -99,7 +100,7 @@
     }
 }
 
-/// A read index that a coordinator waits for.
+/// A read index in progress.
 #[derive(Clone, Copy)]
 struct PendingReadIndex {
     call: RequestId,
@@ -112,7 +113,7 @@
     frontend: usize,
     machine: usize,
     life: u64,
-    /// When the agent last received something, if only a heartbeat.
+    /// When the agent last received anything on this link, heartbeats included.
     last_received: Duration,
 }
 
@@ -122,14 +123,14 @@
     BetweenCoordinators(endpoint_lists::PeerMessage),
 }
 
-/// The direction of a link in which a message goes.
+/// The direction of a message on a link.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Direction {
     ToCoordinator,
     ToAgent,
 }
 
-/// The order in which messages arrive: by time, then by the order in which they were sent.
+/// The sort key of messages in transit: the time of arrival, then the order in which they were sent.
 type Arrival = (Duration, u64);
 
 pub struct Fleet {
@@ -137,24 +138,25 @@
     coordinators: Vec<Coordinator>,
     frontends: Vec<Frontend>,
     links: BTreeMap<u64, Link>,
-    links_so_far: u64,
-    connect_from: BTreeMap<(usize, usize), Duration>,
-    /// Messages in the order in which they arrive.
+    last_link_id: u64,
+    reconnect_at: BTreeMap<(usize, usize), Duration>,
+    /// The messages in transit, in the order in which they arrive.
     in_transit: BTreeMap<Arrival, Message>,
-    sent_so_far: u64,
-    /// When the last message in a direction of a link arrives: a connection delivers in order, several together don't.
+    messages_sent: u64,
+    /// When the last message in each direction of a link arrives. Each connection delivers in order; there is
+    /// no order between connections.
     last_arrival: BTreeMap<(u64, Direction), Duration>,
     platform: Platform,
     lists: ListChecks,
     caches: BackendCaches,
-    named: Vec<NamedMismatch>,
-    /// When requests were admitted, and how many.
+    reported: Vec<ReportedMismatch>,
+    /// How many requests were admitted, and when, within the last window.
     admitted: VecDeque<(Duration, usize)>,
-    /// How many requests arrive for each that the limit allows.
-    pressure: f64,
+    /// The ratio of arriving requests to the tenant's rate limit.
+    load_factor: f64,
     random: Pcg64Mcg,
     fault: Option<PlantedFault>,
-    broken: Option<String>,
+    violation: Option<String>,
 }
 
 impl Fleet {
@@ -166,20 +168,20 @@
             coordinators: Vec::new(),
             frontends: (0..frontends).map(|_| Frontend::start(now)).collect(),
             links: BTreeMap::new(),
-            links_so_far: 0,
-            connect_from: BTreeMap::new(),
+            last_link_id: 0,
+            reconnect_at: BTreeMap::new(),
             in_transit: BTreeMap::new(),
-            sent_so_far: 0,
+            messages_sent: 0,
             last_arrival: BTreeMap::new(),
             platform: Platform::new(seed, now),
             lists: ListChecks::new(frontends),
             caches: BackendCaches::default(),
-            named: Vec::new(),
+            reported: Vec::new(),
             admitted: VecDeque::new(),
-            pressure: 1.5,
+            load_factor: 1.5,
             random: Pcg64Mcg::seed_from_u64(seed),
             fault,
-            broken: None,
+            violation: None,
         }
     }
 
@@ -187,24 +189,24 @@
         self.schedule.world.now
     }
 
-    /// The rule that was broken, if any was.
-    pub fn broken(&self) -> Option<String> {
-        self.broken.clone().or_else(|| self.schedule.world.checker.broken.clone())
+    /// The first invariant that was violated, if any.
+    pub fn violation(&self) -> Option<String> {
+        self.violation.clone().or_else(|| self.schedule.world.checker.broken.clone())
     }
 
     pub fn configuration_of(&self, frontend: usize) -> u64 {
         self.frontends[frontend].agent.configuration_sequence().number()
     }
 
-    /// How many requests arrive for each that the limit allows.
-    pub fn press(&mut self, pressure: f64) {
-        self.pressure = pressure;
+    /// Sets the ratio of arriving requests to the tenant's rate limit.
+    pub fn set_load_factor(&mut self, load_factor: f64) {
+        self.load_factor = load_factor;
     }
 
-    /// Plays with faults, of the core and of frontends.
-    pub fn play(&mut self, span: Duration) {
+    /// Runs with random faults of the core, the frontends and the platform.
+    pub fn run_with_faults(&mut self, span: Duration) {
         let end = self.now() + span;
-        while self.now() < end && self.broken().is_none() {
+        while self.now() < end && self.violation().is_none() {
             self.schedule.step(true);
             self.inject_frontend_fault();
             self.inject_platform_fault();
@@ -212,38 +214,39 @@
         }
     }
 
-    /// Plays without faults or changes of its own.
-    pub fn quietly(&mut self, span: Duration) {
+    /// Runs without injecting faults and without operators' changes. The platform's backends still change.
+    pub fn run_without_faults(&mut self, span: Duration) {
         let end = self.now() + span;
-        while self.now() < end && self.broken().is_none() {
+        while self.now() < end && self.violation().is_none() {
             let next = self.now() + STEP;
             self.schedule.world.run_until(next);
             self.step();
         }
     }
 
-    /// Lets all faults end; then every agent receives the newest configuration while changes go on.
-    pub fn settle(&mut self) {
-        self.join_frontends();
+    /// Ends all faults and waits for recovery. Then checks that every agent has the newest configuration, the
+    /// platform's list and a correct index.
+    pub fn recover_and_check(&mut self) {
+        self.heal_frontend_partitions();
         self.platform.heal();
-        self.keep_blocks();
-        while !self.schedule.is_calm() && self.broken().is_none() {
+        self.stop_losing_blocks();
+        while !self.schedule.is_calm() && self.violation().is_none() {
             self.schedule.step(false);
             self.step();
         }
-        let end = self.now() + RECOVERED;
-        while self.now() < end && self.broken().is_none() {
+        let end = self.now() + RECOVERY_TIME;
+        while self.now() < end && self.violation().is_none() {
             self.schedule.step(false);
             self.step();
         }
         let newest = self.schedule.world.checker.newest();
-        self.platform.rest();
-        self.quietly(DISTRIBUTED_WITHIN);
+        self.platform.stop_changes();
+        self.run_without_faults(DISTRIBUTED_WITHIN);
         self.check_lists_agree();
-        self.check_indexes_are_true();
+        self.check_indexes();
         let have: Vec<u64> = (0..self.frontends.len()).map(|at| self.configuration_of(at)).collect();
-        if have.iter().any(|have| *have < newest) && self.broken().is_none() {
-            self.broken = Some(format!("agents have {have:?} once all is over, {newest} was the newest"));
+        if have.iter().any(|have| *have < newest) && self.violation().is_none() {
+            self.violation = Some(format!("agents have {have:?} after recovery, {newest} was the newest"));
         }
     }
 
@@ -262,36 +265,37 @@
         }
     }
 
-    pub fn cut_frontend(&mut self, frontend: usize, machine: usize) {
+    pub fn partition_frontend(&mut self, frontend: usize, machine: usize) {
         self.frontends[frontend].partitioned_from.insert(machine);
     }
 
-    pub fn join_frontends(&mut self) {
+    pub fn heal_frontend_partitions(&mut self) {
         self.frontends.iter_mut().for_each(|frontend| frontend.partitioned_from.clear());
     }
 
     fn inject_frontend_fault(&mut self) {
-        if !self.random.random_bool(EVENTS_PER_S * STEP.as_secs_f64()) {
+        if !self.random.random_bool(FRONTEND_FAULTS_PER_S * STEP.as_secs_f64()) {
             return;
         }
         let frontend = self.random.random_range(0..self.frontends.len());
         let machine = self.random.random_range(0..self.schedule.world.machines.len());
         match self.random.random_range(0..5) {
             0 => self.restart_frontend(frontend),
-            1 | 2 => self.cut_frontend(frontend, machine),
+            1 | 2 => self.partition_frontend(frontend, machine),
             3 => {
-                // It reaches only one coordinator.
+                // The frontend reaches only one coordinator.
                 for other in (0..self.schedule.world.machines.len()).filter(|other| *other != machine) {
-                    self.cut_frontend(frontend, other);
+                    self.partition_frontend(frontend, other);
                 }
             }
-            _ => self.join_frontends(),
+            _ => self.heal_frontend_partitions(),
         }
     }
 
-    /// What frontends and coordinators do after the replicas have done their part.
+    /// Runs one step of everything but the replicas, which have already run this step, and checks the
+    /// invariants.
     fn step(&mut self) {
-        self.begin_and_end_processes();
+        self.apply_process_changes();
         self.step_platform();
         self.close_timed_out_links();
         self.connect();
@@ -314,7 +318,7 @@
         self.schedule.world.machines[machine].frozen
     }
 
-    fn begin_and_end_processes(&mut self) {
+    fn apply_process_changes(&mut self) {
         for machine in 0..self.schedule.world.machines.len() {
             let (life, address) =
                 (self.schedule.world.machines[machine].life, self.schedule.world.machines[machine].address);
@@ -332,7 +336,8 @@
         }
     }
 
-    /// Agents close connections on which nothing arrives, not even heartbeats.
+    /// Agents close links on which nothing arrives, not even heartbeats. On a link without a fault heartbeats
+    /// are assumed.
     fn close_timed_out_links(&mut self) {
         let now = self.now();
         let mut silent = Vec::new();
@@ -354,16 +359,16 @@
         let Some(link) = self.links.remove(&id) else { return };
         self.coordinators[link.machine].requests.remove(AgentConnectionId::new(id));
         self.lists.link_ended(id);
-        self.connect_from.insert((link.frontend, link.machine), now + CONNECT_AGAIN);
+        self.reconnect_at.insert((link.frontend, link.machine), now + RECONNECT_DELAY);
         let effects = self.frontends[link.frontend].agent.handle_link_down(now, LinkId(id));
-        self.carry_out(link.frontend, effects);
+        self.perform(link.frontend, effects);
     }
 
     fn connect(&mut self) {
         let now = self.now();
         for frontend in 0..self.frontends.len() {
             for machine in 0..self.coordinators.len() {
-                let from = self.connect_from.get(&(frontend, machine)).copied().unwrap_or_default();
+                let from = self.reconnect_at.get(&(frontend, machine)).copied().unwrap_or_default();
                 let is_up =
                     self.links.values().any(|link| (link.frontend, link.machine) == (frontend, machine));
                 let reaches = !self.frontends[frontend].partitioned_from.contains(&machine);
@@ -376,13 +381,13 @@
 
     fn open_link(&mut self, frontend: usize, machine: usize) {
         let now = self.now();
-        self.links_so_far += 1;
-        let id = self.links_so_far;
+        self.last_link_id += 1;
+        let id = self.last_link_id;
         let life = self.coordinators[machine].life;
         self.links.insert(id, Link { frontend, machine, life, last_received: now });
         let address = self.schedule.world.machines[machine].address;
         let effects = self.frontends[frontend].agent.handle_link_up(now, LinkId(id), address);
-        self.carry_out(frontend, effects);
+        self.perform(frontend, effects);
         let available = self.coordinators[machine].available;
         self.send_to_agent(id, self.view_message(machine));
         if available > 0 {
@@ -428,16 +433,16 @@
             at = at.max(*last);
             *last = at;
         }
-        self.sent_so_far += 1;
-        self.in_transit.insert((at, self.sent_so_far), message);
+        self.messages_sent += 1;
+        self.in_transit.insert((at, self.messages_sent), message);
     }
 
     fn send_to_agent(&mut self, link: u64, message: ToAgent) {
         self.put_in_transit(Message::ToAgent(link, message));
     }
 
-    /// Carries out the effects of an agent.
-    fn carry_out(&mut self, frontend: usize, effects: Vec<Effect>) {
+    /// Performs the effects of an agent.
+    fn perform(&mut self, frontend: usize, effects: Vec<Effect>) {
         let now = self.now();
         for effect in effects {
             match effect {
@@ -447,8 +452,8 @@
                     }
                     self.put_in_transit(Message::ToCoordinator(id.0, message));
                 }
-                Effect::SendToProxy(ToProxy::QuotaResponse(answer)) => {
-                    self.frontends[frontend].apply_quota_response(now, &answer)
+                Effect::SendToProxy(ToProxy::QuotaResponse(response)) => {
+                    self.frontends[frontend].apply_quota_response(now, &response)
                 }
                 Effect::SendToProxy(ToProxy::Backends(list)) => self.proxy_receives_list(frontend, list),
                 Effect::SendToProxy(ToProxy::IndexRequested) => self.report_whole_index(frontend),
@@ -468,7 +473,7 @@
                 return;
             }
             next = (arrival.0, arrival.1 + 1);
-            // A connection queues what can't be delivered.
+            // Messages that can't be delivered now stay in transit, as in a connection's queue.
             if !self.is_held_back(&self.in_transit[&arrival])
                 && let Some(message) = self.in_transit.remove(&arrival)
             {
@@ -525,8 +530,8 @@
             }
             FromAgent::QuotaRequest(request) if is_acting_head || grants_for_ever => {
                 let name = format!("frontend-{}", link.frontend);
-                if let Some(answer) = coordinator.quotas.respond(&name, &request, nodes, now) {
-                    self.send_to_agent(id, ToAgent::QuotaResponse(answer));
+                if let Some(response) = coordinator.quotas.respond(&name, &request, nodes, now) {
+                    self.send_to_agent(id, ToAgent::QuotaResponse(response));
                 }
             }
             FromAgent::IndexChanges { restart, changes } => {
@@ -544,27 +549,30 @@
             _ => None,
         };
         if let Some(request_id) = newest {
-            self.frontends[frontend].requested_at.retain(|asked, _| *asked >= request_id);
+            self.frontends[frontend].requested_at.retain(|requested, _| *requested >= request_id);
         }
         let effects = self.frontends[frontend].agent.handle_coordinator_message(now, LinkId(id), message);
         let after = self.configuration_of(frontend);
         if after != before {
             self.check_configuration(frontend, before, after);
         }
-        self.carry_out(frontend, effects);
+        self.perform(frontend, effects);
     }
 
-    /// An agent has received a configuration: it was the newest at some moment since the agent requested it.
+    /// Checks a configuration that an agent has received: it was the newest at some moment since the agent
+    /// requested it.
     fn check_configuration(&mut self, frontend: usize, before: u64, after: u64) {
         let now = self.now();
-        let asked = self.frontends[frontend].requested_at.values().next().copied().unwrap_or(now);
+        let requested = self.frontends[frontend].requested_at.values().next().copied().unwrap_or(now);
         let checker = &mut self.schedule.world.checker;
-        let seen = checker.seen_before(asked);
+        let seen = checker.seen_before(requested);
         if after < before {
-            checker.fail(format!("frontend {frontend} goes back from {before} to {after}"));
+            checker.fail(format!("frontend {frontend} goes back from configuration {before} to {after}"));
         }
         if after < seen {
-            checker.fail(format!("frontend {frontend} receives {after}, {seen} was seen before it asked"));
+            checker.fail(format!(
+                "frontend {frontend} receives configuration {after}, {seen} was seen before it asked"
+            ));
         }
     }
 
@@ -580,7 +588,8 @@
         self.step_audit(machine);
     }
 
-    /// As the driver of the replica does with each tick.
+    /// Publishes the replica's role to the other components, as the driver of the replica does with each
+    /// tick.
     fn publish_role(&mut self, machine: usize) {
         let now = self.now();
         if now < self.coordinators[machine].role_published_at + ROLE_INTERVAL {
@@ -632,16 +641,16 @@
         }
     }
 
-    /// One read index at a time, begun for all requests that have arrived before.
+    /// Runs one read index at a time, which serves all requests that arrived before it started.
     fn confirm_read_index(&mut self, machine: usize) {
         let now = self.now();
         if let Some(PendingReadIndex { call, ticket }) = self.coordinators[machine].read_index {
-            let answer = self.schedule.world.proofs.get(&call).cloned().flatten();
-            let Some(answer) = answer else { return };
+            let response = self.schedule.world.proofs.get(&call).cloned().flatten();
+            let Some(response) = response else { return };
             self.schedule.world.proofs.remove(&call);
             let coordinator = &mut self.coordinators[machine];
             coordinator.read_index = None;
-            match answer {
+            match response {
                 RequestOutcome::ReadIndex { sequence } => {
                     coordinator.requests.complete_read_index(ticket, sequence)
                 }
@@ -677,7 +686,7 @@
 
     fn step_frontend(&mut self, frontend: usize) {
         let now = self.now();
-        let each = RATE * self.pressure / self.frontends.len() as f64;
+        let each = RATE * self.load_factor / self.frontends.len() as f64;
         let admitted = self.frontends[frontend].requests(now, each * STEP.as_secs_f64());
         if admitted > 0 {
             self.admitted.push_back((now, admitted));
@@ -685,27 +694,30 @@
         if let Some(request) = self.frontends[frontend].quota_request(now) {
             let effects =
                 self.frontends[frontend].agent.handle_proxy_message(now, FromProxy::QuotaRequest(request));
-            self.carry_out(frontend, effects);
+            self.perform(frontend, effects);
         }
         self.send_inference_request(frontend);
         let due = self.frontends[frontend].agent.next_deadline().is_some_and(|due| now >= due);
         if due || now >= self.frontends[frontend].last_polled + POLL_INTERVAL {
             self.frontends[frontend].last_polled = now;
             let effects = self.frontends[frontend].agent.poll(now);
-            self.carry_out(frontend, effects);
+            self.perform(frontend, effects);
         }
     }
 
-    /// No window lets more through than the rule says.
+    /// Checks that no more requests were admitted within the last window than the limit allows.
     fn check_limit(&mut self) {
         let now = self.now();
-        let window = Duration::from_secs_f64(TERMS.window_s);
+        let window = Duration::from_secs_f64(QUOTA_SETTINGS.window_s);
         while self.admitted.front().is_some_and(|(at, _)| now >= *at + window) {
             self.admitted.pop_front();
         }
         let admitted: usize = self.admitted.iter().map(|(_, count)| count).sum();
-        if admitted as f64 > bound() {
-            self.broken.get_or_insert(format!("{admitted} admitted in a window, {} are allowed", bound()));
+        if admitted as f64 > max_admitted_in_window() {
+            self.violation.get_or_insert(format!(
+                "{admitted} requests admitted in a window, {} are allowed",
+                max_admitted_in_window()
+            ));
         }
     }
 }
--- a/crates/coordinator/tests/one_world/fleet/backend_caches.rs
+++ b/crates/coordinator/tests/one_world/fleet/backend_caches.rs
@@ -1,21 +1,22 @@
-//! What backends cache, and what frontends believe of it.
+//! The blocks that simulated backends cache, and the indexes that frontends have of them.
 
 use index_audit::{AuditError, BackendKey, RangeReport, RangeRequest, RangeResult};
 use range_digest::DigestedSet;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A block at a backend, by their keys.
+/// A block at a backend: the backend's key and the block's key.
 pub type CachedBlock = (u64, u64);
 
 /// The blocks that backends cache, and the indexes of frontends.
 #[derive(Default)]
 pub struct BackendCaches {
     cached: BTreeMap<u64, DigestedSet>,
-    /// Blocks that a backend has lost without a word, at some time: it may have read them again.
+    /// The blocks that a backend has ever lost without notifying a frontend. It may have cached them again
+    /// since.
     pub lost: BTreeSet<CachedBlock>,
     indexes: BTreeMap<usize, BTreeMap<CachedBlock, u32>>,
-    /// Whether blocks are lost no more.
-    pub rests: bool,
+    /// Whether backends have stopped losing blocks.
+    pub losses_stopped: bool,
 }
 
 /// The number of tokens of a block.
@@ -24,12 +25,12 @@
 }
 
 impl BackendCaches {
-    /// A backend has read a block.
+    /// Adds a block to a backend's cache.
     pub fn read(&mut self, (backend, block): CachedBlock) {
         self.cached.entry(backend).or_default().insert(block, u64::from(tokens(block)));
     }
 
-    /// A backend loses a block, which no frontend is told.
+    /// Removes a block from a backend's cache, without notifying any frontend.
     pub fn lose(&mut self, (backend, block): CachedBlock) {
         if let Some(cached) = self.cached.get_mut(&backend) {
             cached.remove(block);
@@ -41,7 +42,7 @@
         self.cached.get(&backend).is_some_and(|cached| cached.iter().any(|(other, _)| other == block))
     }
 
-    /// Every block that is cached.
+    /// All cached blocks of all backends.
     pub fn all(&self) -> Vec<CachedBlock> {
         let blocks = |(backend, cached): (&u64, &DigestedSet)| {
             let backend = *backend;
@@ -50,7 +51,7 @@
         self.cached.iter().flat_map(blocks).collect()
     }
 
-    /// What a backend answers to an auditor.
+    /// A backend's response to a request of the audit.
     pub fn report(&self, backend: u64, request: &RangeRequest) -> RangeResult {
         let Some(cached) = self.cached.get(&backend) else {
             let (digest, content) = {
@@ -63,12 +64,12 @@
         Ok::<RangeReport, AuditError>(RangeReport { backend: request.backend, digest, content })
     }
 
-    /// The index of a frontend.
+    /// The blocks in a frontend's index, with their numbers of tokens.
     pub fn index(&self, frontend: usize) -> impl Iterator<Item = (CachedBlock, u32)> + '_ {
         self.indexes.get(&frontend).into_iter().flatten().map(|(block, tokens)| (*block, *tokens))
     }
 
-    /// Changes an entry of a frontend's index; false if it was so before.
+    /// Sets or removes an entry of a frontend's index. Returns whether that was a change.
     pub fn set_index(&mut self, frontend: usize, block: CachedBlock, tokens: Option<u32>) -> bool {
         let index = self.indexes.entry(frontend).or_default();
         let before = match tokens {
@@ -78,7 +79,7 @@
         before != tokens
     }
 
-    /// A frontend knows these backends only.
+    /// Removes the entries of all backends but these from a frontend's index.
     pub fn retain_backends(&mut self, frontend: usize, known: &BTreeSet<u64>) {
         let index = self.indexes.entry(frontend).or_default();
         index.retain(|(backend, _), _| known.contains(backend));
--- a/crates/coordinator/tests/one_world/fleet/endpoint_lists.rs
+++ b/crates/coordinator/tests/one_world/fleet/endpoint_lists.rs
@@ -1,7 +1,7 @@
-//! Lists of backends: coordinators that read them from the platform, pass them to each other and to agents; and what must hold
-//! of the lists that agents have.
+//! The simulated distribution of the endpoint list, from the platform to coordinators, to agents and to
+//! frontends, and the checks of the lists that frontends have.
 
-use super::platform::{PlatformTrouble, ReadPlan};
+use super::platform::{PlatformFault, ReadPlan};
 use super::{Fleet, Link, Message, PlantedFault};
 use crate::simulation::ms;
 use crate::simulation::schedule::STEP;
@@ -20,16 +20,19 @@
 
 /// How often agents are sent the digest of the list.
 const DIGEST_INTERVAL: Duration = Duration::from_secs(2);
-/// How long an agent has to have reached one coordinator, and that one the platform, until a backend that drains or is gone gets
-/// nothing new from its frontend. A coordinator reads 3.5 s after the last read at the latest, by its rank among five.
+/// How long an agent must have been linked to a coordinator that reaches the platform before its frontend
+/// must have stopped sending requests to a backend that is draining or gone. A coordinator reads at most 3.5
+/// s after the last read, depending on its rank among five.
 const INFORMED_WITHIN: Duration = Duration::from_secs(8);
-/// By how much a list may be older than the one before it where two coordinators read at the same time: what a slow read takes.
-const MOST_BACK: Duration = Duration::from_millis(3_200);
-/// Of a thousand messages between coordinators, how many arrive twice, and how many late.
-const DOUBLED: u32 = 50;
-const LATE: u32 = 50;
-
-/// The list of a coordinator, for one life of its process.
+/// By how much a list may be older than its predecessor if two coordinators read at the same time: the
+/// duration of a slow read.
+const MAX_AGE_REGRESSION: Duration = Duration::from_millis(3_200);
+/// How many of a thousand messages between coordinators arrive twice.
+const DUPLICATED_PER_MILLE: u32 = 50;
+/// How many of a thousand messages between coordinators arrive late, and therefore out of order.
+const LATE_PER_MILLE: u32 = 50;
+
+/// The endpoint list of a coordinator, for one run of its process.
 pub struct CoordinatorList {
     election: ReaderElection,
     advertised: Option<AdvertisedEndpoints>,
@@ -45,7 +48,7 @@
     result: Option<ReadResult>,
 }
 
-/// A message about lists from one coordinator to another.
+/// A message from one coordinator to another about endpoint lists.
 #[derive(Clone)]
 pub struct PeerMessage {
     pub to: usize,
@@ -59,32 +62,32 @@
     Request,
 }
 
-/// How often what is checked has occurred.
+/// Counts of the events that the checks need, to detect runs that check nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListCounts {
-    /// Reads that gave a list.
+    /// Reads that returned a list that was not stale.
     pub reads: usize,
-    /// Messages of comparisons by ranges.
+    /// Responses to comparisons by ranges.
     pub comparisons: usize,
-    /// Comparisons whose link ended before they did.
-    pub cut_comparisons: usize,
+    /// Comparisons that were interrupted by the end of their link.
+    pub interrupted_comparisons: usize,
     /// Lists that frontends have received.
     pub received: usize,
 }
 
-/// What is known of the lists of all, to check them.
+/// The observations that the checks of lists are based on.
 pub struct ListChecks {
-    /// What each read saw, by its version.
+    /// The result of each read, by its version.
     reads: BTreeMap<BackendListVersion, ReadResult>,
     frontends: Vec<FrontendList>,
-    /// Since when a frontend reaches a coordinator that reaches the platform.
+    /// Since when a frontend has been linked to a coordinator that reaches the platform, by their numbers.
     informed_since: BTreeMap<(usize, usize), Duration>,
     /// Links with a comparison in progress.
     comparing: BTreeSet<u64>,
     pub counts: ListCounts,
 }
 
-/// What a read saw, and when.
+/// The endpoints that a read saw, and when it saw them.
 struct ReadResult {
     seen: Vec<Backend>,
     seen_at: Duration,
@@ -94,10 +97,11 @@
 #[derive(Default)]
 struct FrontendList {
     list: Option<BackendList>,
-    /// The version of its agent that was seen last.
+    /// The version of the agent's list after the last step.
     version: BackendListVersion,
-    /// When the read of that version saw the list.
+    /// When the read with that version saw the list.
     seen_at: Duration,
+    /// The instance ids of the backends that any list of this frontend showed as draining.
     drained: BTreeSet<String>,
 }
 
@@ -116,12 +120,12 @@
         self.advertised.as_ref().map(AdvertisedEndpoints::digest_message)
     }
 
-    /// The backends that it advertises.
+    /// The endpoints that this coordinator advertises.
     pub fn endpoints(&self) -> Option<Arc<Vec<Backend>>> {
         self.advertised.as_ref().map(|advertised| advertised.endpoints.clone())
     }
 
-    /// The message to all agents that follows from a read or an update.
+    /// Applies the outcome of a read or an update, and returns the message to be broadcast to agents.
     fn advertise(&mut self, outcome: &UpdateOutcome) -> Option<ToAgent> {
         let version = self.election.list().map(|(version, _)| version)?;
         match (outcome, &mut self.advertised) {
@@ -148,7 +152,7 @@
     fn add_assign(&mut self, other: ListCounts) {
         self.reads += other.reads;
         self.comparisons += other.comparisons;
-        self.cut_comparisons += other.cut_comparisons;
+        self.interrupted_comparisons += other.interrupted_comparisons;
         self.received += other.received;
     }
 }
@@ -170,10 +174,10 @@
     }
 
     pub fn link_ended(&mut self, link: u64) {
-        self.counts.cut_comparisons += usize::from(self.comparing.remove(&link));
+        self.counts.interrupted_comparisons += usize::from(self.comparing.remove(&link));
     }
 
-    /// The backends to which a frontend sends requests.
+    /// The backends that are ready according to a frontend's list, and to which it therefore sends requests.
     pub fn ready_backends(&self, frontend: usize) -> Vec<Backend> {
         let backends = self.frontends[frontend].list.iter().flat_map(|list| &list.backends);
         backends.filter(|backend| backend.state == BackendState::Ready).cloned().collect()
@@ -185,7 +189,7 @@
         self.lists.counts
     }
 
-    /// A backend that accepts requests drains from now on; gives which.
+    /// Starts to drain a ready backend, and returns its instance id.
     pub fn drain_any_backend(&mut self) -> String {
         let ready = self.platform.backends.values().find(|one| one.drains_since.is_none());
         let name = ready.expect("one that is ready").backend.instance_id.clone();
@@ -199,7 +203,7 @@
         self.lists.ready_backends(frontend).iter().any(|one| one.instance_id == backend)
     }
 
-    /// The coordinator that reads the list.
+    /// The coordinator that considers itself the reader of the list.
     pub fn reader(&self) -> Option<usize> {
         let machines = &self.schedule.world.machines;
         let reads = |machine: &usize| {
@@ -208,11 +212,11 @@
         (0..self.coordinators.len()).find(reads)
     }
 
-    /// All coordinators but this one have trouble with the platform for a while.
-    pub fn trouble_all_but(&mut self, machine: usize, trouble: PlatformTrouble, span: Duration) {
+    /// Starts a fault between the platform and every coordinator but this one.
+    pub fn start_platform_fault_for_all_but(&mut self, machine: usize, fault: PlatformFault, span: Duration) {
         let until = self.now() + span;
         for other in (0..self.coordinators.len()).filter(|other| *other != machine) {
-            self.platform.trouble(other, trouble, until);
+            self.platform.start_fault(other, fault, until);
         }
     }
 
@@ -226,14 +230,14 @@
         self.platform.inject_fault(machines, now, STEP);
     }
 
-    /// What the registry of a coordinator does: reads, and tells agents the digest.
+    /// Does what the endpoint registry of a coordinator does: reads the list and broadcasts the digest.
     pub(super) fn step_list(&mut self, machine: usize) {
         if !std::mem::replace(&mut self.coordinators[machine].list.has_begun, true) {
             self.send_to_peers(machine, &PeerContent::Request);
         }
         self.set_reading_order(machine);
         self.begin_read_if_due(machine);
-        self.look_at_list(machine);
+        self.take_snapshot_if_due(machine);
         self.end_read_if_due(machine);
         self.broadcast_digest_if_due(machine);
     }
@@ -247,7 +251,7 @@
         self.coordinators[machine].list.election.set_order(order);
     }
 
-    /// Whether messages go between two coordinators that run.
+    /// Whether the other coordinator runs and messages can pass in both directions.
     fn have_contact(&self, one: usize, other: SocketAddrV4) -> bool {
         let world = &self.schedule.world;
         let own = world.machines[one].address;
@@ -275,22 +279,22 @@
         list.read = Some(Read { version, plan, result: None });
     }
 
-    /// The platform looks at its list for a read in progress, whether the coordinator runs meanwhile or not.
-    fn look_at_list(&mut self, machine: usize) {
+    /// Takes the platform's snapshot for a read in progress, also while the coordinator is suspended.
+    fn take_snapshot_if_due(&mut self, machine: usize) {
         let now = self.now();
         let is_reachable = self.platform.is_reachable(machine, now);
         let Some(read) = &mut self.coordinators[machine].list.read else { return };
-        if is_reachable && read.result.is_none() && now >= read.plan.sees_at {
-            let mut seen = self.platform.list(read.plan.is_cut_short);
+        if is_reachable && read.result.is_none() && now >= read.plan.snapshot_at {
+            let mut seen = self.platform.list(read.plan.is_truncated);
             seen.sort_by(|one, other| one.instance_id.cmp(&other.instance_id));
             read.result = Some(ReadResult { seen, seen_at: now });
         }
     }
 
-    pub(super) fn look_at_list_of_frozen(&mut self) {
+    pub(super) fn take_snapshots_for_suspended(&mut self) {
         for machine in 0..self.coordinators.len() {
             if self.runs(machine) && self.is_frozen(machine) {
-                self.look_at_list(machine);
+                self.take_snapshot_if_due(machine);
             }
         }
     }
@@ -308,7 +312,7 @@
         }
         self.lists.counts.reads += 1;
         if self.lists.reads.insert(version, result).is_some() {
-            self.fail(format!("two lists under version {version}"));
+            self.fail(format!("two lists with version {version}"));
         }
         let list = &mut self.coordinators[machine].list;
         if let Some(update) = list.election.newest_update() {
@@ -340,15 +344,16 @@
         }
     }
 
-    /// Where the connection between two coordinators is made anew, messages may arrive twice or out of order.
+    /// Sends a message that may arrive twice or out of order, as happens when the connection between two
+    /// coordinators is replaced.
     fn send_to_peer(&mut self, message: PeerMessage) {
-        if self.random.random_range(0..1_000) < DOUBLED {
+        if self.random.random_range(0..1_000) < DUPLICATED_PER_MILLE {
             self.put_in_transit(Message::BetweenCoordinators(message.clone()));
         }
-        if self.random.random_range(0..1_000) < LATE {
+        if self.random.random_range(0..1_000) < LATE_PER_MILLE {
             let at = self.now() + ms(self.random.random_range(100..2_000));
-            self.sent_so_far += 1;
-            self.in_transit.insert((at, self.sent_so_far), Message::BetweenCoordinators(message));
+            self.messages_sent += 1;
+            self.in_transit.insert((at, self.messages_sent), Message::BetweenCoordinators(message));
             return;
         }
         self.put_in_transit(Message::BetweenCoordinators(message));
@@ -379,11 +384,11 @@
         }
     }
 
-    /// What an agent sends about lists.
+    /// Handles an agent's message about lists, and responds to it.
     pub(super) fn answer_list_request(&mut self, id: u64, link: Link, message: FromAgent) {
         let list = &mut self.coordinators[link.machine].list;
         let advertised = list.advertised.as_ref();
-        let answer = match message {
+        let response = match message {
             FromAgent::BackendsSeen { version } => {
                 if self.fault != Some(PlantedFault::HidesVersions) {
                     list.election.observe_version(version);
@@ -405,14 +410,14 @@
             }),
             _ => None,
         };
-        self.record_comparison(id, answer.as_ref());
-        if let Some(answer) = answer {
-            self.send_to_agent(id, answer);
+        self.record_comparison(id, response.as_ref());
+        if let Some(response) = response {
+            self.send_to_agent(id, response);
         }
     }
 
-    fn record_comparison(&mut self, id: u64, answer: Option<&ToAgent>) {
-        match answer {
+    fn record_comparison(&mut self, id: u64, response: Option<&ToAgent>) {
+        match response {
             Some(ToAgent::BackendsRange { .. }) => {
                 self.lists.counts.comparisons += 1;
                 self.lists.comparing.insert(id);
@@ -423,10 +428,10 @@
     }
 
     fn fail(&mut self, text: String) {
-        self.broken.get_or_insert(text);
+        self.violation.get_or_insert(text);
     }
 
-    /// A frontend has received a list: nothing that drained is ready again.
+    /// Applies a list that a frontend has received, and checks that no backend is ready again after draining.
     pub(super) fn proxy_receives_list(&mut self, frontend: usize, list: BackendList) {
         self.lists.counts.received += 1;
         let known = &mut self.lists.frontends[frontend];
@@ -444,9 +449,9 @@
         }
     }
 
-    /// After each step.
+    /// Runs the checks that have to hold after each step.
     pub(super) fn check_lists(&mut self) {
-        self.look_at_list_of_frozen();
+        self.take_snapshots_for_suspended();
         for frontend in 0..self.frontends.len() {
             self.check_version(frontend);
             self.check_content(frontend);
@@ -454,21 +459,23 @@
         }
     }
 
-    /// No agent goes back to an older version, nor to what was seen long before.
+    /// Checks that no agent goes back to a lower version, or to a list that was read much earlier.
     fn check_version(&mut self, frontend: usize) {
         let version = self.frontends[frontend].agent.status().list_version;
         let known = &mut self.lists.frontends[frontend];
         let before = std::mem::replace(&mut known.version, version);
         let seen_at = self.lists.reads.get(&version).map_or(known.seen_at, |read| read.seen_at);
         let seen_before = std::mem::replace(&mut known.seen_at, seen_at);
-        if version < before || seen_at + MOST_BACK < seen_before {
+        if version < before || seen_at + MAX_AGE_REGRESSION < seen_before {
             self.fail(format!(
-                "frontend {frontend}: list {version} of {seen_at:?} after {before} of {seen_before:?}"
+                "frontend {frontend}: list {version} seen at {seen_at:?} replaces {before} \
+                 seen at {seen_before:?}"
             ));
         }
     }
 
-    /// An agent's list is what the read of its version saw, but for what it has seen draining.
+    /// Checks that an agent's list is the one that the read with its version saw, except for backends that
+    /// the frontend has seen draining.
     fn check_content(&mut self, frontend: usize) {
         let known = &self.lists.frontends[frontend];
         let (Some(list), Some(read)) = (&known.list, self.lists.reads.get(&known.version)) else { return };
@@ -485,14 +492,15 @@
         }
     }
 
-    /// Where a frontend has reached a coordinator that reaches the platform for long, nothing new goes to a backend that has been
-    /// draining, or gone, for as long.
+    /// Checks that a frontend does not send requests to a backend that stopped accepting them
+    /// [`INFORMED_WITHIN`] ago or earlier, if it has been linked to a coordinator that reaches the platform
+    /// for as long.
     fn check_informed(&mut self, frontend: usize) {
         let now = self.now();
         let mut is_informed = false;
         for machine in 0..self.coordinators.len() {
             let key = (frontend, machine);
-            if self.informs(frontend, machine) {
+            if self.is_informed_by(frontend, machine) {
                 let since = *self.lists.informed_since.entry(key).or_insert(now);
                 is_informed |= now >= since + INFORMED_WITHIN;
             } else {
@@ -501,12 +509,13 @@
         }
         if is_informed && let Some(backend) = self.outdated_backend(frontend) {
             self.fail(format!(
-                "frontend {frontend}: {backend} gets requests {INFORMED_WITHIN:?} after it has stopped"
+                "frontend {frontend}: {backend} gets requests {INFORMED_WITHIN:?} \
+                 after it stopped accepting them"
             ));
         }
     }
 
-    fn informs(&self, frontend: usize, machine: usize) -> bool {
+    fn is_informed_by(&self, frontend: usize, machine: usize) -> bool {
         let now = self.now();
         let is_linked = self.links.values().any(|link| (link.frontend, link.machine) == (frontend, machine));
         let is_cut = self.frontends[frontend].partitioned_from.contains(&machine);
@@ -514,12 +523,13 @@
         is_linked && !is_cut && reads && self.runs(machine) && !self.is_frozen(machine)
     }
 
-    /// A backend that a frontend takes for ready although it has stopped to accept requests long ago.
+    /// A backend that is ready on a frontend's list, but stopped accepting requests [`INFORMED_WITHIN`] ago
+    /// or earlier.
     fn outdated_backend(&self, frontend: usize) -> Option<String> {
         let now = self.now();
         let stopped_at = |name: &str| {
             let drains_since = self.platform.backends.get(name).and_then(|one| one.drains_since);
-            drains_since.or(self.platform.gone.get(name).copied())
+            drains_since.or(self.platform.removed.get(name).copied())
         };
         let ready = self.lists.ready_backends(frontend);
         let outdated = ready
@@ -528,7 +538,7 @@
         outdated.map(|one| one.instance_id)
     }
 
-    /// Once all is over every frontend has the platform's list.
+    /// Checks, after recovery, that every frontend has the platform's list.
     pub(super) fn check_lists_agree(&mut self) {
         let truth = self.platform.list(false);
         for frontend in 0..self.frontends.len() {
@@ -539,8 +549,8 @@
                 list.backends.len() == truth.len()
                     && list.backends.iter().zip(&truth).all(|(one, other)| one.is_same_as(other))
             });
-            if !agrees && self.broken().is_none() {
-                self.fail(format!("frontend {frontend}: its list is not the platform's once all is over"));
+            if !agrees && self.violation().is_none() {
+                self.fail(format!("frontend {frontend}: its list is not the platform's after recovery"));
             }
         }
     }
--- a/crates/coordinator/tests/one_world/fleet/index_audits.rs
+++ b/crates/coordinator/tests/one_world/fleet/index_audits.rs
@@ -1,4 +1,5 @@
-//! The audit of the index of cached blocks, at whichever coordinator acts as head; and what must hold of what it names.
+//! The simulated audit of the index of cached blocks, on the acting head, and the checks of the mismatches
+//! that it reports.
 
 use super::backend_caches::{BackendCaches, CachedBlock, tokens};
 use super::{Fleet, Link, PlantedFault};
@@ -11,34 +12,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long after its last message a frontend counts no more.
+/// How long after its last message a frontend's reports are dropped.
 const NODE_EXPIRY: Duration = Duration::from_secs(10);
-/// How likely a frontend sends a request in a step, and a backend loses a block.
+/// The probability that a frontend sends a request in a step.
 const REQUEST_PROBABILITY: f64 = 0.1;
+/// The probability that a backend loses a block, per frontend and step.
 const LOSS_PROBABILITY: f64 = 0.01;
-/// How many different blocks prompts have.
+/// The number of different blocks in prompts.
 const BLOCKS: u64 = 300;
 
-/// The audit of one acting head.
+/// The audit that runs on one coordinator.
 pub struct AuditRun {
     audit: Audit,
-    /// The list that the audited backends were derived from.
+    /// The audited backends, as derived from the last list.
     backends: Vec<(BackendKey, String)>,
-    /// When each frontend was heard last.
-    heard: BTreeMap<usize, Duration>,
+    /// When each frontend was last linked or sent a report.
+    last_heard: BTreeMap<usize, Duration>,
     queries: Vec<Query>,
 }
 
-/// A request to a backend that is in progress.
+/// A request to a backend in progress.
 struct Query {
     request: RangeRequest,
     answered_at: Duration,
     result: Option<RangeResult>,
 }
 
-/// A mismatch that an auditor has named.
+/// A mismatch that an audit has reported.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NamedMismatch {
+pub struct ReportedMismatch {
     pub machine: usize,
     pub block: CachedBlock,
     pub kind: MismatchKind,
@@ -50,11 +52,11 @@
 }
 
 impl Fleet {
-    pub fn named(&self) -> &[NamedMismatch] {
-        &self.named
+    pub fn reported(&self) -> &[ReportedMismatch] {
+        &self.reported
     }
 
-    /// Has a backend lose a block that some frontend counts on; gives which.
+    /// Makes a backend lose a random block that some frontend has in its index, and returns the block.
     pub fn lose_block(&mut self) -> CachedBlock {
         let expected: Vec<CachedBlock> = (0..self.frontends.len())
             .flat_map(|frontend| self.caches.index(frontend))
@@ -65,12 +67,12 @@
         block
     }
 
-    /// No blocks are lost any more.
-    pub fn keep_blocks(&mut self) {
-        self.caches.rests = true;
+    /// Stops the random loss of blocks.
+    pub fn stop_losing_blocks(&mut self) {
+        self.caches.losses_stopped = true;
     }
 
-    /// An audit begins where this coordinator becomes the acting head, and ends where it no longer is.
+    /// Starts an audit when this coordinator becomes the acting head, and ends it when it no longer is.
     pub(super) fn start_or_end_audit(&mut self, machine: usize, acting_head: bool) {
         let audit = &mut self.coordinators[machine].audit;
         if acting_head == audit.is_some() {
@@ -79,7 +81,7 @@
         *audit = acting_head.then(|| AuditRun {
             audit: Audit::new(AuditSettings::default()),
             backends: Vec::new(),
-            heard: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
             queries: Vec::new(),
         });
         if acting_head {
@@ -93,7 +95,7 @@
         let Some(run) = &mut self.coordinators[link.machine].audit else { return };
         run.set_backends(now, endpoints.as_deref().map(Vec::as_slice));
         let name = name(link.frontend);
-        run.heard.insert(link.frontend, now);
+        run.last_heard.insert(link.frontend, now);
         if restart {
             run.audit.forget_frontend(now, &name);
         }
@@ -123,7 +125,7 @@
         self.apply_results(machine);
     }
 
-    /// Backends answer whether the auditor runs or not.
+    /// Lets backends respond to requests that are due, also while the coordinator is suspended.
     fn answer_queries(&mut self) {
         let now = self.now();
         let is_wrong = self.fault == Some(PlantedFault::CorrectsWrongBackend);
@@ -133,8 +135,8 @@
             for query in
                 run.queries.iter_mut().filter(|query| query.result.is_none() && now >= query.answered_at)
             {
-                let asked = BackendCaches::key(query.request.backend);
-                let backend = other.filter(|_| is_wrong).unwrap_or(asked);
+                let requested = BackendCaches::key(query.request.backend);
+                let backend = other.filter(|_| is_wrong).unwrap_or(requested);
                 query.result = Some(caches.report(backend, &query.request));
             }
         }
@@ -154,7 +156,7 @@
                 let answered_at = now + ms(self.random.random_range(2..60));
                 run.queries.push(Query { request, answered_at, result: None });
             }
-            self.name_mismatches(machine, &mismatches);
+            self.check_mismatches(machine, &mismatches);
             if !output.corrections.is_empty() {
                 let changes = output.corrections.iter().map(index_change).collect();
                 self.broadcast(machine, &ToAgent::IndexCorrections(changes));
@@ -162,26 +164,28 @@
         }
     }
 
-    /// What is named as dropped was lost at that backend, and at no other.
-    fn name_mismatches(&mut self, machine: usize, mismatches: &[Mismatch]) {
+    /// Checks that the reported mismatches are real: a block that is reported as dropped was lost by that
+    /// backend.
+    fn check_mismatches(&mut self, machine: usize, mismatches: &[Mismatch]) {
         for mismatch in mismatches {
             let block = (mismatch.backend.0, mismatch.block.0);
-            let named = NamedMismatch { machine, block, kind: mismatch.kind, at: self.now() };
+            let reported = ReportedMismatch { machine, block, kind: mismatch.kind, at: self.now() };
             let is_true = match mismatch.kind {
                 MismatchKind::Dropped => self.caches.lost.contains(&block),
                 MismatchKind::Forgotten => self.caches.holds(block) || self.caches.lost.contains(&block),
                 MismatchKind::SizeDiffers => false,
             };
             if !is_true {
-                self.broken.get_or_insert(format!("{named:?} is named, and is not so"));
+                self.violation.get_or_insert(format!("false mismatch: {reported:?}"));
             }
-            self.named.push(named);
+            self.reported.push(reported);
         }
     }
 
-    /// A frontend sends a request, whose backend caches its block; and perhaps a backend loses one.
+    /// With some probability a frontend sends a request, whose block the backend caches, and a backend loses
+    /// a block.
     pub(super) fn send_inference_request(&mut self, frontend: usize) {
-        if !self.caches.rests && self.random.random_bool(LOSS_PROBABILITY) {
+        if !self.caches.losses_stopped && self.random.random_bool(LOSS_PROBABILITY) {
             self.lose_any_block();
         }
         if !self.random.random_bool(REQUEST_PROBABILITY) {
@@ -208,7 +212,7 @@
         }
     }
 
-    /// A frontend changes its index and reports what is new.
+    /// Changes a frontend's index, and reports the entries that differ from before.
     fn change_index(&mut self, frontend: usize, changes: &[(CachedBlock, Option<u32>)]) {
         let caches = &mut self.caches;
         let new = changes.iter().filter(|(block, tokens)| caches.set_index(frontend, *block, *tokens));
@@ -234,7 +238,7 @@
         let now = self.now();
         let message = FromProxy::IndexChanges { restart, changes };
         let effects = self.frontends[frontend].agent.handle_proxy_message(now, message);
-        self.carry_out(frontend, effects);
+        self.perform(frontend, effects);
     }
 
     pub(super) fn correct_index(&mut self, frontend: usize, changes: &[IndexChange]) {
@@ -247,24 +251,25 @@
         self.change_index(frontend, &corrections);
     }
 
-    /// Once all is over no frontend counts on a block that its backend has lost.
-    pub(super) fn check_indexes_are_true(&mut self) {
+    /// Checks, after recovery, that no frontend's index has a block that its backend does not cache.
+    pub(super) fn check_indexes(&mut self) {
         for frontend in 0..self.frontends.len() {
             let ready: BTreeSet<u64> = self.lists.ready_backends(frontend).iter().map(Backend::key).collect();
             let wrong = self.caches.index(frontend).map(|(block, _)| block);
             let wrong =
                 wrong.filter(|block| ready.contains(&block.0)).find(|block| !self.caches.holds(*block));
             if let Some(block) = wrong
-                && self.broken().is_none()
+                && self.violation().is_none()
             {
-                self.broken = Some(format!("frontend {frontend} counts on {block:?} once all is over"));
+                self.violation =
+                    Some(format!("frontend {frontend} has {block:?} in its index after recovery"));
             }
         }
     }
 }
 
 impl AuditRun {
-    /// Audits the backends of this list that accept requests.
+    /// Audits the backends of this list that are ready.
     fn set_backends(&mut self, now: Duration, endpoints: Option<&[Backend]>) {
         let Some(endpoints) = endpoints else { return };
         let ready = endpoints.iter().filter(|one| one.state == BackendState::Ready);
@@ -278,16 +283,16 @@
 
     fn forget_departed(&mut self, now: Duration, linked: &BTreeSet<usize>) {
         for frontend in linked {
-            self.heard.entry(*frontend).and_modify(|heard| *heard = now);
+            self.last_heard.entry(*frontend).and_modify(|last_heard| *last_heard = now);
         }
         let departed: Vec<usize> = self
-            .heard
+            .last_heard
             .iter()
-            .filter(|(_, heard)| now >= **heard + NODE_EXPIRY)
+            .filter(|(_, last_heard)| now >= **last_heard + NODE_EXPIRY)
             .map(|(one, _)| *one)
             .collect();
         for frontend in departed {
-            self.heard.remove(&frontend);
+            self.last_heard.remove(&frontend);
             self.audit.forget_frontend(now, &name(frontend));
         }
     }
--- a/crates/coordinator/tests/one_world/fleet/platform.rs
+++ b/crates/coordinator/tests/one_world/fleet/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: which backends there are, what a read of its list sees, and what goes wrong with that.
+//! The simulated platform: its backends, the reads of its list, and their faults.
 
 use super::super::simulation::ms;
 use control_protocol::{Backend, BackendState};
@@ -8,51 +8,51 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// How many backends there are at first, and between what.
-const FIRST: usize = 60;
-const FEWEST: usize = 40;
-const MOST: usize = 80;
-/// Changes a second, of each sort.
+/// The number of backends at the start, and its limits.
+const INITIAL_BACKENDS: usize = 60;
+const MIN_BACKENDS: usize = 40;
+const MAX_BACKENDS: usize = 80;
+/// The rate of changes of each kind: backends that are added, start to drain, or are removed.
 const CHANGES_PER_S: f64 = 0.8;
-/// Faults a second.
+/// The rate of faults.
 const FAULTS_PER_S: f64 = 0.4;
 
-/// What is wrong between a coordinator and the platform.
+/// A fault between a coordinator and the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlatformTrouble {
+pub enum PlatformFault {
     Unreachable,
-    /// Reads take seconds.
+    /// Reads take up to 3 s.
     Slow,
 }
 
-/// A backend, and when it stopped to accept requests.
+/// A backend, and since when it has been draining.
 pub struct SimulatedBackend {
     pub backend: Backend,
     pub drains_since: Option<Duration>,
 }
 
-/// What a read that begins now comes to.
+/// The course of a read.
 pub struct ReadPlan {
-    /// When the list is looked at.
-    pub sees_at: Duration,
+    /// When the platform takes the snapshot of the list for the response.
+    pub snapshot_at: Duration,
     /// When the read ends.
     pub ends_at: Duration,
     /// Whether a part of the list is missing from the response.
-    pub is_cut_short: bool,
+    pub is_truncated: bool,
 }
 
 pub struct Platform {
     pub backends: BTreeMap<String, SimulatedBackend>,
-    /// When backends that have gone stopped to accept requests.
-    pub gone: BTreeMap<String, Duration>,
+    /// When backends that no longer exist stopped accepting requests.
+    pub removed: BTreeMap<String, Duration>,
     created: u64,
-    rests: bool,
-    /// Until when a coordinator can't reach it.
+    changes_stopped: bool,
+    /// Until when each coordinator can't reach the platform.
     unreachable_until: BTreeMap<usize, Duration>,
-    /// Until when reads of a coordinator take seconds.
+    /// Until when the reads of each coordinator are slow.
     slow_until: BTreeMap<usize, Duration>,
-    /// Coordinators whose next read misses a part of the list.
-    cuts_short: BTreeSet<usize>,
+    /// The coordinators whose next read gets only a part of the list.
+    truncated_next: BTreeSet<usize>,
     random: Pcg64Mcg,
 }
 
@@ -60,15 +60,15 @@
     pub fn new(seed: u64, now: Duration) -> Self {
         let mut platform = Platform {
             backends: BTreeMap::new(),
-            gone: BTreeMap::new(),
+            removed: BTreeMap::new(),
             created: 0,
-            rests: false,
+            changes_stopped: false,
             unreachable_until: BTreeMap::new(),
             slow_until: BTreeMap::new(),
-            cuts_short: BTreeSet::new(),
+            truncated_next: BTreeSet::new(),
             random: Pcg64Mcg::seed_from_u64(seed ^ 0x70),
         };
-        for _ in 0..FIRST {
+        for _ in 0..INITIAL_BACKENDS {
             platform.add(now);
         }
         platform
@@ -91,19 +91,19 @@
         self.backends.insert(backend.instance_id.clone(), SimulatedBackend { backend, drains_since: None });
     }
 
-    /// Backends come, drain and go.
+    /// Adds backends, starts drains and removes backends at random.
     pub fn step(&mut self, now: Duration, step: Duration) {
-        if self.rests {
+        if self.changes_stopped {
             return;
         }
         let chance = CHANGES_PER_S * step.as_secs_f64();
-        if self.backends.len() < MOST && self.random.random_bool(chance) {
+        if self.backends.len() < MAX_BACKENDS && self.random.random_bool(chance) {
             self.add(now);
         }
         if self.random.random_bool(chance) {
             self.drain_one(now);
         }
-        if self.backends.len() > FEWEST && self.random.random_bool(chance) {
+        if self.backends.len() > MIN_BACKENDS && self.random.random_bool(chance) {
             self.remove_one(now);
         }
     }
@@ -119,32 +119,32 @@
         self.drain(&name, now);
     }
 
-    /// A backend drains from now on.
+    /// Starts to drain a backend.
     pub fn drain(&mut self, name: &str, now: Duration) {
         let one = self.backends.get_mut(name).expect("it exists");
         one.drains_since = Some(now);
         one.backend.state = BackendState::Draining;
     }
 
-    /// One that drains goes, or one that crashes.
+    /// Removes a random backend: usually one that is draining, sometimes any one, as if it had crashed.
     fn remove_one(&mut self, now: Duration) {
         let crashes = self.random.random_bool(0.3);
         let Some(name) = self.draw(|one| crashes || one.drains_since.is_some()) else { return };
         if let Some(one) = self.backends.remove(&name) {
-            self.gone.insert(name, one.drains_since.unwrap_or(now));
+            self.removed.insert(name, one.drains_since.unwrap_or(now));
         }
     }
 
-    /// No more changes.
-    pub fn rest(&mut self) {
-        self.rests = true;
+    /// Stops changes of the backends.
+    pub fn stop_changes(&mut self) {
+        self.changes_stopped = true;
     }
 
-    /// No more faults.
+    /// Ends all faults.
     pub fn heal(&mut self) {
         self.unreachable_until.clear();
         self.slow_until.clear();
-        self.cuts_short.clear();
+        self.truncated_next.clear();
     }
 
     pub fn is_reachable(&self, machine: usize, now: Duration) -> bool {
@@ -155,14 +155,14 @@
         self.slow_until.get(&machine).is_some_and(|until| now < *until)
     }
 
-    pub fn trouble(&mut self, machine: usize, trouble: PlatformTrouble, until: Duration) {
-        match trouble {
-            PlatformTrouble::Unreachable => self.unreachable_until.insert(machine, until),
-            PlatformTrouble::Slow => self.slow_until.insert(machine, until),
+    pub fn start_fault(&mut self, machine: usize, fault: PlatformFault, until: Duration) {
+        match fault {
+            PlatformFault::Unreachable => self.unreachable_until.insert(machine, until),
+            PlatformFault::Slow => self.slow_until.insert(machine, until),
         };
     }
 
-    /// Perhaps something goes wrong between the platform and one of these coordinators, or all.
+    /// At random, starts a fault between the platform and one or all of the coordinators, or ends all faults.
     pub fn inject_fault(&mut self, machines: usize, now: Duration, step: Duration) {
         if !self.random.random_bool(FAULTS_PER_S * step.as_secs_f64()) {
             return;
@@ -170,28 +170,28 @@
         let machine = self.random.random_range(0..machines);
         let until = now + ms(self.random.random_range(500..15_000));
         match self.random.random_range(0..6) {
-            0 | 1 => self.trouble(machine, PlatformTrouble::Unreachable, until),
+            0 | 1 => self.start_fault(machine, PlatformFault::Unreachable, until),
             2 => (0..machines)
-                .for_each(|machine| self.trouble(machine, PlatformTrouble::Unreachable, now + ms(3_000))),
-            3 => self.trouble(machine, PlatformTrouble::Slow, until),
-            4 => drop(self.cuts_short.insert(machine)),
+                .for_each(|machine| self.start_fault(machine, PlatformFault::Unreachable, now + ms(3_000))),
+            3 => self.start_fault(machine, PlatformFault::Slow, until),
+            4 => drop(self.truncated_next.insert(machine)),
             _ => self.heal(),
         }
     }
 
-    /// What becomes of a read that a coordinator begins now.
+    /// Draws the course of a read that a coordinator starts now.
     pub fn plan_read(&mut self, machine: usize, now: Duration) -> ReadPlan {
         let longest = if self.is_slow(machine, now) { 3_000 } else { 150 };
         let span = ms(self.random.random_range(5..longest));
-        let sees_at = now + span.mul_f64(self.random.random_range(0.0..1.0));
-        ReadPlan { sees_at, ends_at: now + span, is_cut_short: self.cuts_short.remove(&machine) }
+        let snapshot_at = now + span.mul_f64(self.random.random_range(0.0..1.0));
+        ReadPlan { snapshot_at, ends_at: now + span, is_truncated: self.truncated_next.remove(&machine) }
     }
 
-    /// The list as it is now; without a part where a response is cut short.
-    pub fn list(&mut self, is_cut_short: bool) -> Vec<Backend> {
+    /// The current list, or its first half if the response is cut short.
+    pub fn list(&mut self, is_truncated: bool) -> Vec<Backend> {
         let all = self.backends.values().map(|one| one.backend.clone());
         let mut list: Vec<Backend> = all.collect();
-        if is_cut_short {
+        if is_truncated {
             list.truncate(list.len() / 2);
         }
         list
--- a/crates/coordinator/tests/one_world/frontend.rs
+++ b/crates/coordinator/tests/one_world/frontend.rs
@@ -1,4 +1,4 @@
-//! A frontend machine: its agent, and the limits of its data plane under load.
+//! A simulated frontend machine: its agent, and the rate limits of its data plane under load.
 
 use agent::AgentState;
 use configuration::{Tenant, Unit};
@@ -9,8 +9,9 @@
 use std::time::Duration;
 
 pub const TENANT: &str = "t";
-pub const TERMS: QuotaSettings = QuotaSettings { window_s: 8.0, overuse_ratio: 0.1, token_slack: 0.0 };
-/// Requests a second over all frontends, and at once beyond that.
+pub const QUOTA_SETTINGS: QuotaSettings =
+    QuotaSettings { window_s: 8.0, overuse_ratio: 0.1, token_slack: 0.0 };
+/// The tenant's limit over all frontends: requests per second, and the size of a burst.
 pub const RATE: f64 = 200.0;
 
 pub fn tenant() -> Tenant {
@@ -25,30 +26,31 @@
     }
 }
 
-/// What the rule lets through in a window.
-pub fn bound() -> f64 {
-    (RATE * TERMS.window_s + RATE) * (1.0 + TERMS.overuse_ratio) + TERMS.token_slack
+/// How many requests the limit allows within a window, overuse included.
+pub fn max_admitted_in_window() -> f64 {
+    (RATE * QUOTA_SETTINGS.window_s + RATE) * (1.0 + QUOTA_SETTINGS.overuse_ratio)
+        + QUOTA_SETTINGS.token_slack
 }
 
 pub struct Frontend {
     pub agent: AgentState,
-    /// Coordinators that it can't reach.
+    /// The coordinators that the frontend can't reach.
     pub partitioned_from: BTreeSet<usize>,
-    /// When it requested a configuration, by the number of the request.
+    /// When the agent requested the configuration, by the id of the request.
     pub requested_at: BTreeMap<u64, Duration>,
     pub last_polled: Duration,
     limits: TenantLimits,
     waiting: Vec<PendingAdmission>,
-    /// The fraction of a request that has not arrived yet.
+    /// The accumulated fraction of a request, which arrives once this reaches 1.
     arriving: f64,
 }
 
 impl Frontend {
     pub fn start(now: Duration) -> Self {
-        let mut limits = TenantLimits::new(TERMS, now);
+        let mut limits = TenantLimits::new(QUOTA_SETTINGS, now);
         limits.configure(now, &[tenant()]);
         let mut agent = AgentState::default();
-        // A data plane that has no configuration yet.
+        // The data plane connects without a configuration.
         agent.handle_proxy_up(now, ConfigurationSequence(0));
         Frontend {
             agent,
@@ -61,7 +63,8 @@
         }
     }
 
-    /// Lets requests arrive for a while; returns how many were admitted by now.
+    /// Lets `count` requests arrive, and returns how many requests were admitted, earlier ones included that
+    /// waited.
     pub fn requests(&mut self, now: Duration, count: f64) -> usize {
         let mut admitted = self.decide(now);
         self.arriving += count;
@@ -94,7 +97,7 @@
         is_due.then(|| self.limits.create_request(now))
     }
 
-    pub fn apply_quota_response(&mut self, now: Duration, answer: &control_protocol::QuotaResponse) {
-        self.limits.apply_response(now, answer);
+    pub fn apply_quota_response(&mut self, now: Duration, response: &control_protocol::QuotaResponse) {
+        self.limits.apply_response(now, response);
     }
 }
