--- a/crates/coordinator/tests/coordinators/clients.rs
+++ b/crates/coordinator/tests/coordinators/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of a coordinator: an operator and an agent.
+//! Test clients of a coordinator: an operator and an agent.
 
 use super::core_machines::Machine;
 use control_link::{FrameReader, FrameWriter};
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long a test waits for what is to happen.
+/// How long a test waits for an expected event.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An operator that records its requests and the responses.
@@ -17,7 +17,7 @@
     pub transcript: String,
 }
 
-/// A configuration of a generation, with a route whose prefix is its number.
+/// A configuration of this generation, with a route whose path prefix contains the generation.
 pub fn document(generation: u64) -> String {
     let route = format!(
         r#"{{"name":"r","hostname":"h.example","path_prefix":"/{generation}/","route_type":"safe","timeout_ms":1000,"service":"s"}}"#
@@ -33,11 +33,11 @@
         Operator { client: reqwest::Client::new(), transcript: String::new() }
     }
 
-    /// Sends a configuration until there is a clear answer.
+    /// Sends a configuration repeatedly until its outcome is known, and returns the status.
     pub async fn replace(&mut self, to: &Machine, base: Option<u64>, document: &str) -> u16 {
         let url = format!("http://{}/api/Config.Replace", to.control);
-        let answer = self
-            .until_clear(|client| {
+        let response = self
+            .until_outcome_is_known(|client| {
                 let call =
                     client.post(&url).header("Content-Type", "application/json").body(document.to_string());
                 match base {
@@ -48,33 +48,37 @@
             .await;
         let base = base.map_or("none".into(), |base| base.to_string());
         let summary: String = document.chars().take(20).collect();
-        self.record(&format!("{}: POST /api/Config.Replace on {base}: {summary}", to.name), &answer);
-        answer.0
+        self.record(&format!("{}: POST /api/Config.Replace on {base}: {summary}", to.name), &response);
+        response.0
     }
 
-    /// Asks for the newest configuration until there is a clear answer.
+    /// Requests the newest configuration repeatedly until the outcome is known, and returns the status and
+    /// the body.
     pub async fn describe(&mut self, of: &Machine) -> (u16, String) {
         let url = format!("http://{}/api/Config.Describe", of.control);
-        let answer = self.until_clear(|client| client.get(&url)).await;
-        self.record(&format!("{}: GET /api/Config.Describe", of.name), &answer);
-        answer
+        let response = self.until_outcome_is_known(|client| client.get(&url)).await;
+        self.record(&format!("{}: GET /api/Config.Describe", of.name), &response);
+        response
     }
 
-    /// Makes a call that is expected to be clear at once.
+    /// Sends a request once, and returns the status and the body.
     pub async fn call(&mut self, method: &str, of: &Machine, path: &str) -> (u16, String) {
         let url = format!("http://{}{path}", of.control);
         let parsed = method.parse().expect("a method");
-        let answer = once(self.client.request(parsed, &url)).await.expect("an answer");
-        self.record(&format!("{}: {method} {path}", of.name), &answer);
-        answer
+        let response = once(self.client.request(parsed, &url)).await.expect("a response");
+        self.record(&format!("{}: {method} {path}", of.name), &response);
+        response
     }
 
-    async fn until_clear(&self, call: impl Fn(&reqwest::Client) -> reqwest::RequestBuilder) -> (u16, String) {
-        let begun = Instant::now();
+    async fn until_outcome_is_known(
+        &self,
+        call: impl Fn(&reqwest::Client) -> reqwest::RequestBuilder,
+    ) -> (u16, String) {
+        let started = Instant::now();
         loop {
             match once(call(&self.client)).await {
-                Some(answer) if answer.0 != 503 => return answer,
-                answer => assert!(begun.elapsed() < TIMEOUT, "no clear answer: {answer:?}"),
+                Some(response) if response.0 != 503 => return response,
+                response => assert!(started.elapsed() < TIMEOUT, "the outcome stays unknown: {response:?}"),
             }
         }
     }
@@ -120,8 +124,8 @@
         self.outgoing.send(message).expect("queued");
     }
 
-    /// Reads on until something is found in a message. Each message is answered by a heartbeat, and the list is kept up to
-    /// date.
+    /// Receives messages until `find` returns something. Responds to each message with a heartbeat, and keeps
+    /// the endpoint list up to date.
     pub async fn until<T>(&mut self, mut find: impl FnMut(ToAgent) -> Option<T>) -> T {
         let started = Instant::now();
         let log = std::cell::RefCell::new(Vec::new());
@@ -129,9 +133,10 @@
             loop {
                 let message = self.incoming.next::<ToAgent>().await;
                 let message = message.unwrap_or_else(|error| {
-                    panic!("{error} after {:?}; these came: {:#?}", started.elapsed(), log.borrow())
+                    panic!("{error} after {:?}; received: {:#?}", started.elapsed(), log.borrow())
                 });
-                // A coordinator that has other messages to send sends no heartbeats, and drops an agent that is silent.
+                // Sent in response to every message, because a coordinator that has other messages to send
+                // sends no heartbeats, but disconnects an agent that sends nothing.
                 self.outgoing.send(&FromAgent::Heartbeat).expect("queued");
                 if matches!(message, ToAgent::BackendsDigest { .. })
                     && self.list.version == BackendListVersion(0)
@@ -146,10 +151,10 @@
             }
         };
         let found = tokio::time::timeout(TIMEOUT, reading).await;
-        found.unwrap_or_else(|_| panic!("the message does not come; these did: {:#?}", log.borrow()))
+        found.unwrap_or_else(|_| panic!("the expected message did not arrive; received: {:#?}", log.borrow()))
     }
 
-    /// Sends a report now, and again whenever the index is requested, until something is found in a message.
+    /// Sends a report now and whenever the coordinator requests the index, until `find` returns something.
     pub async fn until_after_report<T>(
         &mut self,
         report: &FromAgent,
@@ -167,7 +172,8 @@
         }
     }
 
-    /// Reads on until the list shows these backends, each as ready or not.
+    /// Receives messages until the list has exactly these backends, each either ready or not. Returns its
+    /// version.
     pub async fn until_backends(&mut self, expected: &[(&str, bool)]) -> BackendListVersion {
         let mut list = self.list.clone();
         self.until(|message| {
@@ -175,22 +181,28 @@
                 return None;
             }
             let is_ready = |state: BackendState| state == BackendState::Ready;
-            let shown: Vec<_> =
+            let current: Vec<_> =
                 list.backends.iter().map(|b| (b.instance_id.as_str(), is_ready(b.state))).collect();
-            (shown == expected).then_some(list.version)
+            (current == expected).then_some(list.version)
         })
         .await
     }
 
-    /// Reads on until a configuration of a sequence is there to be fetched, and requests it.
-    pub async fn fetch(&mut self, least: u64) -> (u64, String) {
+    /// Waits until a configuration with at least this sequence is available, and fetches the newest one.
+    /// Returns its sequence and its document.
+    pub async fn fetch(&mut self, min_sequence: u64) -> (u64, String) {
         self.until(|message| {
-            matches!(message, ToAgent::ConfigurationAvailable { sequence } if sequence >= ConfigurationSequence(least)).then_some(())
+            let is_available = matches!(message, ToAgent::ConfigurationAvailable { sequence }
+                if sequence >= ConfigurationSequence(min_sequence));
+            is_available.then_some(())
         })
         .await;
         self.requests += 1;
         let request_id = self.requests;
-        self.send(&FromAgent::FetchConfiguration { sequence: ConfigurationSequence(least), request_id });
+        self.send(&FromAgent::FetchConfiguration {
+            sequence: ConfigurationSequence(min_sequence),
+            request_id,
+        });
         let newest = self
             .until(|message| match message {
                 ToAgent::NewestConfiguration { request_id: answered, sequence } if answered == request_id => {
@@ -202,7 +214,7 @@
                 _ => None,
             })
             .await;
-        assert!(newest >= ConfigurationSequence(least));
+        assert!(newest >= ConfigurationSequence(min_sequence));
         self.until(|message| match message {
             ToAgent::Configuration { sequence, document } => {
                 Some((sequence.number(), String::from_utf8(document).expect("text")))
@@ -213,10 +225,10 @@
     }
 }
 
-/// Applies a message to the list. Returns whether it is one about the list.
+/// Applies a message to the endpoint list. Returns whether the message concerns the list.
 fn apply_to_list(list: &mut BackendList, message: &ToAgent) -> bool {
     match message {
-        ToAgent::Backends(whole) => *list = whole.clone(),
+        ToAgent::Backends(full) => *list = full.clone(),
         ToAgent::BackendsChanged { base, version, changes } => {
             assert_eq!(*base, list.version, "changes to a list that was not sent");
             *list = BackendList { version: *version, backends: changes.apply(&list.backends) };
--- a/crates/coordinator/tests/coordinators/core_machines.rs
+++ b/crates/coordinator/tests/coordinators/core_machines.rs
@@ -1,4 +1,5 @@
-//! Coordinators in one process, each on an address and a runtime of its own, so that one can be killed as a process is.
+//! Coordinators within the test's process, each with its own address, thread and runtime, so that each can be
+//! killed like a process.
 
 use coordinator::node::CoordinatorNode;
 use coordinator::startup::RunningCoordinator;
@@ -12,19 +13,19 @@
 use std::thread::JoinHandle;
 use tokio::sync::oneshot;
 
-/// Each start has a seed of its own.
+/// Counts starts, so that each has a different seed.
 static STARTS_SO_FAR: AtomicU64 = AtomicU64::new(1);
-static MACHINES_SO_FAR: AtomicU8 = AtomicU8::new(1);
+static ADDRESSES_SO_FAR: AtomicU8 = AtomicU8::new(1);
 
-/// A loopback address that no other test has: of this process, and the next one in it.
+/// A loopback address that no other test uses: two bytes follow from the process id, the last one is counted.
 pub fn next_ip() -> Ipv4Addr {
     let process = std::process::id();
-    let number = MACHINES_SO_FAR.fetch_add(1, Ordering::Relaxed);
+    let number = ADDRESSES_SO_FAR.fetch_add(1, Ordering::Relaxed);
     assert!(number < 255, "too many machines in one test program");
     Ipv4Addr::new(127, 1 + ((process >> 8) % 250) as u8, process as u8, number)
 }
 
-/// A disk: outlives the coordinator that writes it.
+/// A simulated disk, which outlives the coordinator that writes to it.
 #[derive(Clone, Default)]
 pub struct Disk(Arc<Mutex<Vec<Record>>>);
 
@@ -39,7 +40,7 @@
     }
 }
 
-/// The settings that a few machines share.
+/// What the settings of a group of machines are generated from.
 pub struct Plan {
     pub ips: Vec<Ipv4Addr>,
     pub ports: [u16; 2],
@@ -47,7 +48,7 @@
 }
 
 impl Plan {
-    /// Machines with ports that are free on the first of them.
+    /// Assigns addresses to `count` machines, and ports that are free on the first of them.
     pub fn new(count: usize, platform: SocketAddrV4) -> Self {
         let ips: Vec<Ipv4Addr> = (0..count).map(|_| next_ip()).collect();
         let free = [0, 1].map(|_| TcpListener::bind((ips[0], 0)).expect("a free port"));
@@ -73,29 +74,29 @@
     }
 }
 
-/// A coordinator that runs.
+/// A running coordinator.
 pub struct Machine {
     pub name: String,
     pub control: SocketAddrV4,
     pub internal: SocketAddrV4,
     pub node: Arc<CoordinatorNode>,
-    end: Option<oneshot::Sender<End>>,
+    stop_request: Option<oneshot::Sender<StopKind>>,
     thread: Option<JoinHandle<()>>,
 }
 
-enum End {
+enum StopKind {
     Kill,
     Terminate,
 }
 
 impl Machine {
-    /// Starts a coordinator on a disk.
+    /// Starts the coordinator with this number on a disk.
     pub fn start(plan: &Plan, number: usize, disk: &Disk, bootstrap: bool) -> Self {
         let settings = plan.settings(number, bootstrap);
         let control = settings.listen.control.expect("control");
         let internal = settings.coordinator_address(settings.ip);
         let name = settings.node_name.clone();
-        let (end, ended) = oneshot::channel();
+        let (stop_request, stop_requested) = oneshot::channel();
         let (started, node) = std::sync::mpsc::channel();
         let disk = disk.clone();
         let thread = std::thread::spawn(move || {
@@ -107,34 +108,34 @@
                 let running =
                     RunningCoordinator::start(&settings, Box::new(disk), records, seed).expect("it starts");
                 started.send(running.node().clone()).expect("the test waits");
-                if let Ok(End::Terminate) = ended.await {
+                if let Ok(StopKind::Terminate) = stop_requested.await {
                     running.shut_down().await;
                 }
             });
         });
         let node = node.recv().expect("it starts");
-        Machine { name, control, internal, node, end: Some(end), thread: Some(thread) }
+        Machine { name, control, internal, node, stop_request: Some(stop_request), thread: Some(thread) }
     }
 
-    /// Waits until it is the acting head of the chain.
-    pub async fn becomes_head(&self) {
+    /// Waits until this coordinator is the acting head of the chain.
+    pub async fn wait_until_acting_head(&self) {
         self.node.replica.role_status().wait_for(|role| role.acting_head).await.expect("it runs");
     }
 
-    /// Ends it as SIGKILL does.
+    /// Stops the coordinator as SIGKILL would.
     pub fn kill(mut self) {
-        self.end(End::Kill);
+        self.stop(StopKind::Kill);
     }
 
-    /// Ends it as SIGTERM does, and waits for that.
+    /// Shuts the coordinator down as SIGTERM would, and waits until it has ended.
     pub fn terminate(mut self) {
-        self.end(End::Terminate);
+        self.stop(StopKind::Terminate);
     }
 
-    fn end(&mut self, end: End) {
-        if let Some(sender) = self.end.take() {
-            // One that has ended by itself shows as its thread is joined.
-            let _ = sender.send(end);
+    fn stop(&mut self, kind: StopKind) {
+        if let Some(sender) = self.stop_request.take() {
+            // If the thread has already ended with a panic, joining it below reports that.
+            let _ = sender.send(kind);
         }
         if let Some(thread) = self.thread.take() {
             thread.join().expect("no panic");
@@ -145,7 +146,7 @@
 impl Drop for Machine {
     fn drop(&mut self) {
         if !std::thread::panicking() {
-            self.end(End::Kill);
+            self.stop(StopKind::Kill);
         }
     }
 }
--- a/crates/coordinator/tests/coordinators/engine.rs
+++ b/crates/coordinator/tests/coordinators/engine.rs
@@ -1,4 +1,4 @@
-//! A stand-in backend that reports the prompt blocks that it caches.
+//! A stub of an inference engine: a backend that only reports the prompt blocks that it caches.
 
 use poem::http::StatusCode;
 use poem::listener::TcpAcceptor;
@@ -10,7 +10,7 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::{Arc, Mutex};
 
-/// The stand-in. Ends with the runtime that it was started on.
+/// The stub. It runs until the runtime ends on which it was started.
 #[derive(Clone)]
 pub struct Engine {
     pub name: &'static str,
@@ -25,7 +25,8 @@
 }
 
 impl Engine {
-    /// Starts at an address, on a free port, with these cached blocks and their tokens.
+    /// Starts the stub on a free port of this address. `cached` has the keys of its blocks and their numbers
+    /// of tokens.
     pub async fn start(ip: Ipv4Addr, name: &'static str, cached: &[(u64, u64)]) -> Self {
         let listener = tokio::net::TcpListener::bind((ip, 0)).await.expect("listen");
         let SocketAddr::V4(address) = listener.local_addr().expect("address") else { panic!("no IPv4") };
--- a/crates/coordinator/tests/coordinators/main.rs
+++ b/crates/coordinator/tests/coordinators/main.rs
@@ -1,4 +1,4 @@
-//! Whole exchanges of three coordinators with an operator, agents and the platform, over real sockets.
+//! End-to-end tests of three coordinators with an operator, agents and the platform, over real sockets.
 
 mod clients;
 mod core_machines;
@@ -18,7 +18,8 @@
 use role_runtime::metrics::MetricsSource;
 use std::path::Path;
 
-/// Compares a transcript with the one that was approved.
+/// Compares a transcript with the approved file. If they differ, the transcript is written to the target
+/// folder.
 fn approve(name: &str, transcript: &str) {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/coordinators/approved");
     let approved = std::fs::read_to_string(folder.join(format!("{name}.txt"))).unwrap_or_default();
@@ -40,7 +41,7 @@
 }
 
 impl Fleet {
-    /// Three coordinators that start for the first time.
+    /// Starts three coordinators on empty disks, and a platform that lists three backends.
     async fn start() -> Self {
         let platform = Platform::start(next_ip()).await;
         platform.set("a", "ready");
@@ -63,7 +64,7 @@
     operator.replace(two, Some(0), &document(1)).await;
     for machine in &fleet.machines {
         let (_, body) = operator.describe(machine).await;
-        assert_eq!(body, document(1), "exactly the bytes that were sent");
+        assert_eq!(body, document(1), "the same bytes as were sent");
     }
     operator.replace(three, Some(1), &document(5)).await;
     operator.replace(one, Some(1), &document(6)).await;
@@ -94,16 +95,16 @@
 }
 
 #[tokio::test]
-async fn of_two_changes_on_one_generation_one_is_accepted() {
+async fn of_two_concurrent_changes_to_one_generation_exactly_one_is_accepted() {
     let fleet = Fleet::start().await;
     let [one, two, three] = fleet.machines.as_slice() else { panic!("three machines") };
     let mut operator = Operator::new();
     assert_eq!(operator.replace(one, None, &document(1)).await, 200);
     let (mut left, mut right) = (Operator::new(), Operator::new());
     let (longer, shorter) = (document(2), document(2).replace("1000", "2000"));
-    let answers = tokio::join!(left.replace(two, Some(1), &longer), right.replace(three, Some(1), &shorter));
-    assert!(matches!(answers, (200, 412) | (412, 200)), "{answers:?}");
-    let accepted = if answers.0 == 200 { longer } else { shorter };
+    let statuses = tokio::join!(left.replace(two, Some(1), &longer), right.replace(three, Some(1), &shorter));
+    assert!(matches!(statuses, (200, 412) | (412, 200)), "{statuses:?}");
+    let accepted = if statuses.0 == 200 { longer } else { shorter };
     assert_eq!(operator.describe(one).await, (200, accepted));
 }
 
@@ -126,7 +127,7 @@
     for agent in &mut agents {
         assert_eq!(agent.fetch(sequence + 1).await.1, document(2));
     }
-    // One that connects later is sent the state in force, in whichever order.
+    // An agent that connects later is sent the current state, in any order.
     let mut late = Agent::connect(&fleet.machines[0], "frontend-2").await;
     let (mut view, mut list) = (false, false);
     late.until(|message| {
@@ -139,10 +140,10 @@
     agents[0].until(|message| matches!(message, ToAgent::View { nodes: 2, .. }).then_some(())).await;
 }
 
-/// An agent that starts beside a coordinator which is cut off: it is notified that there is a configuration, and is not sent
-/// it, until a majority is there to confirm that none is newer.
+/// An agent connects to a coordinator that has lost its majority. It is notified of the configuration, but is
+/// sent it only once a majority can confirm that none is newer.
 #[tokio::test]
-async fn a_coordinator_without_a_majority_hands_out_no_configuration() {
+async fn a_coordinator_without_a_majority_sends_no_configuration() {
     const HEARTBEATS: usize = 4;
     let mut fleet = Fleet::start().await;
     let mut operator = Operator::new();
@@ -174,7 +175,7 @@
 }
 
 #[tokio::test]
-async fn a_drain_reaches_the_agents_of_all_coordinators_also_as_the_reader_dies() {
+async fn a_drain_reaches_all_agents_even_if_the_reader_is_killed() {
     let mut fleet = Fleet::start().await;
     let mut agents = Vec::new();
     for machine in &fleet.machines {
@@ -188,22 +189,22 @@
         agent.until_backends(&[("a", true), ("b", false), ("c", true)]).await;
     }
     let reader = fleet.machines[0].node.endpoints.summary().reader.expect("a reader");
-    let place = fleet.machines.iter().position(|machine| machine.internal == reader).expect("one of them");
-    fleet.machines.remove(place).kill();
-    agents.remove(place);
+    let position = fleet.machines.iter().position(|machine| machine.internal == reader).expect("one of them");
+    fleet.machines.remove(position).kill();
+    agents.remove(position);
     fleet.platform.set("c", "draining");
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     for agent in &mut agents {
         agent.until_backends(&[("a", true), ("b", false), ("c", false)]).await;
     }
-    println!("{} ms after the death of the reader", begun.elapsed().as_millis());
+    println!("drain known at all agents {} ms after the reader was killed", started.elapsed().as_millis());
 }
 
 #[tokio::test]
-async fn a_node_that_leaves_is_no_longer_counted_by_the_quota_allocator() {
+async fn a_node_that_shuts_down_gracefully_is_no_longer_counted() {
     let fleet = Fleet::start().await;
     let head = &fleet.machines[0];
-    head.becomes_head().await;
+    head.wait_until_acting_head().await;
     let mut stays = Agent::connect(head, "frontend-1").await;
     let leaves = Agent::connect(head, "frontend-2").await;
     let count = |wanted| {
@@ -214,27 +215,28 @@
     stays.until(count(1)).await;
 }
 
-/// End to end: agents report the index to the head, the head requests the blocks of the backend, reports the difference, and sends the
-/// correction to agents.
+/// Agents report their index to the head; the head requests the cached blocks from the backend, shows the
+/// mismatch in its status, and sends the correction to agents.
 #[tokio::test]
-async fn a_block_that_a_backend_dropped_is_reported_and_corrected_at_agents() {
+async fn a_block_dropped_by_a_backend_is_reported_and_corrected_at_agents() {
     let fleet = Fleet::start().await;
-    let kept: Vec<(u64, u64)> = (0..40).map(|number| (number << 58 | number, 100)).collect();
-    let engine = Engine::start(next_ip(), "engine", &kept).await;
+    let cached_blocks: Vec<(u64, u64)> = (0..40).map(|number| (number << 58 | number, 100)).collect();
+    let engine = Engine::start(next_ip(), "engine", &cached_blocks).await;
     fleet.platform.add(engine.name, engine.address);
     let mut operator = Operator::new();
     let audited = document(1).replace(r#""tls":false"#, r#""tls":false,"holdings_path":"/holdings""#);
     assert_eq!(operator.replace(&fleet.machines[0], None, &audited).await, 200);
     let head = &fleet.machines[0];
-    head.becomes_head().await;
+    head.wait_until_acting_head().await;
     let mut agent = Agent::connect(head, "frontend-1").await;
     let backend = control_protocol::instance_key(engine.name);
     let change = |block, tokens| IndexChange { backend, block, tokens };
     let mut changes: Vec<IndexChange> =
-        kept.iter().map(|(part, tokens)| change(*part, Some(*tokens as u32))).collect();
+        cached_blocks.iter().map(|(block, tokens)| change(*block, Some(*tokens as u32))).collect();
     let dropped = 0x1234_5678_9abc_def0;
     changes.push(change(dropped, Some(700)));
-    // Until the head audits, nobody stores a report.
+    // A report that arrives before the audit runs is ignored, so it is sent again when the index is
+    // requested.
     let report = FromAgent::IndexChanges { restart: true, changes };
     let corrections = |message| match message {
         ToAgent::IndexCorrections(corrections) => Some(corrections),
@@ -248,7 +250,7 @@
     let wanted = ("engine", "123456789abcdef0", "dropped", "index_corrected");
     let text = |name: &str| mismatches[0][name].as_str().unwrap_or_default();
     assert_eq!((text("instance_id"), text("part"), text("kind"), text("outcome")), wanted);
-    // The other backends of the list don't respond: they are reported as such.
+    // The other backends on the list don't respond, and are shown as not audited.
     let states = status["index"]["backends"].as_array().expect("backends");
     let is_audited = |name: &str| {
         let state = states.iter().find(|state| state["instance_id"] == name).expect("listed");
@@ -258,7 +260,7 @@
 }
 
 #[tokio::test]
-async fn agents_compare_the_endpoint_list_by_digests_of_ranges() {
+async fn agents_can_compare_and_repair_the_endpoint_list_by_ranges() {
     let fleet = Fleet::start().await;
     let mut agent = Agent::connect(&fleet.machines[0], "frontend-1").await;
     agent.until_backends(&[("a", true), ("b", true), ("c", true)]).await;
@@ -289,7 +291,7 @@
 }
 
 #[tokio::test]
-async fn one_coordinator_reads_for_all_and_continues_after_a_rejection() {
+async fn only_one_coordinator_reads_the_platform_and_it_recovers_after_a_rejection() {
     let fleet = Fleet::start().await;
     let mut agent = Agent::connect(&fleet.machines[2], "frontend-1").await;
     agent.until_backends(&[("a", true), ("b", true), ("c", true)]).await;
@@ -300,13 +302,14 @@
         agent.until(|message| matches!(message, ToAgent::BackendsConfirmed { .. }).then_some(())).await;
     }
     let reads = fleet.platform.calls() / pages - before;
-    // One more may be in progress, and another coordinator may have read before an update of the first reached it.
+    // One more read may be in progress, and another coordinator may have read before the first update reached
+    // it.
     assert!(reads <= confirmations + 2, "{reads} reads");
-    fleet.platform.refuse(Some(StatusCode::TOO_MANY_REQUESTS));
+    fleet.platform.set_rejection(Some(StatusCode::TOO_MANY_REQUESTS));
     let called = fleet.platform.calls();
     agent.until(|_| (fleet.platform.calls() > called).then_some(())).await;
     fleet.platform.set("c", "draining");
-    fleet.platform.refuse(None);
+    fleet.platform.set_rejection(None);
     agent.until_backends(&[("a", true), ("b", true), ("c", false)]).await;
 }
 
@@ -316,8 +319,8 @@
     let mut operator = Operator::new();
     assert_eq!(operator.replace(&fleet.machines[0], None, &document(1)).await, 200);
     fleet.machines.drain(..).for_each(Machine::kill);
-    let again = (0..3).map(|number| Machine::start(&fleet.plan, number, &fleet.disks[number], false));
-    fleet.machines = again.collect();
+    let restarted = (0..3).map(|number| Machine::start(&fleet.plan, number, &fleet.disks[number], false));
+    fleet.machines = restarted.collect();
     for machine in &fleet.machines {
         assert_eq!(operator.describe(machine).await, (200, document(1)));
     }
@@ -325,20 +328,20 @@
 }
 
 #[tokio::test]
-async fn a_core_that_was_killed_as_a_whole_sends_newer_list_versions_than_before() {
+async fn list_versions_increase_across_a_restart_of_the_whole_core() {
     let mut fleet = Fleet::start().await;
     let mut agent = Agent::connect(&fleet.machines[0], "frontend-1").await;
-    let whole = [("a", true), ("b", true), ("c", true)];
-    let before = agent.until_backends(&whole).await;
+    let all_ready = [("a", true), ("b", true), ("c", true)];
+    let before = agent.until_backends(&all_ready).await;
     fleet.machines.drain(..).for_each(Machine::kill);
     fleet.machines =
         (0..3).map(|number| Machine::start(&fleet.plan, number, &fleet.disks[number], false)).collect();
     let mut agent = Agent::connect(&fleet.machines[0], "frontend-1").await;
-    assert!(agent.until_backends(&whole).await > before);
-    // Also when the wall clock has gone back, once an agent has reported its version.
+    assert!(agent.until_backends(&all_ready).await > before);
+    // Also if the wall clock has gone back: then an agent's report of its version raises the versions.
     let later = BackendListVersion(before.number() + (1 << 40));
     agent.send(&FromAgent::BackendsSeen { version: later });
-    // A read that began before the report arrived still has an older version.
+    // A read that started before the report arrived still has a lower version.
     let confirmed = agent
         .until(|message| match message {
             ToAgent::BackendsConfirmed { version } if version > later => Some(version),
@@ -350,7 +353,7 @@
 }
 
 #[tokio::test]
-async fn a_coordinator_that_shuts_down_hands_its_work_over() {
+async fn a_coordinator_that_shuts_down_hands_over_to_the_others() {
     let mut fleet = Fleet::start().await;
     let mut operator = Operator::new();
     assert_eq!(operator.replace(&fleet.machines[0], None, &document(1)).await, 200);
@@ -363,7 +366,7 @@
 }
 
 #[tokio::test]
-async fn only_the_head_allocates_the_limits_of_tenants() {
+async fn only_the_acting_head_allocates_the_limits_of_tenants() {
     let fleet = Fleet::start().await;
     let mut operator = Operator::new();
     let tenants = r#""tenants":[{"name":"t","api_keys":["k"],"rate_per_s":100,"burst":100}],"limits""#;
@@ -371,9 +374,9 @@
     assert_eq!(operator.replace(&fleet.machines[0], None, &document).await, 200);
     let [one, two, three] = fleet.machines.as_slice() else { panic!("three machines") };
     let head = tokio::select! {
-        () = one.becomes_head() => &one.name,
-        () = two.becomes_head() => &two.name,
-        () = three.becomes_head() => &three.name,
+        () = one.wait_until_acting_head() => &one.name,
+        () = two.wait_until_acting_head() => &two.name,
+        () = three.wait_until_acting_head() => &three.name,
     };
     for machine in &fleet.machines {
         let mut agent = Agent::connect(machine, "frontend-1").await;
@@ -390,16 +393,14 @@
         let request =
             QuotaRequest { number: 1, last_answered: 0, last_answered_ms_ago: 0, demands: vec![demand] };
         agent.send(&FromAgent::QuotaRequest(request));
-        let answer = agent
+        let response = agent
             .until(|message| match message {
-                ToAgent::QuotaResponse(answer) => Some(Some(answer)),
+                ToAgent::QuotaResponse(response) => Some(Some(response)),
                 ToAgent::Heartbeat => Some(None),
                 _ => None,
             })
             .await;
-        assert_eq!(answer.is_some(), machine.name == *head, "{answer:?} of {}", machine.name);
-        assert!(
-            answer.is_none_or(|allotment| allotment.request_id == 1 && allotment.grants[0].amount >= 1.0)
-        );
+        assert_eq!(response.is_some(), machine.name == *head, "{response:?} of {}", machine.name);
+        assert!(response.is_none_or(|response| response.request_id == 1 && response.grants[0].amount >= 1.0));
     }
 }
--- a/crates/coordinator/tests/coordinators/platform.rs
+++ b/crates/coordinator/tests/coordinators/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's list, in pages of two entries.
+//! A stub of the platform's API, which lists backends in pages of two entries.
 
 use poem::http::StatusCode;
 use poem::listener::TcpAcceptor;
@@ -9,9 +9,9 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::{Arc, Mutex};
 
-const PAGE: usize = 2;
+const PAGE_SIZE: usize = 2;
 
-/// The stand-in. Ends with the runtime that it was started on.
+/// The stub. It runs until the runtime ends on which it was started.
 #[derive(Clone)]
 pub struct Platform {
     pub address: SocketAddrV4,
@@ -22,7 +22,7 @@
 struct State {
     instances: Vec<Value>,
     calls: u64,
-    refuses: Option<StatusCode>,
+    rejection: Option<StatusCode>,
 }
 
 #[derive(Deserialize)]
@@ -31,7 +31,7 @@
 }
 
 impl Platform {
-    /// Starts at an address, on a free port.
+    /// Starts the stub on a free port of this address, with an empty list.
     pub async fn start(ip: Ipv4Addr) -> Self {
         let listener = tokio::net::TcpListener::bind((ip, 0)).await.expect("listen");
         let SocketAddr::V4(address) = listener.local_addr().expect("address") else { panic!("no IPv4") };
@@ -42,7 +42,7 @@
         platform
     }
 
-    /// Sets the state of a backend; one that is not listed yet is added.
+    /// Sets the state of a backend, which is added to the list if necessary.
     pub fn set(&self, name: &str, state: &str) {
         let mut inner = self.state.lock().expect("no panic");
         inner.instances.retain(|instance| instance["instance_id"] != name);
@@ -53,7 +53,7 @@
         }));
     }
 
-    /// Lists a backend that is there, in place of one of that name.
+    /// Lists a ready backend at a real address, in place of one with the same name.
     pub fn add(&self, name: &str, address: SocketAddrV4) {
         self.set(name, "ready");
         let mut inner = self.state.lock().expect("no panic");
@@ -61,12 +61,12 @@
         listed.expect("it was set")["address"] = address.to_string().into();
     }
 
-    /// Answers with a status in place of the list.
-    pub fn refuse(&self, status: Option<StatusCode>) {
-        self.state.lock().expect("no panic").refuses = status;
+    /// Sets the status with which requests are rejected; `None` to serve the list again.
+    pub fn set_rejection(&self, status: Option<StatusCode>) {
+        self.state.lock().expect("no panic").rejection = status;
     }
 
-    /// How many calls there were.
+    /// The number of requests so far.
     pub fn calls(&self) -> u64 {
         self.state.lock().expect("no panic").calls
     }
@@ -76,12 +76,12 @@
 fn instances(platform: Data<&Platform>, query: Query<PageQuery>) -> Response {
     let mut state = platform.state.lock().expect("no panic");
     state.calls += 1;
-    if let Some(status) = state.refuses {
+    if let Some(status) = state.rejection {
         return Response::builder().status(status).finish();
     }
     let from = query.page_token.unwrap_or(0);
-    let page: Vec<Value> = state.instances.iter().skip(from).take(PAGE).cloned().collect();
-    let next = (from + PAGE < state.instances.len()).then(|| (from + PAGE).to_string());
+    let page: Vec<Value> = state.instances.iter().skip(from).take(PAGE_SIZE).cloned().collect();
+    let next = (from + PAGE_SIZE < state.instances.len()).then(|| (from + PAGE_SIZE).to_string());
     let body = json!({"instances": page, "next_page_token": next});
     Response::builder().content_type("application/json").body(body.to_string())
 }
--- a/crates/coordinator/tests/golden_metrics.rs
+++ b/crates/coordinator/tests/golden_metrics.rs
@@ -1,13 +1,14 @@
-//! The metrics of a coordinator and an agent, as they are served over HTTP, compared with golden files: names, helps, types
-//! and labels. Each value is replaced by `(value)`, the length by `(length)` and the date by `(time)`; lines of one family stand
-//! in the order of the alphabet.
+//! The metrics of a coordinator and an agent, as they are served over HTTP, compared with golden files:
+//! names, help texts, types and labels. Values are replaced by `(value)`, the content length by `(length)`
+//! and the date by `(time)`; the samples of each family are sorted.
 //!
-//! The golden files in `tests/golden` are written on purpose alone: `GOLDEN=write cargo test -p coordinator --test golden_metrics`.
-//! Without that, a file that is missing or differs fails the test with the place of the first difference.
+//! The golden files in `tests/golden` are updated only on request: `GOLDEN=write cargo test -p coordinator
+//! --test golden_metrics`. Otherwise a missing or different file fails the test, which shows the first
+//! difference.
 
 #[path = "../../control-protocol/tests/golden/compare.rs"]
 mod compare;
-#[allow(dead_code)] // the test needs a part of the set-up alone
+#[allow(dead_code)] // this test uses only a part of the module
 #[path = "coordinators/core_machines.rs"]
 mod core_machines;
 #[path = "../../control-protocol/tests/golden/exposition.rs"]
@@ -23,15 +24,15 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::sync::Arc;
 
-/// The response that serves a role's metrics, with its head.
-async fn exposition_response(figures: Arc<dyn MetricsSource>) -> String {
+/// Serves metrics over HTTP, and returns the status, the headers and the body of the response.
+async fn metrics_response(metrics: Arc<dyn MetricsSource>) -> String {
     let free = control_link::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let SocketAddr::V4(address) = free.local_addr().expect("its address") else { panic!("not version 4") };
     drop(free);
-    listen(address, "/metrics", figures).expect("it listens");
-    let answer = reqwest::get(format!("http://{address}/metrics")).await.expect("an answer");
-    let mut head = vec![format!("status: {}", answer.status())];
-    for (name, value) in answer.headers() {
+    listen(address, "/metrics", metrics).expect("it listens");
+    let response = reqwest::get(format!("http://{address}/metrics")).await.expect("an response");
+    let mut head = vec![format!("status: {}", response.status())];
+    for (name, value) in response.headers() {
         let value = match name.as_str() {
             "date" => "(time)",
             "content-length" => "(length)",
@@ -40,12 +41,12 @@
         head.push(format!("{name}: {value}"));
     }
     head.sort();
-    let text = answer.text().await.expect("a text");
+    let text = response.text().await.expect("a text");
     format!("{}\n\n{}", head.join("\n"), without_values(&text))
 }
 
-/// An answer of each kind.
-fn answers() -> [RequestOutcome; 7] {
+/// One outcome of each variant; a variant that is missing here does not compile.
+fn outcomes() -> [RequestOutcome; 7] {
     let all = [
         RequestOutcome::Committed { sequence: Sequence(1) },
         RequestOutcome::Conflict { current: Generation(1) },
@@ -55,8 +56,8 @@
         RequestOutcome::ReadIndex { sequence: Sequence(1) },
         RequestOutcome::Unknown,
     ];
-    for (at, answer) in all.iter().enumerate() {
-        let place = match answer {
+    for (index, outcome) in all.iter().enumerate() {
+        let position = match outcome {
             RequestOutcome::Committed { .. } => 0,
             RequestOutcome::Conflict { .. } => 1,
             RequestOutcome::NotHigher { .. } => 2,
@@ -65,33 +66,33 @@
             RequestOutcome::ReadIndex { .. } => 5,
             RequestOutcome::Unknown => 6,
         };
-        assert_eq!(at, place);
+        assert_eq!(index, position);
     }
     all
 }
 
 #[tokio::test]
-async fn metrics_of_a_coordinator() {
-    // No platform is there: a list is no part of what is compared.
+async fn coordinator_metrics_match_the_golden_file() {
+    // There is no platform at this address, because the list is not compared here.
     let plan = Plan::new(3, SocketAddrV4::new(next_ip(), 1));
     let machine = Machine::start(&plan, 0, &Disk::default(), true);
     let counters = &machine.node.counters;
-    answers().iter().for_each(|answer| counters.record_change(answer));
+    outcomes().iter().for_each(|outcome| counters.record_change(outcome));
     counters.record_invalid_change();
-    for answer in [RequestOutcome::Current(None), RequestOutcome::Unknown] {
-        counters.record_read(&answer);
+    for outcome in [RequestOutcome::Current(None), RequestOutcome::Unknown] {
+        counters.record_read(&outcome);
     }
-    for answer in [RequestOutcome::ReadIndex { sequence: Sequence(1) }, RequestOutcome::Unknown] {
-        counters.record_read_index(&answer);
+    for outcome in [RequestOutcome::ReadIndex { sequence: Sequence(1) }, RequestOutcome::Unknown] {
+        counters.record_read_index(&outcome);
     }
-    let figures = Arc::new(CoordinatorMetrics::new(&machine.node));
-    compare::hold("interfaces/metrics_coordinator.txt", &exposition_response(figures).await);
+    let metrics = Arc::new(CoordinatorMetrics::new(&machine.node));
+    compare::hold("interfaces/metrics_coordinator.txt", &metrics_response(metrics).await);
 }
 
 #[tokio::test]
-async fn metrics_of_an_agent() {
-    let figures = AgentMetrics::default();
-    figures.count_link();
-    figures.update(&AgentState::default());
-    compare::hold("interfaces/metrics_agent.txt", &exposition_response(Arc::new(figures)).await);
+async fn agent_metrics_match_the_golden_file() {
+    let metrics = AgentMetrics::default();
+    metrics.count_link();
+    metrics.update(&AgentState::default());
+    compare::hold("interfaces/metrics_agent.txt", &metrics_response(Arc::new(metrics)).await);
 }
--- a/crates/coordinator/tests/golden_operator.rs
+++ b/crates/coordinator/tests/golden_operator.rs
@@ -1,13 +1,13 @@
-//! The operator's HTTP interface, compared with golden files: every response to a change and to a request for the configuration,
-//! with its status, its headers and its body, and the status of a coordinator as JSON.
+//! The operator's HTTP API, compared with golden files: the responses to changes and reads of the
+//! configuration with their status, headers and body, and the status of a coordinator as JSON.
 //!
-//! In the transcripts the value of `date` is replaced by `(time)`, and the body of a status by `(status)`, since that has a
-//! golden file of its own.
+//! In the transcripts the value of the header `date` is replaced by `(time)`.
 //!
-//! The golden files in `tests/golden` are written on purpose alone: `GOLDEN=write cargo test -p coordinator --test golden_operator`.
-//! Without that, a file that is missing or differs fails the test with the place of the first difference.
+//! The golden files in `tests/golden` are updated only on request: `GOLDEN=write cargo test -p coordinator
+//! --test golden_operator`. Otherwise a missing or different file fails the test, which shows the first
+//! difference.
 
-#[allow(dead_code)] // the test needs a part of the set-up alone
+#[allow(dead_code)] // this test uses only a part of the module
 #[path = "coordinators/clients.rs"]
 mod clients;
 #[path = "../../control-protocol/tests/golden/compare.rs"]
@@ -52,17 +52,17 @@
 const REPLACE: &str = "/api/Config.Replace";
 const DESCRIBE: &str = "/api/Config.Describe";
 const STATUS: &str = "/api/status";
-/// The largest document that is taken, in bytes.
+/// The size of the largest document that is accepted, in bytes.
 const LARGEST_DOCUMENT: usize = 8 << 20;
-/// What an answer says that is not clear.
-const UNCLEAR: &str = "there is no clear answer now";
+/// The text of a response to a request whose outcome is unknown.
+const UNKNOWN_OUTCOME: &str = "there is no clear answer now";
 
-/// A request of an operator.
+/// A request from an operator.
 struct ApiRequest {
     method: Method,
     path: &'static str,
     base: Option<&'static str>,
-    /// What the document is, for the transcript, and the document.
+    /// The document with a short description for the transcript.
     document: Option<(&'static str, String)>,
 }
 
@@ -99,27 +99,27 @@
 }
 
 impl Operator {
-    /// Sends a request until there is a clear answer.
+    /// Repeats a request until its outcome is known, and records the response.
     async fn request(&mut self, of: &Machine, request: &ApiRequest) -> String {
-        let begun = Instant::now();
-        let answer = loop {
-            match self.once(of, request).await {
-                Some(answer) if !answer.contains(UNCLEAR) => break answer,
-                answer => assert!(begun.elapsed() < TIMEOUT, "no clear answer: {answer:?}"),
+        let started = Instant::now();
+        let response = loop {
+            match self.send_once(of, request).await {
+                Some(response) if !response.contains(UNKNOWN_OUTCOME) => break response,
+                response => assert!(started.elapsed() < TIMEOUT, "the outcome stays unknown: {response:?}"),
             }
         };
-        self.record(request, &answer);
-        answer
+        self.record(request, &response);
+        response
     }
 
-    /// Sends a request once, whose answer is not clear.
-    async fn request_unclear(&mut self, of: &Machine, request: &ApiRequest) {
-        let answer = self.once(of, request).await.expect("an answer");
-        assert!(answer.contains(UNCLEAR), "{answer}");
-        self.record(request, &answer);
+    /// Sends a request once, asserts that its outcome is unknown, and records the response.
+    async fn request_with_unknown_outcome(&mut self, of: &Machine, request: &ApiRequest) {
+        let response = self.send_once(of, request).await.expect("a response");
+        assert!(response.contains(UNKNOWN_OUTCOME), "{response}");
+        self.record(request, &response);
     }
 
-    async fn once(&self, of: &Machine, request: &ApiRequest) -> Option<String> {
+    async fn send_once(&self, of: &Machine, request: &ApiRequest) -> Option<String> {
         let url = format!("http://{}{}", of.control, request.path);
         let mut call = self.client.request(request.method.clone(), url).timeout(TIMEOUT);
         if let Some(base) = request.base {
@@ -128,20 +128,20 @@
         if let Some((_, document)) = &request.document {
             call = call.header("Content-Type", "application/json").body(document.clone());
         }
-        let answer = call.send().await.ok()?;
+        let response = call.send().await.ok()?;
         let header = |(name, value): (&reqwest::header::HeaderName, &reqwest::header::HeaderValue)| {
             let value = value.to_str().expect("a text");
             format!("< {name}: {}\n", if name == "date" { "(time)" } else { value })
         };
-        let status = answer.status();
-        let mut headers: Vec<String> = answer.headers().iter().map(header).collect();
+        let status = response.status();
+        let mut headers: Vec<String> = response.headers().iter().map(header).collect();
         headers.sort();
-        let body = answer.text().await.ok()?;
+        let body = response.text().await.ok()?;
         Some(format!("< {status}\n{}{body}", headers.concat()))
     }
 
-    fn record(&mut self, request: &ApiRequest, answer: &str) {
-        self.transcript += &format!("{}\n{answer}\n\n", request.title());
+    fn record(&mut self, request: &ApiRequest, response: &str) {
+        self.transcript += &format!("{}\n{response}\n\n", request.title());
     }
 }
 
@@ -168,15 +168,18 @@
         self.machines = (0..3).map(start).collect();
     }
 
-    /// Starts all coordinators anew, as if they had forgotten whether changes up to a generation were taken: they remember a
-    /// few thousand.
-    async fn start_again_having_forgotten(&mut self, forgotten: u64) {
+    /// Restarts all coordinators with a history that no longer covers the changes up to the generation
+    /// `forgotten`.
+    ///
+    /// The real history covers thousands of changes, so the test writes a suitable record to the disks
+    /// instead.
+    async fn restart_with_shortened_history(&mut self, forgotten: u64) {
         let node = self.machines[0].node.clone();
         let RequestOutcome::Current(Some(entry)) = node.replica.read().outcome().await else {
-            panic!("no clear answer")
+            panic!("the outcome is unknown")
         };
         let view = node.replica.view().borrow().clone().expect("a view");
-        let of_members: Vec<bool> = self
+        let was_in_chain: Vec<bool> = self
             .machines
             .iter()
             .map(|machine| view.chain.contains(&machine.node.replica.status().id))
@@ -189,7 +192,7 @@
         let holding = json!({"synced": view.number, "complete": view.number});
         let record = json!({"Transfer": {"transfer": transfer, "holding": holding}});
         let record: Record = serde_json::from_value(record).expect("a record");
-        for (disk, _) in self.disks.iter_mut().zip(of_members).filter(|(_, is_member)| *is_member) {
+        for (disk, _) in self.disks.iter_mut().zip(was_in_chain).filter(|(_, was_in_chain)| *was_in_chain) {
             disk.append(std::slice::from_ref(&record)).expect("on the disk");
         }
         self.start_machines(false);
@@ -197,10 +200,10 @@
 }
 
 #[tokio::test]
-async fn responses_to_changes_and_requests() {
+async fn responses_to_changes_and_reads_match_the_golden_file() {
     let mut core = Core::start().await;
     let mut operator = Operator::default();
-    let clear = [
+    let requests = [
         ApiRequest::describe(),
         ApiRequest::replace(None, "generation 1", document(1)),
         ApiRequest::describe(),
@@ -215,8 +218,8 @@
         ApiRequest::replace(Some("5"), "not JSON", "{\"generation\":".into()),
         ApiRequest::replace(Some("5"), "an empty object", "{}".into()),
         ApiRequest::replace(Some("5"), "a list", "[]".into()),
-        ApiRequest::replace(Some("5"), "a service that is not there", other_service(7)),
-        ApiRequest::replace(Some("5"), "more faults than are told", many_faults()),
+        ApiRequest::replace(Some("5"), "a service that is not there", document_with_unknown_service(7)),
+        ApiRequest::replace(Some("5"), "more faults than are told", document_with_many_errors()),
         ApiRequest::replace(Some("5"), "as large as is taken", " ".repeat(LARGEST_DOCUMENT)),
         ApiRequest::replace(Some("5"), "one byte larger", " ".repeat(LARGEST_DOCUMENT + 1)),
         ApiRequest::replace(Some("one"), "generation 7", document(7)),
@@ -230,46 +233,50 @@
         ApiRequest::to(Method::GET, "/api/config.describe"),
         ApiRequest::to(Method::POST, "/api/Config.Replace/"),
     ];
-    for (at, request) in clear.iter().enumerate() {
+    for (at, request) in requests.iter().enumerate() {
         operator.request(&core.machines[at % 3], request).await;
     }
-    core.start_again_having_forgotten(4).await;
+    core.restart_with_shortened_history(4).await;
     operator
         .request(&core.machines[0], &ApiRequest::replace(None, "generation 3, forgotten", document(3)))
         .await;
     operator.request(&core.machines[0], &ApiRequest::describe()).await;
     core.machines.drain(1..).for_each(Machine::kill);
-    operator.request_unclear(&core.machines[0], &ApiRequest::describe()).await;
+    operator.request_with_unknown_outcome(&core.machines[0], &ApiRequest::describe()).await;
     operator
-        .request_unclear(&core.machines[0], &ApiRequest::replace(Some("5"), "generation 7", document(7)))
+        .request_with_unknown_outcome(
+            &core.machines[0],
+            &ApiRequest::replace(Some("5"), "generation 7", document(7)),
+        )
         .await;
     compare::hold("interfaces/operator.txt", &operator.transcript);
 }
 
-/// A document whose route names a service that it does not have.
-fn other_service(generation: u64) -> String {
+/// A document with a route to a service that it does not define.
+fn document_with_unknown_service(generation: u64) -> String {
     document(generation).replace("\"service\":\"s\"", "\"service\":\"x\"")
 }
 
-/// A document with more faults than a response can hold.
-fn many_faults() -> String {
+/// A document with more errors than fit into a response.
+fn document_with_many_errors() -> String {
     let route = r#"{"name":"r","hostname":7,"path_prefix":"no slash","route_type":"odd","timeout_ms":-1}"#;
     document(9).replace("\"routes\":[", &format!("\"routes\":[{}", format!("{route},").repeat(60)))
 }
 
-/// A document in chunks that are none.
+/// The request announces a chunked body, but what follows is not a chunk.
 #[tokio::test]
-async fn the_answer_to_a_body_that_cannot_be_read() {
+async fn a_body_that_cannot_be_read_is_rejected() {
     let core = Core::start().await;
     let head = format!("POST {REPLACE} HTTP/1.1\r\nHost: c\r\nTransfer-Encoding: chunked\r\n\r\n");
-    let answer = raw_answer(core.machines[0].control, &format!("{head}no number\r\n")).expect("an answer");
-    compare::hold("interfaces/operator_unreadable_body.txt", &answer);
+    let response =
+        raw_response(core.machines[0].control, &format!("{head}no number\r\n")).expect("a response");
+    compare::hold("interfaces/operator_unreadable_body.txt", &response);
 }
 
-/// A coordinator whose clock is the test's: the time that it allows a client passes at once.
+/// The coordinator runs on the paused clock of the test, so that its time limit for a body passes at once.
 #[tokio::test(start_paused = true)]
-async fn the_answer_to_a_body_that_does_not_come() {
-    // No platform is there, and none is read.
+async fn a_body_that_does_not_arrive_in_time_is_rejected() {
+    // There is no platform at this address: the settings below name none.
     let plan = Plan::new(1, SocketAddrV4::new(next_ip(), 1));
     let ([control, internal], ip) = (plan.ports, plan.ips[0]);
     let text = format!(
@@ -283,32 +290,33 @@
     let (sender, received) = tokio::sync::oneshot::channel();
     std::thread::spawn(move || {
         let head = format!("POST {REPLACE} HTTP/1.1\r\nHost: c\r\nContent-Length: 10\r\n\r\n");
-        let begun = Instant::now();
-        // Where the clock runs on before the head has come, the connection counts as idle and is closed.
-        let answer = loop {
-            if let Some(answer) = raw_answer(SocketAddrV4::new(ip, control), &format!("{head}{{")) {
-                break answer;
+        let started = Instant::now();
+        // If the clock advances before the head has arrived, the connection counts as idle and is closed: try
+        // again.
+        let response = loop {
+            if let Some(response) = raw_response(SocketAddrV4::new(ip, control), &format!("{head}{{")) {
+                break response;
             }
-            assert!(begun.elapsed() < TIMEOUT, "no answer");
+            assert!(started.elapsed() < TIMEOUT, "no response");
         };
-        sender.send(answer).expect("the test waits");
+        sender.send(response).expect("the test waits");
     });
-    let answer = received.await.expect("the client has a response");
-    compare::hold("interfaces/operator_late_body.txt", &answer);
+    let response = received.await.expect("the client has a response");
+    compare::hold("interfaces/operator_late_body.txt", &response);
 }
 
-/// Sends a text on a connection of its own and reads the response, up to its content length; `None` if there is none.
-fn raw_answer(to: SocketAddrV4, text: &str) -> Option<String> {
+/// Sends a text on a new connection and reads the response up to its content length; `None` if there is none.
+fn raw_response(to: SocketAddrV4, text: &str) -> Option<String> {
     let mut stream = TcpStream::connect(to).expect("a connection");
     stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     stream.write_all(text.as_bytes()).ok()?;
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     let mut byte = [0];
-    while !answer.ends_with(b"\r\n\r\n") {
+    while !response.ends_with(b"\r\n\r\n") {
         stream.read_exact(&mut byte).ok()?;
-        answer.push(byte[0]);
+        response.push(byte[0]);
     }
-    let head = String::from_utf8(answer).expect("a text").replace('\r', "");
+    let head = String::from_utf8(response).expect("a text").replace('\r', "");
     let length = head.lines().find_map(|line| line.strip_prefix("content-length: "));
     let mut body = vec![0; length.expect("a length").parse().expect("a number")];
     stream.read_exact(&mut body).expect("a body");
@@ -318,7 +326,7 @@
     Some(format!("{}\n{}\n", lines.join("\n"), String::from_utf8(body).expect("a text")))
 }
 
-/// A status with all that there can be in it.
+/// A status in which every field has a value and every list an element.
 fn full_status() -> CoordinatorStatus {
     let member =
         |member: &str, node: Option<&str>, address: &str, chain_position, has_recent_contact| MemberStatus {
@@ -412,12 +420,12 @@
     };
     let kinds: BTreeSet<i32> = mismatches.iter().map(|mismatch| variants(mismatch).0).collect();
     let outcomes: BTreeSet<i32> = mismatches.iter().map(|mismatch| variants(mismatch).1).collect();
-    assert_eq!((kinds.len(), outcomes.len()), (3, 2), "all kinds and outcomes are there");
+    assert_eq!((kinds.len(), outcomes.len()), (3, 2), "the status has every kind and every outcome");
     IndexStatus { backends: vec![audited, unaudited], mismatches, older_mismatches: 6 }
 }
 
-/// A status of a coordinator that knows nothing yet.
-fn least_status() -> CoordinatorStatus {
+/// The status of a coordinator that has just started and knows nothing yet.
+fn minimal_status() -> CoordinatorStatus {
     CoordinatorStatus {
         node: "core-1".into(),
         member: "00000000000000aa".into(),
@@ -442,19 +450,20 @@
     }
 }
 
-fn pretty(status: &CoordinatorStatus) -> String {
+fn to_pretty_json(status: &CoordinatorStatus) -> String {
     serde_json::to_string_pretty(status).expect("JSON") + "\n"
 }
 
-/// A status in JSON is parsed, and written again in the same bytes. Also one without the index, as it was before.
+/// A status in JSON is parsed and serialized again to the same bytes. A status without the field `index`, as
+/// older coordinators send it, is parsed too.
 #[test]
-fn a_status_in_json() {
-    for (name, status) in [("full", full_status()), ("least", least_status())] {
+fn a_status_in_json_survives_a_round_trip() {
+    for (name, status) in [("full", full_status()), ("least", minimal_status())] {
         let file = format!("interfaces/status_{name}.json");
-        compare::hold(&file, &pretty(&status));
+        compare::hold(&file, &to_pretty_json(&status));
         let approved = compare::read(&file);
         let read: CoordinatorStatus = serde_json::from_str(&approved).expect("a status");
-        assert_eq!(pretty(&read), approved);
+        assert_eq!(to_pretty_json(&read), approved);
     }
     let mut old: Value = serde_json::from_str(&compare::read("interfaces/status_full.json")).expect("JSON");
     old.as_object_mut().expect("an object").remove("index").expect("the index");
@@ -462,38 +471,39 @@
     assert!(read.index.is_none());
 }
 
-/// The places of all values in a JSON value with their types, members of one list together.
-fn places(value: &Value, at: &str, found: &mut BTreeSet<(String, &'static str)>) {
+/// Collects the paths of all values within a JSON value, with their types. All elements of a list have the
+/// same path.
+fn collect_paths(value: &Value, at: &str, found: &mut BTreeSet<(String, &'static str)>) {
     let of_type = match value {
         Value::Null => "null",
         Value::Bool(_) => "truth",
         Value::Number(_) => "number",
         Value::String(_) => "text",
         Value::Array(values) => {
-            values.iter().for_each(|value| places(value, &format!("{at}[]"), found));
+            values.iter().for_each(|value| collect_paths(value, &format!("{at}[]"), found));
             "list"
         }
         Value::Object(members) => {
-            members.iter().for_each(|(name, value)| places(value, &format!("{at}.{name}"), found));
+            members.iter().for_each(|(name, value)| collect_paths(value, &format!("{at}.{name}"), found));
             "object"
         }
     };
     found.insert((at.to_owned(), of_type));
 }
 
-fn places_of(text: &str) -> BTreeSet<(String, &'static str)> {
+fn paths_of(text: &str) -> BTreeSet<(String, &'static str)> {
     let mut found = BTreeSet::new();
-    places(&serde_json::from_str(text).expect("JSON"), "", &mut found);
+    collect_paths(&serde_json::from_str(text).expect("JSON"), "", &mut found);
     found
 }
 
-/// Three coordinators with agents, backends, a configuration and an audit that finds something: what the head responds has all the
-/// places of the golden status, and none besides.
+/// Three coordinators with agents, backends, a configuration and an audit that finds a mismatch: the head's
+/// status has exactly the paths of the golden status.
 #[tokio::test]
-async fn the_status_of_a_coordinator_at_work() {
+async fn the_status_of_a_working_coordinator_has_the_paths_of_the_golden_status() {
     let core = Core::start().await;
-    let kept: Vec<(u64, u64)> = (0..40).map(|number| (number << 58 | number, 100)).collect();
-    let engine = Engine::start(next_ip(), "engine", &kept).await;
+    let cached_blocks: Vec<(u64, u64)> = (0..40).map(|number| (number << 58 | number, 100)).collect();
+    let engine = Engine::start(next_ip(), "engine", &cached_blocks).await;
     core.platform.add("engine", engine.address);
     core.platform.add("elsewhere", engine.address);
     core.platform.add("without", core.platform.address);
@@ -501,45 +511,47 @@
     let audited = document(1).replace(r#""tls":false"#, r#""tls":false,"holdings_path":"/holdings""#);
     let head = &core.machines[0];
     operator.request(head, &ApiRequest::replace(None, "audited", audited)).await;
-    head.becomes_head().await;
+    head.wait_until_acting_head().await;
     let _other = Agent::connect(head, "frontend-2").await;
     let mut agent = Agent::connect(head, "frontend-1").await;
     let (sequence, _) = agent.fetch(1).await;
     agent.send(&FromAgent::ConfigurationApplied { sequence: ConfigurationSequence(sequence) });
     let backend = control_protocol::instance_key("engine");
-    let part = |part, tokens| IndexChange { backend, block: part, tokens: Some(tokens) };
-    let mut changes: Vec<IndexChange> = kept.iter().map(|(key, tokens)| part(*key, *tokens as u32)).collect();
-    changes.push(part(0x1234_5678_9abc_def0, 700));
+    let change = |block, tokens| IndexChange { backend, block, tokens: Some(tokens) };
+    let mut changes: Vec<IndexChange> =
+        cached_blocks.iter().map(|(key, tokens)| change(*key, *tokens as u32)).collect();
+    changes.push(change(0x1234_5678_9abc_def0, 700));
     let report = FromAgent::IndexChanges { restart: true, changes };
     let corrected = |message| matches!(message, ToAgent::IndexCorrections(_)).then_some(());
     agent.until_after_report(&report, corrected).await;
     let (mut status, mut states) = (String::new(), BTreeSet::new());
     while states.len() < 4 {
-        let answer = operator.once(head, &ApiRequest::to(Method::GET, STATUS)).await.expect("an answer");
-        let (line, body) = answer.split_at(answer.find('{').expect("a body"));
+        let response =
+            operator.send_once(head, &ApiRequest::to(Method::GET, STATUS)).await.expect("a response");
+        let (line, body) = response.split_at(response.find('{').expect("a body"));
         let line: String = line.lines().filter(|line| !line.starts_with("< content-length")).collect();
         assert_eq!(line, "< 200 OK< content-type: application/json< date: (time)");
         status = body.to_owned();
         let read: CoordinatorStatus = serde_json::from_str(&status).expect("a status");
-        assert_eq!(serde_json::to_string(&read).expect("JSON"), status, "in the same bytes");
+        assert_eq!(serde_json::to_string(&read).expect("JSON"), status, "serialized to the same bytes");
         let shown = read.index.expect("an index").backends;
         let looked_at = shown.into_iter().filter(|shown| shown.state != "not looked at");
         states.extend(looked_at.map(|shown| format!("{}: {}\n", shown.instance_id, shown.state)));
         agent.until(|message| (message == ToAgent::Heartbeat).then_some(())).await;
     }
     compare::hold("interfaces/index_states.txt", &Vec::from_iter(states).concat());
-    let (full, found) = (places_of(&pretty(&full_status())), places_of(&status));
-    let names = |places: &BTreeSet<(String, &str)>| -> BTreeSet<String> {
-        places.iter().map(|(place, _)| place.clone()).collect()
+    let (full, found) = (paths_of(&to_pretty_json(&full_status())), paths_of(&status));
+    let names = |paths: &BTreeSet<(String, &str)>| -> BTreeSet<String> {
+        paths.iter().map(|(path, _)| path.clone()).collect()
     };
-    assert_eq!(names(&found), names(&full), "places of values");
-    let known: BTreeSet<_> = full.union(&places_of(&pretty(&least_status()))).cloned().collect();
+    assert_eq!(names(&found), names(&full), "paths of values");
+    let known: BTreeSet<_> = full.union(&paths_of(&to_pretty_json(&minimal_status()))).cloned().collect();
     assert!(found.is_subset(&known), "types: {:?}", found.difference(&known));
 }
 
-/// A backend that was not queried yet is reported as such.
+/// A backend that has not been compared yet is shown as `not looked at`.
 #[test]
-fn the_state_of_a_backend_that_was_not_queried_yet() {
+fn a_backend_that_has_not_been_compared_is_shown_as_not_looked_at() {
     let clock = Clock::start();
     let agents = Arc::new(Agents::new(clock));
     let audits = IndexAudits::new(agents.clone(), clock);
