--- a/crates/coordinator/tests/golden_core/mod.rs
+++ b/crates/coordinator/tests/golden_core/mod.rs
@@ -1,5 +1,5 @@
-//! Replicas of a few core machines that keep their records in folders of the disk, as coordinators do. Time is counted, and all
-//! follows from the order of steps: messages take one step, writes another.
+//! Replicas of several core machines that store their records in folders on disk, as coordinators do. Time is
+//! simulated and every run is the same: messages take one step, and so do writes.
 
 use coordinator::log_file;
 use coordinator::storage::ReplicaLog;
@@ -14,40 +14,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a message is on its way.
+/// The simulated time of one step, which is also the latency of a message.
 const STEP: Duration = Duration::from_millis(5);
 
-/// How many steps a tick of the replicas takes.
-const STEPS_A_TICK: u64 = 10;
+/// The number of steps between two ticks of the replicas.
+const STEPS_PER_TICK: u64 = 10;
 
-/// The longest time that anything may take.
-const PATIENCE: u64 = 4_000;
+/// The number of steps after which an expected condition counts as failed.
+const MAX_STEPS: u64 = 4_000;
 
-/// A machine: its replica while it runs, and its disk.
+/// A machine: its disk, and its replica while it runs.
 pub struct Machine {
     pub folder: PathBuf,
     pub replica: Option<Replica>,
     log: Option<Box<dyn ReplicaLog>>,
-    /// What is to be appended as one batch, as what waits for the storage thread is.
-    waiting: Vec<(WriteId, Record)>,
-    stored: Vec<Input>,
-    /// Whether the disk takes nothing.
+    /// The records that are appended as one batch, like the queue of the storage thread.
+    unwritten: Vec<(WriteId, Record)>,
+    write_results: Vec<Input>,
+    /// Whether all writes to the disk fail.
     pub is_full: bool,
-    /// Whether an append has failed, so that nothing is taken until a rewrite.
-    is_broken: bool,
-    /// What was read at the last start.
-    pub found: Vec<Record>,
+    /// Whether an append has failed, so that further ones fail until a rewrite.
+    needs_rewrite: bool,
+    /// The records that were read at the last start.
+    pub recovered: Vec<Record>,
 }
 
-/// The machines with what is on its way between them.
+/// The machines, and the messages in transit between them.
 pub struct Core {
     pub machines: Vec<Machine>,
     pub now: Duration,
     steps: u64,
-    starts: u64,
-    calls: u64,
-    sent: Vec<(SocketAddrV4, SocketAddrV4, replication::Message)>,
-    pub answers: BTreeMap<RequestId, RequestOutcome>,
+    last_seed: u64,
+    last_request: u64,
+    in_transit: Vec<(SocketAddrV4, SocketAddrV4, replication::Message)>,
+    pub outcomes: BTreeMap<RequestId, RequestOutcome>,
 }
 
 pub fn address(machine: usize) -> SocketAddrV4 {
@@ -65,7 +65,7 @@
     }
 }
 
-/// A configuration of a generation, as an operator sends it.
+/// A configuration of this generation, as an operator sends it.
 pub fn document(generation: u64) -> Vec<u8> {
     let route = format!(
         r#"{{"name":"r","hostname":"h.example","path_prefix":"/{generation}/","route_type":"safe","timeout_ms":1000,"service":"s"}}"#
@@ -79,7 +79,7 @@
     text.into_bytes()
 }
 
-/// The change to a configuration, as a coordinator makes it of what an operator sends.
+/// A change, as a coordinator creates it from an operator's request.
 pub fn change(base: u64, generation: u64) -> Change {
     let document = document(generation);
     let digest = Sha256::new().chain_update(base.to_be_bytes()).chain_update(&document).finalize().into();
@@ -92,51 +92,51 @@
 }
 
 impl Core {
-    /// Machines with these folders, none of which runs. `seed` feeds what replicas draw, and has to differ between two
-    /// lives of one disk.
+    /// Creates machines with these data folders, none of which runs yet. `seed` feeds the random choices of
+    /// the replicas, and has to differ between two runs on the same disk.
     pub fn new(folders: Vec<PathBuf>, seed: u64) -> Self {
         let machine = |folder| Machine {
             folder,
             replica: None,
             log: None,
-            waiting: Vec::new(),
-            stored: Vec::new(),
+            unwritten: Vec::new(),
+            write_results: Vec::new(),
             is_full: false,
-            is_broken: false,
-            found: Vec::new(),
+            needs_rewrite: false,
+            recovered: Vec::new(),
         };
         Core {
             machines: folders.into_iter().map(machine).collect(),
             now: Duration::from_secs(1),
             steps: 0,
-            starts: seed,
-            calls: 0,
-            sent: Vec::new(),
-            answers: BTreeMap::new(),
+            last_seed: seed,
+            last_request: 0,
+            in_transit: Vec::new(),
+            outcomes: BTreeMap::new(),
         }
     }
 
     /// Opens a machine's log and starts its replica.
     pub fn start(&mut self, machine: usize, bootstrap: bool) {
         let (log, records) = log_file::open(&self.machines[machine].folder).expect("the log opens");
-        self.starts += 1;
+        self.last_seed += 1;
         let (replica, outputs) =
-            Replica::open(settings(machine, bootstrap), records.clone(), self.starts, self.now);
+            Replica::open(settings(machine, bootstrap), records.clone(), self.last_seed, self.now);
         let started = &mut self.machines[machine];
-        (started.replica, started.log, started.found) = (Some(replica), Some(log), records);
-        self.carry_out(machine, outputs);
+        (started.replica, started.log, started.recovered) = (Some(replica), Some(log), records);
+        self.perform(machine, outputs);
     }
 
-    /// Ends a machine's process. What waits for its disk is gone.
+    /// Ends a machine's process. Its unwritten records are lost.
     pub fn stop(&mut self, machine: usize) {
         let stopped = &mut self.machines[machine];
-        (stopped.replica, stopped.log, stopped.is_broken) = (None, None, false);
-        stopped.waiting.clear();
-        stopped.stored.clear();
+        (stopped.replica, stopped.log, stopped.needs_rewrite) = (None, None, false);
+        stopped.unwritten.clear();
+        stopped.write_results.clear();
     }
 
     pub fn replica(&self, machine: usize) -> &Replica {
-        self.machines[machine].replica.as_ref().expect("it runs")
+        self.machines[machine].replica.as_ref().expect("the machine runs")
     }
 
     fn running(&self) -> Vec<usize> {
@@ -153,8 +153,8 @@
         self.replica(machine).status().id
     }
 
-    /// Whether the chain holds these machines and no other ones, all of which know that.
-    pub fn is_whole(&self, machines: &[usize]) -> bool {
+    /// Whether the chain consists of exactly these machines, and all of them know this.
+    pub fn has_chain_of(&self, machines: &[usize]) -> bool {
         let Some(view) = self.view() else { return false };
         let knows = |machine: &usize| {
             self.replica(*machine).view() == Some(&view) && view.chain.contains(&self.id(*machine))
@@ -162,24 +162,24 @@
         machines.iter().all(knows) && view.chain.len() == machines.len()
     }
 
-    pub fn tell(&mut self, machine: usize, input: Input) {
+    pub fn handle(&mut self, machine: usize, input: Input) {
         if let Some(replica) = &mut self.machines[machine].replica {
             let outputs = replica.handle(self.now, input);
-            self.carry_out(machine, outputs);
+            self.perform(machine, outputs);
         }
     }
 
-    fn carry_out(&mut self, machine: usize, outputs: Vec<Output>) {
+    fn perform(&mut self, machine: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                Output::Send { to, message } => self.sent.push((address(machine), to, message)),
-                Output::Store(id, record) => self.machines[machine].waiting.push((id, record)),
+                Output::Send { to, message } => self.in_transit.push((address(machine), to, message)),
+                Output::Store(id, record) => self.machines[machine].unwritten.push((id, record)),
                 Output::Rewrite(id, records) => {
                     self.machines[machine].write();
                     self.machines[machine].rewrite(id, &records);
                 }
-                Output::Respond(call, answer) => {
-                    self.answers.insert(call, answer);
+                Output::Respond(id, outcome) => {
+                    self.outcomes.insert(id, outcome);
                 }
                 Output::Committed(_) | Output::ViewChanged(_) => {}
             }
@@ -189,17 +189,17 @@
     fn step(&mut self) {
         self.now += STEP;
         self.steps += 1;
-        for (from, to, message) in std::mem::take(&mut self.sent) {
+        for (from, to, message) in std::mem::take(&mut self.in_transit) {
             if let Some(machine) = self.running().into_iter().find(|machine| address(*machine) == to) {
-                self.tell(machine, Input::Received { from, message });
+                self.handle(machine, Input::Received { from, message });
             }
         }
         for machine in self.running() {
-            for input in std::mem::take(&mut self.machines[machine].stored) {
-                self.tell(machine, input);
+            for input in std::mem::take(&mut self.machines[machine].write_results) {
+                self.handle(machine, input);
             }
-            if self.steps.is_multiple_of(STEPS_A_TICK) {
-                self.tell(machine, Input::Tick);
+            if self.steps.is_multiple_of(STEPS_PER_TICK) {
+                self.handle(machine, Input::Tick);
             }
             self.machines[machine].write();
         }
@@ -212,49 +212,50 @@
         }
     }
 
-    /// Plays until something holds.
+    /// Runs until a condition holds. Panics with its description `what` if that takes more than
+    /// [`MAX_STEPS`].
     pub fn until(&mut self, what: &str, done: impl Fn(&Core) -> bool) {
-        let end = self.steps + PATIENCE;
+        let end = self.steps + MAX_STEPS;
         while !done(self) {
-            assert!(self.steps < end, "{what} does not come: {:?}", self.view());
+            assert!(self.steps < end, "{what}: not reached after {MAX_STEPS} steps, view {:?}", self.view());
             self.step();
         }
     }
 
-    /// Sends a configuration to a machine and plays until it is taken.
-    pub fn take(&mut self, machine: usize, base: u64, generation: u64) {
-        self.calls += 1;
-        let call = RequestId(self.calls);
-        self.tell(machine, Input::Write(call, change(base, generation)));
-        self.until("the answer", |core| core.answers.contains_key(&call));
-        let answer = &self.answers[&call];
-        assert!(matches!(answer, RequestOutcome::Committed { .. }), "{generation}: {answer:?}");
+    /// Sends a change of the configuration to a machine, and runs until it is committed.
+    pub fn commit(&mut self, machine: usize, base: u64, generation: u64) {
+        self.last_request += 1;
+        let id = RequestId(self.last_request);
+        self.handle(machine, Input::Write(id, change(base, generation)));
+        self.until("the outcome", |core| core.outcomes.contains_key(&id));
+        let outcome = &self.outcomes[&id];
+        assert!(matches!(outcome, RequestOutcome::Committed { .. }), "{generation}: {outcome:?}");
     }
 }
 
 impl Machine {
-    /// Writes what waits as one batch.
+    /// Appends the waiting records as one batch.
     fn write(&mut self) {
-        let waiting = std::mem::take(&mut self.waiting);
-        if waiting.is_empty() {
+        let unwritten = std::mem::take(&mut self.unwritten);
+        if unwritten.is_empty() {
             return;
         }
-        let (ids, records): (Vec<WriteId>, Vec<Record>) = waiting.into_iter().unzip();
-        self.is_broken |= self.is_full;
-        if !self.is_broken {
-            let log = self.log.as_mut().expect("it runs");
-            log.append(&records).expect("the disk takes it");
+        let (ids, records): (Vec<WriteId>, Vec<Record>) = unwritten.into_iter().unzip();
+        self.needs_rewrite |= self.is_full;
+        if !self.needs_rewrite {
+            let log = self.log.as_mut().expect("the machine runs");
+            log.append(&records).expect("the write succeeds");
         }
-        let report = |id| if self.is_broken { Input::NotStored(id) } else { Input::Stored(id) };
-        self.stored.extend(ids.into_iter().map(report));
+        let report = |id| if self.needs_rewrite { Input::NotStored(id) } else { Input::Stored(id) };
+        self.write_results.extend(ids.into_iter().map(report));
     }
 
     fn rewrite(&mut self, id: WriteId, records: &[Record]) {
-        self.is_broken = self.is_full;
-        if !self.is_broken {
-            let log = self.log.as_mut().expect("it runs");
-            log.rewrite(records).expect("the disk takes it");
+        self.needs_rewrite = self.is_full;
+        if !self.needs_rewrite {
+            let log = self.log.as_mut().expect("the machine runs");
+            log.rewrite(records).expect("the write succeeds");
         }
-        self.stored.push(if self.is_broken { Input::NotStored(id) } else { Input::Stored(id) });
+        self.write_results.push(if self.needs_rewrite { Input::NotStored(id) } else { Input::Stored(id) });
     }
 }
