--- a/crates/coordinator/tests/cached_blocks.rs
+++ b/crates/coordinator/tests/cached_blocks.rs
@@ -1,11 +1,11 @@
-//! The responses of backends on the prompt blocks that they cache, as they are on the wire.
+//! Parsing of the responses in which backends report the prompt blocks that they cache.
 
 use coordinator::cached_blocks::parse_report;
 use index_audit::{AuditError, BackendKey};
 use range_digest::{KeyRange, RangeContent, RangeDigest};
 
 #[test]
-fn responses_with_digests_and_with_items_are_parsed() {
+fn responses_with_digests_or_items_are_parsed() {
     let parts: Vec<String> = (0..16).map(|count| format!(r#"{{"count":{count},"sum":"ff"}}"#)).collect();
     let body = format!(r#"{{"instance_id":"i-1","count":120,"sum":"ff0","parts":[{}]}}"#, parts.join(","));
     let report = parse_report(body.as_bytes()).expect("a report");
--- a/crates/coordinator/tests/configuration_requests.rs
+++ b/crates/coordinator/tests/configuration_requests.rs
@@ -1,5 +1,5 @@
-//! Agents' requests for the newest configuration, compared with a plain account of which arrived and which read indexes were
-//! confirmed, in which order.
+//! Agents' requests for the newest configuration, compared with a reference model that records the order in
+//! which requests arrived and read indexes were started and confirmed.
 
 use coordinator::agents::{
     AgentConnectionId, AnswerableRequest, ConfigurationRequestId, PendingConfigurationRequests,
@@ -11,12 +11,12 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A connection requests a sequence or a newer one.
+    /// A connection requests the newest configuration, with at least this sequence.
     Request(u8, Sequence),
     BeginReadIndex,
-    /// The oldest read index that was begun is confirmed with this sequence.
+    /// The oldest read index in progress is confirmed with this sequence.
     CompleteReadIndex(Sequence),
-    /// The configuration of this sequence is known.
+    /// The configuration with this sequence becomes known.
     Known(Sequence),
     ConnectionEnds(u8),
 }
@@ -35,16 +35,17 @@
     }
 }
 
-/// What is known of a request: when it arrived, for which sequence, and the result of the first read index begun after it.
+/// The model of a request. `read_index` is the result of the first confirmed read index that was started
+/// after the request arrived.
 #[derive(Clone, Copy, Debug)]
-struct Expectation {
+struct ModelRequest {
     id: ConfigurationRequestId,
     arrival: usize,
     sequence: Sequence,
     read_index: Option<Sequence>,
 }
 
-impl Expectation {
+impl ModelRequest {
     fn is_answered_by(&self, sequence: Sequence) -> bool {
         self.read_index.is_some_and(|read_index| sequence >= read_index.max(self.sequence))
     }
@@ -55,10 +56,11 @@
 }
 
 quickcheck! {
-    /// A request is answered once, with what is as new as a read index that was begun after it arrived.
-    fn only_a_read_index_begun_after_the_request_counts(steps: Vec<Step>) -> bool {
+    /// A request is answered once, and only with a configuration that is not older than a read index that was
+    /// started after the request arrived.
+    fn only_a_read_index_started_after_the_request_answers_it(steps: Vec<Step>) -> bool {
         let mut pending = PendingConfigurationRequests::default();
-        let mut expected: BTreeMap<u8, Expectation> = BTreeMap::new();
+        let mut model: BTreeMap<u8, ModelRequest> = BTreeMap::new();
         let mut read_indexes: Vec<(usize, ReadIndexTicket)> = Vec::new();
         let mut requests = 0;
         for (at, step) in steps.into_iter().enumerate() {
@@ -67,10 +69,10 @@
                     requests += 1;
                     let id = ConfigurationRequestId::new(requests);
                     pending.add(AgentConnectionId::new(connection.into()), sequence, id);
-                    expected.insert(connection, Expectation { id, arrival: at, sequence, read_index: None });
+                    model.insert(connection, ModelRequest { id, arrival: at, sequence, read_index: None });
                 }
                 Step::BeginReadIndex => {
-                    let is_needed = expected.values().any(|one| one.read_index.is_none());
+                    let is_needed = model.values().any(|one| one.read_index.is_none());
                     let ticket = pending.begin_read_index();
                     if ticket.is_some() != is_needed {
                         return false;
@@ -80,12 +82,12 @@
                 Step::CompleteReadIndex(sequence) if !read_indexes.is_empty() => {
                     let (begun, ticket) = read_indexes.remove(0);
                     pending.complete_read_index(ticket, sequence);
-                    let counts = |one: &&mut Expectation| one.read_index.is_none() && one.arrival < begun;
-                    expected.values_mut().filter(counts).for_each(|one| one.read_index = Some(sequence));
+                    let counts = |one: &&mut ModelRequest| one.read_index.is_none() && one.arrival < begun;
+                    model.values_mut().filter(counts).for_each(|one| one.read_index = Some(sequence));
                 }
                 Step::CompleteReadIndex(_) => {}
                 Step::Known(sequence) => {
-                    let answered: Vec<AnswerableRequest> = expected
+                    let answered: Vec<AnswerableRequest> = model
                         .iter()
                         .filter(|(_, one)| one.is_answered_by(sequence))
                         .map(|(connection, one)| answerable(*connection, one.id))
@@ -93,11 +95,11 @@
                     if pending.take_answerable(sequence) != answered {
                         return false;
                     }
-                    expected.retain(|_, one| !one.is_answered_by(sequence));
+                    model.retain(|_, one| !one.is_answered_by(sequence));
                 }
                 Step::ConnectionEnds(connection) => {
                     pending.remove(AgentConnectionId::new(connection.into()));
-                    expected.remove(&connection);
+                    model.remove(&connection);
                 }
             }
         }
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn a_read_index_in_progress_when_the_request_arrives_does_not_count() {
+fn a_read_index_started_before_the_request_does_not_answer_it() {
     let mut pending = PendingConfigurationRequests::default();
     let (first, second) = (ConfigurationRequestId::new(1), ConfigurationRequestId::new(7));
     pending.add(AgentConnectionId::new(1), Sequence(1), first);
--- a/crates/coordinator/tests/first_frame.rs
+++ b/crates/coordinator/tests/first_frame.rs
@@ -1,4 +1,4 @@
-//! The first frame of a connection.
+//! Decoding of the first frame of a connection, by which a coordinator tells agents from other coordinators.
 
 use bytes::BytesMut;
 use control_protocol::{ConfigurationSequence, FromAgent, VERSION, decode, encode};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_hello_of_a_coordinator_is_not_mistaken_for_an_agents() {
+fn the_hello_of_a_coordinator_does_not_decode_as_that_of_an_agent() {
     let address = "10.1.0.1:7680".parse().expect("an address");
     let sent = Hello::Peer { version: VERSION, node: "core-1".into(), address };
     let mut frame = BytesMut::from(encode(&sent).expect("a frame").as_slice());
--- a/crates/coordinator/tests/golden_frames.rs
+++ b/crates/coordinator/tests/golden_frames.rs
@@ -1,8 +1,9 @@
-//! The frames on the port for the fleet's own programs, compared with golden files: the first frame of a connection, and
-//! the messages between coordinators about the list of endpoints.
+//! The frames on the internal port, compared with golden files: the first frame of a connection, and the
+//! messages between coordinators.
 //!
-//! The golden files in `tests/golden` are written on purpose alone: `GOLDEN=write cargo test -p coordinator --test golden_frames`.
-//! Without that, a file that is missing or differs fails the test with the place of the first difference.
+//! The golden files in `tests/golden` are updated only on request: `GOLDEN=write cargo test -p coordinator
+//! --test golden_frames`. Otherwise a missing or different file fails the test, which shows the first
+//! difference.
 
 #[path = "../../control-protocol/tests/golden/compare.rs"]
 mod compare;
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn first_frames_of_connections() {
+fn first_frames_match_the_golden_file() {
     Messages {
         file: FIRST_FRAMES,
         about: "The first frame of a connection to a coordinator",
@@ -48,7 +49,7 @@
         variants: &["Peer", "Hello"],
     }
     .hold();
-    // The first frame of an agent is the same bytes in both types that have it, and each decodes it.
+    // An agent's first frame is declared in two types: both encode it in the same bytes, and each decodes it.
     let mut agents = 0;
     for ((_, message), approved) in first_frames().into_iter().zip(frames::read(FIRST_FRAMES)) {
         let Hello::Agent { version, node, ip, zone, configuration_sequence } = message.clone() else {
@@ -87,7 +88,7 @@
     ]
 }
 
-/// A message of the replica, whose own forms `replication` looks after.
+/// A message of the replica. The golden files of the package `replication` cover its other forms.
 fn replica_message() -> replication::Message {
     let key = json!({"sequence": 12, "view": 4, "digest": ([7; 32]), "generation": 31});
     let member = json!({"id": 170, "address": "10.1.0.29:7680", "zone": "east"});
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn messages_between_coordinators() {
+fn messages_between_coordinators_match_the_golden_file() {
     let update = |content_version, content| {
         let content_version = BackendListVersion(content_version);
         let version = BackendListVersion(908);
--- a/crates/coordinator/tests/golden_platform_list.rs
+++ b/crates/coordinator/tests/golden_platform_list.rs
@@ -1,8 +1,9 @@
-//! Pages of the platform's list, as golden files, and what is parsed from each of them, compared with golden files.
+//! Sample pages of the platform's list, and the result of parsing each of them, compared with golden files.
 //!
-//! The pages in `tests/golden/interfaces/platform` stand for what the platform sends and are edited by hand alone. What is read
-//! from them is written on purpose alone: `GOLDEN=write cargo test -p coordinator --test golden_platform_list`. Without that, a file
-//! that is missing or differs fails the test with the place of the first difference.
+//! The pages (`*.json`) in `tests/golden/interfaces/platform` stand for what the platform sends, and are
+//! edited only by hand. The results (`*.read.txt`) are updated only on request: `GOLDEN=write cargo test -p
+//! coordinator --test golden_platform_list`. Otherwise a missing or different file fails the test, which
+//! shows the first difference.
 
 #[path = "../../control-protocol/tests/golden/compare.rs"]
 mod compare;
@@ -11,11 +12,11 @@
 use coordinator::endpoints::platform_page::{PlatformPage, parse_page};
 use std::fmt::Write;
 
-/// The pages, each with a reason of its own.
+/// The sample pages, each of which covers a different form.
 const PAGES: [&str; 6] = ["full", "least", "later", "entries_at_fault", "last_with_null", "none"];
 
 #[test]
-fn pages_are_parsed_as_before() {
+fn parsed_pages_match_the_golden_files() {
     for name in PAGES {
         let text = compare::read(&format!("interfaces/platform/{name}.json"));
         let page = parse_page(text.as_bytes()).expect("a page");
@@ -24,7 +25,7 @@
 }
 
 #[test]
-fn every_golden_page_is_parsed() {
+fn all_sample_pages_are_covered() {
     let folder = std::fs::read_dir(compare::path("interfaces/platform")).expect("the folder");
     let names = folder.map(|entry| entry.expect("an entry").file_name().into_string().expect("a name"));
     let mut pages: Vec<String> =
@@ -35,7 +36,8 @@
     assert_eq!(pages, expected);
 }
 
-/// All that was read from a page, by the names that stand in the page.
+/// Everything that was parsed from a page, under the names of the page's fields. Golden files hold these
+/// texts.
 fn describe(page: &PlatformPage) -> String {
     let PlatformPage { endpoints, next_page_token, skipped, first_error } = page;
     let mut text =
--- a/crates/coordinator/tests/log_file.rs
+++ b/crates/coordinator/tests/log_file.rs
@@ -1,4 +1,4 @@
-//! The replica's records on a real disk.
+//! The log of the replica's records, on a real file system.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::records_of_new_disk;
 
 #[test]
-fn records_are_there_when_the_log_is_opened_again() {
+fn records_survive_reopening_the_log() {
     let folder = tempfile::tempdir().expect("a folder");
     let records = records_of_new_disk();
     assert!(!records.is_empty());
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_damaged_log_is_renamed_and_the_member_starts_anew() {
+fn a_damaged_log_is_renamed_and_replaced_by_an_empty_one() {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut log, _) = open(folder.path()).expect("a log");
     for _ in 0..3 {
--- a/crates/coordinator/tests/platform_page.rs
+++ b/crates/coordinator/tests/platform_page.rs
@@ -1,4 +1,4 @@
-//! Parsing of the platform's pages.
+//! Parsing of pages of the platform's list.
 
 use control_protocol::BackendState;
 use coordinator::endpoints::platform_page::parse_page;
@@ -30,14 +30,14 @@
 }
 
 #[test]
-fn a_backend_in_an_unknown_state_accepts_no_new_work() {
+fn a_backend_in_an_unknown_state_counts_as_draining() {
     let text =
         r#"{"instances":[{"service":"s","address":"10.0.0.1:80","state":"leaving","instance_id":"i-1"}]}"#;
     assert_eq!(parse_page(text.as_bytes()).expect("a page").endpoints[0].state, BackendState::Draining);
 }
 
 #[test]
-fn bytes_that_are_not_a_page_are_an_error() {
+fn bytes_that_are_not_a_page_are_rejected() {
     for text in ["", "{}", "[]", r#"{"instances":7}"#, r#"{"instances":["#] {
         assert!(parse_page(text.as_bytes()).is_err(), "{text}");
     }
--- a/crates/coordinator/tests/reader_election.rs
+++ b/crates/coordinator/tests/reader_election.rs
@@ -1,4 +1,4 @@
-//! Which coordinator reads the platform's list and when, and which list is the newest.
+//! The election of the coordinator that reads the platform's list, and the order of list versions.
 
 use control_protocol::{Backend, BackendListVersion, BackendState};
 use coordinator::endpoints::reader_election::{READ_INTERVAL, ReaderElection, UpdateOutcome};
@@ -38,11 +38,11 @@
     })
 }
 
-fn everybody(_: SocketAddrV4) -> bool {
+fn all_reachable(_: SocketAddrV4) -> bool {
     true
 }
 
-/// Three that have a list, which the first one read at the start.
+/// Three coordinators with a list that the first of them read at the start.
 fn three_with_a_list() -> [ReaderElection; 3] {
     let [mut first, mut second, mut third] = three();
     let version = first.begin_read();
@@ -54,28 +54,28 @@
 }
 
 #[test]
-fn without_a_list_each_reads_soon_after_the_one_before_it() {
+fn without_a_list_each_candidate_reads_soon_after_the_one_before_it() {
     let waits = three().map(|election| election.next_read_at(|_| false).expect("a time") - START);
     assert!(waits[0] < waits[1] && waits[1] < waits[2] && waits[2] < READ_INTERVAL, "{waits:?}");
 }
 
 #[test]
-fn without_a_list_nobody_waits_long_for_one_without_contact() {
+fn without_a_list_candidates_without_contact_delay_a_read_only_briefly() {
     let [first, _, third] = three();
     let wait = |election: &ReaderElection, has_contact: fn(SocketAddrV4) -> bool| {
         election.next_read_at(has_contact).expect("a time") - START
     };
-    assert!(wait(&third, |_| false) <= Duration::from_millis(50), "both before it are without power");
+    assert!(wait(&third, |_| false) <= Duration::from_millis(50), "neither candidate before it has contact");
     assert!(
         wait(&third, |peer| peer == address(1)) >= Duration::from_millis(150),
-        "one of them reads by then"
+        "the first candidate has contact and reads in the meantime"
     );
-    assert!(wait(&third, everybody) > wait(&third, |peer| peer == address(1)));
-    assert_eq!(wait(&first, everybody), wait(&first, |_| false));
+    assert!(wait(&third, all_reachable) > wait(&third, |peer| peer == address(1)));
+    assert_eq!(wait(&first, all_reachable), wait(&first, |_| false));
 }
 
 #[test]
-fn one_list_of_two_readers_is_no_change() {
+fn the_same_list_from_a_second_reader_is_a_confirmation() {
     let [mut first, mut second, _] = three();
     let (old, new) = (first.begin_read(), second.begin_read());
     assert!(matches!(first.complete_read(old, ready(&["a", "b"]), START), UpdateOutcome::Changed(_)));
@@ -84,7 +84,7 @@
     let update = ahead.full_update().expect("an update");
     assert_eq!(behind.apply_update(address(9), update.clone(), START), UpdateOutcome::Confirmed);
     assert_eq!(behind.list(), ahead.list());
-    // The next update builds on the list of the other.
+    // The next update builds on the list that the other coordinator has under another version.
     let version = ahead.begin_read();
     ahead.complete_read(version, ready(&["a"]), START);
     assert!(matches!(
@@ -95,26 +95,26 @@
 }
 
 #[test]
-fn the_first_reads_and_the_others_wait_longer_by_their_rank() {
+fn the_delay_of_a_read_grows_with_the_rank_among_reachable_candidates() {
     let [first, second, third] = three_with_a_list();
-    assert_eq!(first.next_read_at(everybody), Some(START + READ_INTERVAL));
-    assert_eq!(second.next_read_at(everybody), Some(START + READ_INTERVAL * 2));
-    assert_eq!(third.next_read_at(everybody), Some(START + READ_INTERVAL * 3));
-    // Those without recent contact have no rank.
+    assert_eq!(first.next_read_at(all_reachable), Some(START + READ_INTERVAL));
+    assert_eq!(second.next_read_at(all_reachable), Some(START + READ_INTERVAL * 2));
+    assert_eq!(third.next_read_at(all_reachable), Some(START + READ_INTERVAL * 3));
+    // Candidates without recent contact do not count.
     assert_eq!(third.next_read_at(|peer| peer == address(2)), Some(START + READ_INTERVAL * 2));
     assert_eq!(third.next_read_at(|_| false), Some(START + READ_INTERVAL));
 }
 
 #[test]
-fn an_update_delays_the_others_and_the_reader_continues() {
+fn an_update_postpones_the_reads_of_others_and_the_reader_keeps_its_interval() {
     let [mut first, mut second, _] = three();
     let version = first.begin_read();
     let now = START + READ_INTERVAL;
     assert!(matches!(first.complete_read(version, ready(&["b", "a"]), now), UpdateOutcome::Changed(_)));
-    assert_eq!(first.next_read_at(everybody), Some(now + READ_INTERVAL));
+    assert_eq!(first.next_read_at(all_reachable), Some(now + READ_INTERVAL));
     let update = first.full_update().expect("an update");
     assert!(matches!(second.apply_update(address(1), update.clone(), now), UpdateOutcome::Changed(_)));
-    assert_eq!(second.next_read_at(everybody), Some(now + READ_INTERVAL * 2));
+    assert_eq!(second.next_read_at(all_reachable), Some(now + READ_INTERVAL * 2));
     assert_eq!(second.list(), first.list());
     assert_eq!(second.apply_update(address(1), update, now), UpdateOutcome::Stale);
     let version = first.begin_read();
@@ -126,22 +126,22 @@
 }
 
 #[test]
-fn a_reader_that_took_over_reads_as_often_and_gives_way_to_one_before_it() {
+fn a_reader_that_took_over_keeps_the_interval_and_yields_to_a_higher_ranked_reader() {
     let [mut first, mut second, _] = three();
     let now = START + READ_INTERVAL * 2;
     let version = second.begin_read();
     second.complete_read(version, ready(&["a"]), now);
-    assert_eq!(second.next_read_at(everybody), Some(now + READ_INTERVAL));
-    // The first one comes back, without any update: its list is stale, but its rank is respected.
+    assert_eq!(second.next_read_at(all_reachable), Some(now + READ_INTERVAL));
+    // The first candidate returns and has received no update. Its list is stale, but it takes precedence.
     let version = first.begin_read();
     first.complete_read(version, ready(&["a"]), now);
     let update = first.full_update().expect("an update");
     second.apply_update(address(1), update, now);
-    assert_eq!(second.next_read_at(everybody), Some(second.last_read_at() + READ_INTERVAL * 2));
+    assert_eq!(second.next_read_at(all_reachable), Some(second.last_read_at() + READ_INTERVAL * 2));
 }
 
 #[test]
-fn a_read_that_a_suspended_reader_completes_late_is_stale() {
+fn a_read_completed_late_by_a_suspended_reader_is_stale() {
     let [mut first, mut second, _] = three();
     let old = first.begin_read();
     let version = second.begin_read();
@@ -154,18 +154,18 @@
     ));
     assert_eq!(first.complete_read(old, ready(&["a"]), START), UpdateOutcome::Stale);
     assert_eq!(first.list(), second.list());
-    assert!(first.begin_read() > version, "what is read from now on is newer");
+    assert!(first.begin_read() > version, "a read that starts now has a higher version");
 }
 
 #[test]
-fn two_readers_never_give_one_version_to_two_lists() {
+fn two_readers_never_assign_the_same_version() {
     let [mut first, mut second, mut third] = three();
     let versions = [first.begin_read(), second.begin_read(), third.begin_read()];
     assert!(versions[0] != versions[1] && versions[1] != versions[2] && versions[0] != versions[2]);
 }
 
 #[test]
-fn a_confirmation_of_an_unknown_list_needs_the_full_list() {
+fn a_confirmation_of_an_unknown_list_requires_the_full_list() {
     let [mut first, mut second, _] = three();
     let version = first.begin_read();
     first.complete_read(version, ready(&["a"]), START);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_list_that_differs_only_in_time_that_passed_is_the_same() {
+fn a_list_that_differs_only_in_remaining_time_is_unchanged() {
     let [mut first, ..] = three();
     let version = first.begin_read();
     first.complete_read(version, vec![backend("a", BackendState::Ready, 900)], START);
@@ -203,57 +203,57 @@
 }
 
 #[test]
-fn failed_reads_are_retried_after_a_backoff_that_grows_to_twice_the_interval() {
+fn failed_reads_back_off_up_to_twice_the_interval() {
     let [mut first, ..] = three_with_a_list();
     let waits: Vec<Duration> = (0..4)
         .map(|_| {
             first.begin_read();
             first.fail_read(START + READ_INTERVAL);
-            first.next_read_at(everybody).expect("a time") - START - READ_INTERVAL
+            first.next_read_at(all_reachable).expect("a time") - START - READ_INTERVAL
         })
         .collect();
     assert_eq!(waits, [READ_INTERVAL, READ_INTERVAL * 2, READ_INTERVAL * 2, READ_INTERVAL * 2]);
 }
 
 #[test]
-fn a_coordinator_that_has_withdrawn_reads_no_more() {
+fn a_coordinator_that_has_withdrawn_does_not_read() {
     let [mut first, ..] = three();
     first.withdraw();
-    assert_eq!(first.next_read_at(everybody), None);
+    assert_eq!(first.next_read_at(all_reachable), None);
 }
 
 #[test]
-fn what_a_suspended_reader_saw_is_older_than_what_the_next_one_reads() {
+fn a_read_by_the_next_reader_has_a_higher_version_than_that_of_a_suspended_reader() {
     let [mut first, mut second, _] = three_with_a_list();
     let suspended = first.begin_read();
     assert!(second.begin_read() > suspended);
 }
 
 #[test]
-fn a_reader_whose_lists_are_ignored_reads_at_once() {
+fn a_reader_with_outdated_versions_reads_at_once() {
     let [mut first, mut second, _] = three_with_a_list();
     let version = BackendListVersion(first.begin_read().number() + (9 << 20));
     first.observe_version(version);
-    assert_eq!(first.next_read_at(everybody), Some(START));
+    assert_eq!(first.next_read_at(all_reachable), Some(START));
     assert!(first.begin_read() > version);
-    assert_eq!(first.next_read_at(everybody), Some(START + READ_INTERVAL), "once");
+    assert_eq!(first.next_read_at(all_reachable), Some(START + READ_INTERVAL), "it reads at once only once");
     second.observe_version(version);
-    assert_eq!(second.next_read_at(everybody), Some(START + READ_INTERVAL * 2), "it does not read");
+    assert_eq!(second.next_read_at(all_reachable), Some(START + READ_INTERVAL * 2), "it is not the reader");
     first.observe_version(BackendListVersion(u64::MAX));
     assert!(first.begin_read().number() < 1 << 62);
 }
 
 #[test]
-fn a_version_that_an_agent_knows_of_is_exceeded_by_the_next_read() {
+fn the_next_read_exceeds_a_version_reported_by_an_agent() {
     let [mut first, ..] = three();
     first.observe_version(BackendListVersion(1 << 40));
     assert!(first.begin_read().number() > 1 << 40);
 }
 
-/// Three readers and connections that lose any of their updates: whatever is lost, the present list is never older than before, and
-/// two lists under one version are one.
+/// Three coordinators read while any of the updates between them may be lost: no coordinator's list is ever
+/// replaced by an older one, and two lists with the same version are equal.
 #[test]
-fn versions_order_lists_whatever_is_lost() {
+fn lists_never_go_back_when_updates_are_lost() {
     fn property(steps: Vec<(u8, u8, bool)>) -> bool {
         let mut all = three();
         let mut contents: std::collections::HashMap<BackendListVersion, Vec<Backend>> = Default::default();
--- a/crates/coordinator/tests/storage.rs
+++ b/crates/coordinator/tests/storage.rs
@@ -1,4 +1,5 @@
-//! The storage thread: queued appends share a sync, and nothing is attempted after a failure until the log is rewritten.
+//! The storage thread: queued appends share one sync, and after a failure no append is attempted until the
+//! log is rewritten.
 
 mod support;
 
@@ -20,7 +21,8 @@
     Failure,
 }
 
-/// A log that reports each write with its length, and waits for the test to decide whether it succeeds.
+/// A log that reports each write with its number of records, and blocks until the test decides whether it
+/// succeeds.
 struct SteppedLog {
     writes: Sender<(WriteKind, usize)>,
     results: Receiver<WriteResult>,
@@ -45,13 +47,13 @@
     }
 }
 
-/// Some record: the first on a new disk.
+/// An arbitrary record: the first one on a new disk.
 fn record() -> Record {
     records_of_new_disk().into_iter().next().expect("a new disk gets an identity")
 }
 
 #[tokio::test]
-async fn appends_queued_behind_a_disk_that_hangs_share_one_sync() {
+async fn appends_queued_during_a_slow_write_share_one_sync() {
     let ((writes, started), (decide, results)) = (channel(), channel());
     let (storage, mut reports) = Storage::start(Box::new(SteppedLog { writes, results })).expect("a thread");
     storage.submit(StorageCommand::Append(WriteId(1), Box::new(record())));
@@ -70,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn after_a_failure_nothing_is_stored_until_a_rewrite() {
+async fn appends_fail_after_a_failed_write_until_the_log_is_rewritten() {
     let ((writes, started), (decide, results)) = (channel(), channel());
     let (storage, mut reports) = Storage::start(Box::new(SteppedLog { writes, results })).expect("a thread");
     storage.submit(StorageCommand::Append(WriteId(1), Box::new(record())));
--- a/crates/coordinator/tests/support/mod.rs
+++ b/crates/coordinator/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Records of a replica, for tests of the storage.
+//! Sample records of a replica, for tests of the storage.
 
 use replication::{Output, Record, Replica, Settings};
 use std::time::Duration;
 
-/// The records that a replica stores on a new disk, its identity first.
+/// The records that a replica writes to a new disk; the first one is its identity.
 pub fn records_of_new_disk() -> Vec<Record> {
     let address = "127.0.0.1:1".parse().expect("an address");
     let settings = Settings {
