--- a/crates/coordinator/src/process.rs
+++ b/crates/coordinator/src/process.rs
@@ -54,7 +54,7 @@
     role_runtime::metrics::start(settings.ip, options.metrics.as_ref(), metrics);
     follow_settings(&mut coordinator, &mut terminate, &mut hang_up).await;
     // The tests of the command line compare this text with a golden file.
-    log::info!("coordinator: SIGTERM received, shutting down");
+    log::info!("coordinator: shutdown requested");
     coordinator.shut_down().await;
     Ok(())
 }
