--- a/crates/join-up-to/src/balance/dispatch.rs
+++ b/crates/join-up-to/src/balance/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending: finds a server for a request that waits for its first attempt or another one.
+//! Dispatch: selects a server for a request's first or next attempt and sends it.
 
 use super::Balancer;
 use super::probing::MAX_PROBE_ROUNDS;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// Sends a request that waits for an attempt, has it wait, or finishes it.
+    /// Sends the next attempt of a request, defers it, or finishes the request if no attempt is possible.
     pub(super) fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id).filter(|r| r.is_dispatchable()) else { return };
         let (has_attempts, is_waiting) =
@@ -23,14 +23,14 @@
         self.warm_server_rate = self.served_per_warm_server();
         let recent = Duration::from_secs_f64(self.response_time / 4.0);
         self.fleet.forget_reports_before(self.now.saturating_sub(recent));
-        // Without any recent report all estimates are at the cap: there is no need to compare servers.
-        let no_reports = may_probe && self.idle_signs_expire() && self.fleet.reporting.is_empty();
+        // Without a recent report all estimates are at the cap, so servers are not compared before probing.
+        let no_reports = may_probe && self.idle_reports_expire() && self.fleet.reporting.is_empty();
         if no_reports && self.probe(id, actions) {
             return;
         }
         let candidates = self.candidates(id);
         if candidates.is_empty() && !has_attempts {
-            // No server is listed, or only ones in slow start that have had their part: try again soon.
+            // No server is listed, or only servers in slow start without allowance left: try again soon.
             let after = Duration::from_secs_f64(self.response_time / 8.0).max(self.settings.tick);
             return actions.push(Action::SetTimer { after, token: id.0 });
         }
@@ -40,17 +40,17 @@
             if may_probe && self.probe(id, actions) {
                 return;
             }
-            choice = self.fleet.draw_weighted(&candidates); // All have reached m.
+            choice = self.fleet.draw_weighted(&candidates); // All estimates have reached m.
         }
         match choice {
             Some(server) => self.send(id, server, actions),
             None if is_waiting => {}
-            // All servers are too loaded to respond in time: better to reject now.
+            // All servers are too loaded to respond in time: reject now instead of after the deadline.
             None => self.finish(id, actions),
         }
     }
 
-    /// The only place that sends. Every rule is checked here, whatever led to it.
+    /// Sends an attempt. This is the only place that does, so all rules are checked here once more.
     fn send(&mut self, id: RequestId, to: ServerId, actions: &mut Vec<Action>) {
         let now = self.now;
         let (Some(request), Some(server)) = (self.requests.get(&id), self.fleet.get(&to)) else { return };
@@ -62,7 +62,7 @@
         let upload = request.upload_timeout.unwrap_or_default();
         let max_duration = policy.attempt_timeout.unwrap_or(Duration::MAX).saturating_add(upload);
         let timeout = (request.deadline - now).min(max_duration);
-        let credit = TokenBucket::new(self.slow_start_credit(server) - request.weight, now);
+        let credit = TokenBucket::new(self.slow_start_credit(server) - request.relative_cost, now);
         let load_level = self.load(server).round() as usize;
         let attempt = Attempt { server: server.entry, sent: now, load_level, outcome: None };
         let (class, hedged) = (request.class, request.is_next_hedged());
@@ -85,14 +85,14 @@
         self.own_traffic.record_send();
     }
 
-    /// How long after an attempt with this time-out a hedged one is due; `None` for no hedging. `hedges` is the number
-    /// of hedged attempts of the request so far.
+    /// The delay between an attempt with this time-out and a hedged one; `None` for no hedging. `hedges` is
+    /// the number of hedged attempts of the request so far.
     fn hedge_delay(&self, request: &Request, timeout: Duration, hedges: u32) -> Option<Duration> {
         let policy = self.classes[request.class].attempt_policy;
         let delay = match policy.hedging {
             Hedging::Automatic => {
-                // As late as a hedged attempt would still be in time. Not where all servers are so slow that most
-                // requests would have one.
+                // The latest time at which a hedged attempt can still respond in time. No hedging while
+                // servers are so slow that most requests would be hedged.
                 let cost = request.cost.map_or(self.response_time, |cost| cost.as_secs_f64());
                 let delay = timeout.saturating_sub(Duration::from_secs_f64(1.5 * cost));
                 let is_rare = delay.as_secs_f64() >= 1.5 * cost || self.own_traffic.busy() < 0.5;
--- a/crates/join-up-to/src/balance/outcomes.rs
+++ b/crates/join-up-to/src/balance/outcomes.rs
@@ -1,4 +1,5 @@
-//! What follows the end of an attempt, and what it and load reports show of a server.
+//! The end of an attempt: retries, and updates of load, health and response times from its outcome and
+//! report.
 
 use super::{Balancer, SMOOTHING};
 use crate::interface::*;
@@ -6,37 +7,37 @@
 use crate::state::ReportedLoad;
 use std::time::Duration;
 
-/// How much of a failure an observation of a server is.
+/// What an attempt adds to the failure rate of its server, from 0 to 1.
 const FAILED: f64 = 1.0;
-const BARELY_IN_TIME: f64 = 0.5;
+const NEARLY_LATE: f64 = 0.5;
 const SERVED: f64 = 0.0;
 
-/// An attempt that has ended, and how it relates to the time of its request.
+/// An attempt that has ended, with its timing relative to the request's deadline.
 struct EndedAttempt {
     server: ServerId,
     outcome: Outcome,
     elapsed: Duration,
-    /// Whether it got no response for the whole time that it had.
+    /// Whether it used up all its time: up to the request's deadline or its own time-out.
     is_overdue: bool,
-    /// Whether it ended in the last quarter of its time.
-    is_tight: bool,
-    /// The load of the server when it was sent.
+    /// Whether it ended in the last quarter of the time up to the deadline.
+    is_nearly_late: bool,
+    /// The load of the server at the send, rounded.
     load_level: usize,
-    /// The cost of the request, in usual requests.
-    weight: f64,
+    /// The cost of the request relative to the average.
+    relative_cost: f64,
 }
 
 impl EndedAttempt {
-    /// Whether it shows that the server is too slow.
+    /// Whether it got no response in time, which shows that the server is too slow.
     fn is_late(&self) -> bool {
         self.is_overdue && matches!(self.outcome, Outcome::TimedOut | Outcome::Cancelled)
     }
 }
 
 impl Balancer {
-    /// An attempt has ended.
+    /// Handles the end of an attempt: updates the statistics, then closes the request or tries again.
     pub(super) fn on_attempt_end(&mut self, end: AttemptEnd, actions: &mut Vec<Action>) {
-        let shares_servers_with_many = self.shares_servers_with_many();
+        let has_many_peers = self.has_many_peers();
         let Some(request) = self.requests.get_mut(&end.id) else { return };
         let Some(attempt) = request.attempts.get_mut(end.attempt as usize) else { return };
         if attempt.outcome.replace(end.outcome).is_some() {
@@ -46,25 +47,25 @@
         let is_served = end.outcome == Outcome::Served;
         let is_past_deadline = request.deadline <= self.now && elapsed.as_secs_f64() >= self.response_time;
         let policy = &self.classes[request.class].attempt_policy;
-        let is_abandoned = end.outcome == Outcome::TimedOut && policy.attempt_timeout.is_some();
+        let hit_attempt_timeout = end.outcome == Outcome::TimedOut && policy.attempt_timeout.is_some();
         let available = request.deadline - attempt.sent;
         let ended = EndedAttempt {
             server: attempt.server.id,
             outcome: end.outcome,
             elapsed,
-            is_overdue: is_past_deadline || is_abandoned,
-            is_tight: 4 * elapsed > 3 * available,
+            is_overdue: is_past_deadline || hit_attempt_timeout,
+            is_nearly_late: 4 * elapsed > 3 * available,
             load_level: attempt.load_level,
-            weight: request.weight,
+            relative_cost: request.relative_cost,
         };
-        if shares_servers_with_many && (is_served || ended.is_overdue) {
+        if has_many_peers && (is_served || ended.is_overdue) {
             let available = available.as_secs_f64().max(1e-3);
             let used = if is_served { elapsed.as_secs_f64() / available } else { 1.0 };
             self.throttle.record_attempt(self.now, 1.0 - used);
         }
         if let (0, Some(cost), true) = (ended.load_level, request.cost, ended.is_overdue || is_served) {
             let ratio = elapsed.as_secs_f64() / cost.as_secs_f64().max(1e-3);
-            self.slowdown += (ratio - self.slowdown) * SMOOTHING * ended.weight.min(1.0);
+            self.slowdown += (ratio - self.slowdown) * SMOOTHING * ended.relative_cost.min(1.0);
         }
         let is_finished = end.finished || request.is_closed;
         self.fleet.record_attempt_end(ended.server, ended.outcome, self.now);
@@ -77,8 +78,8 @@
         }
     }
 
-    /// After an attempt without a response: retries at once or after the backoff. Where no retry would be possible then,
-    /// the request is finished now.
+    /// Retries a request after a failed attempt, at once or after a backoff. Finishes it now if no retry will
+    /// be possible at that time.
     fn retry_or_finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(&id) else { return };
         let policy = self.classes[request.class].attempt_policy;
@@ -105,21 +106,21 @@
         actions.push(Action::SetTimer { after: wait, token: id.0 });
     }
 
-    /// Records what the end of an attempt shows: response times, and the load and the health of its server.
+    /// Updates response times, on-time rates and the server's health from an ended attempt.
     fn record_outcome(&mut self, ended: &EndedAttempt) {
         let (server, outcome) = (ended.server, ended.outcome);
         if outcome == Outcome::Served {
             self.response_time += (ended.elapsed.as_secs_f64() - self.response_time) * SMOOTHING / 4.0;
             if self.fleet.get(&server).is_some_and(|server| self.warm_fraction(server) >= 1.0) {
-                self.served_cost.add(self.now, ended.weight);
+                self.served_cost.add(self.now, ended.relative_cost);
             }
         }
         let is_late = ended.is_late();
-        if is_late && self.shares_servers_with_many() {
+        if is_late && self.has_many_peers() {
             self.fleet.modify(server, |server| self.weights.record_late(server));
         }
         match outcome {
-            Outcome::Served if !ended.is_tight => {
+            Outcome::Served if !ended.is_nearly_late => {
                 self.on_time_rates.record_on_time(ended.load_level, SMOOTHING);
             }
             _ if is_late || matches!(outcome, Outcome::Served | Outcome::Rejected) => {
@@ -129,7 +130,7 @@
         }
         match outcome {
             Outcome::Served => {
-                let failure = if ended.is_tight { BARELY_IN_TIME } else { SERVED };
+                let failure = if ended.is_nearly_late { NEARLY_LATE } else { SERVED };
                 self.record_health(server, failure, SMOOTHING * 2.0);
             }
             Outcome::ConnectFailed => self.record_health(server, FAILED, 0.5),
@@ -139,24 +140,24 @@
         }
     }
 
-    /// Records that a server refused or lost the connection of a probe.
+    /// Records that the connection of a probe failed or was lost.
     pub(super) fn record_unreachable(&mut self, server: ServerId) {
         self.record_health(server, FAILED, 1.0);
     }
 
-    /// Records an observation of a server's health, and ejects the server where it fails far more than the others.
-    /// `failure` is from 0 to 1, `weight` that of the observation in the moving average.
+    /// Updates a server's failure rate and ejects the server if it is an outlier. `failure` is from 0 to 1,
+    /// `weight` is the weight of this observation in the moving average.
     fn record_health(&mut self, id: ServerId, failure: f64, weight: f64) {
         let Some(server) = self.fleet.get_mut(&id) else { return };
         server.failure_rate += (failure - server.failure_rate) * weight;
         let (failure_rate, was_ejected) = (server.failure_rate, server.ejected_until.take().is_some());
         let ready = || self.fleet.ready.iter().map(|id| &self.fleet[id]);
-        // A failure of all servers is no server's fault.
+        // Where all servers fail, none of them is at fault.
         let is_outlier = || {
             let sum = ready().map(|server| server.failure_rate).sum::<f64>();
             failure_rate > 0.5 && failure_rate > 1.5 * sum / ready().count() as f64
         };
-        // Half of the servers are never ejected.
+        // At most half of the servers are ejected.
         let may_eject =
             || 2 * ready().filter(|server| server.ejected_until.is_some()).count() + 2 <= ready().count();
         if failure == FAILED && (was_ejected || is_outlier() && may_eject()) {
@@ -165,22 +166,22 @@
         }
     }
 
-    /// Records a load report. Nothing in flight (an empty queue where only that is reported) is an idle sign.
+    /// Records a load report. It is an idle report if nothing is in flight, or, where only the queue length
+    /// is reported, if the queue is empty.
     pub(super) fn on_report(&mut self, id: ServerId, report: Option<LoadReport>) {
-        let (from_probes, with_many) =
-            (self.settings.learns_load_from_probes(), self.shares_servers_with_many());
+        let (from_probes, has_many_peers) = (self.settings.learns_load_from_probes(), self.has_many_peers());
         let (Some(report), Some(server)) = (report, self.fleet.get_mut(&id)) else { return };
         let Some(load) = report.in_flight.or(report.queue).filter(|l| l.is_finite()) else { return };
         let load = f64::from(load.max(0.0));
         server.load = Some(ReportedLoad { requests: load, at: self.now });
-        if with_many {
+        if has_many_peers {
             self.weights.record_load(server, load);
         }
         let activity = if load < 0.5 { ServerActivity::Idle } else { ServerActivity::Busy };
         self.own_traffic.record_report(activity, server.estimate);
         if activity == ServerActivity::Idle {
             server.estimate.record_idle();
-            server.last_idle_at = Some(self.now);
+            server.last_idle_report_at = Some(self.now);
         }
         if from_probes {
             self.fleet.mark_reporting(id);
--- a/crates/join-up-to/src/balance/probing.rs
+++ b/crates/join-up-to/src/balance/probing.rs
@@ -1,19 +1,20 @@
-//! Probes: requests for the load of servers, before a choice among servers whose load is unknown.
+//! Probes: requests for load reports of servers whose load is unknown, before one of them is selected.
 
 use super::Balancer;
 use crate::interface::*;
 use std::time::Duration;
 
-/// The fraction of the service that probes may cost at most: little beside the cost of sends without any report.
-pub(super) const PROBE_SPEND: f64 = 0.01;
-/// Rounds of probes before a choice: with two probes each, at a load of 0.8 one request in ten finds no idle server.
+/// The maximum cost of probes as a fraction of the service, in the unit of `Prices::probe`. This is little
+/// compared with the cost of sending without any report.
+pub(super) const MAX_PROBE_COST: f64 = 0.01;
+/// Maximum number of probe rounds of a request. With two probes in each, one request in ten finds no idle
+/// server at a load of 0.8.
 pub(super) const MAX_PROBE_ROUNDS: u32 = 5;
-/// Probes of a round.
 const PROBES_PER_ROUND: usize = 2;
 
 impl Balancer {
-    /// Probes servers for a request that waits meanwhile, as far as own traffic has paid for probes. Returns whether
-    /// the request waits.
+    /// Starts a round of probes for a request, within the probe budget (`probe_tokens`). Returns whether the
+    /// request waits for probe results.
     pub(super) fn probe(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let max = PROBES_PER_ROUND.min(self.probe_tokens as usize);
         let (mut sent, mut drawn) = (0, 0);
@@ -35,14 +36,15 @@
         request.probe_rounds += 1;
         self.waiting_for_probes.push(id);
         if request.probe_rounds == 1 {
-            // A server that answers a probe later than this is a bad choice.
+            // A server that answers a probe later than this is not worth waiting for.
             let max_wait = Duration::from_secs_f64(self.response_time / 8.0).max(4 * self.settings.tick);
             actions.push(Action::SetTimer { after: max_wait, token: id.0 });
         }
         true
     }
 
-    /// A probe has ended: requests that wait may now be sent, after the last probe all of them.
+    /// Handles the end of a probe: dispatches the waiting requests again. After the last probe in flight,
+    /// none of them waits any longer.
     pub(super) fn on_probe_end(&mut self, end: ProbeEnd, actions: &mut Vec<Action>) {
         self.fleet.record_probe_end(end.server);
         if end.outcome == Outcome::Served {
--- a/crates/join-up-to/src/balance/requests.rs
+++ b/crates/join-up-to/src/balance/requests.rs
@@ -1,13 +1,14 @@
-//! The course of a request: its arrival, its deadline, its timers, and its final response.
+//! The lifecycle of a request: arrival, deadline, timers and final response.
 
-use super::probing::{MAX_PROBE_ROUNDS, PROBE_SPEND};
+use super::probing::{MAX_PROBE_COST, MAX_PROBE_ROUNDS};
 use super::{Balancer, RETRY_SHARE, SMOOTHING};
 use crate::interface::*;
 use crate::state::{Request, Server};
 use std::time::Duration;
 
 impl Balancer {
-    /// A request arrives. `upload` is the time that its body may take where that is forwarded while it arrives.
+    /// Handles an arriving request. `upload` is the maximum time for a body that is forwarded while it
+    /// arrives.
     pub(super) fn on_request(
         &mut self,
         new: NewRequest,
@@ -15,38 +16,38 @@
         actions: &mut Vec<Action>,
     ) {
         if self.requests.contains_key(&new.id) {
-            return; // No id comes twice; whatever this is, the first request is still owed its response.
+            return; // Ids are unique: a duplicate must not replace a request that is owed its response.
         }
         let class = self.classes.add_request(new.class, self.now);
         let upload = upload.map(|within| within.min(MAX_DURATION));
         let deadline = self.response_deadline(&new, &self.classes[class], upload);
-        let weight = self.usual_cost.record(new.cost, SMOOTHING / 8.0);
-        self.arrived_cost.add(self.now, weight);
+        let relative_cost = self.average_cost.record(new.cost, SMOOTHING / 8.0);
+        self.arrived_cost.add(self.now, relative_cost);
         self.request_rate.add(self.now, 1.0);
         self.retry_tokens = (self.retry_tokens + RETRY_SHARE).min(2.0 / RETRY_SHARE);
-        let paid = PROBE_SPEND / self.settings.prices.probe.max(1e-9);
-        self.probe_tokens = (self.probe_tokens + paid).min(self.fleet.len() as f64);
+        let tokens_per_request = MAX_PROBE_COST / self.settings.prices.probe.max(1e-9);
+        self.probe_tokens = (self.probe_tokens + tokens_per_request).min(self.fleet.len() as f64);
         let request = Request {
             class,
             cost: new.cost,
-            weight,
+            relative_cost,
             deadline,
             probe_rounds: self.initial_probe_rounds(),
             upload_timeout: upload,
             ..Default::default()
         };
         self.requests.insert(new.id, request);
-        if self.is_hopeless(new.cost, deadline) || self.is_throttled() {
+        if self.cannot_meet_deadline(new.cost, deadline) || self.is_throttled() {
             return self.finish(new.id, actions);
         }
         actions.push(Action::SetTimer { after: deadline - self.now, token: new.id.0 });
         self.dispatch(new.id, actions);
     }
 
-    /// When a request is to have its response: at its latency target, or where a late response has some value before
-    /// the client leaves.
+    /// The deadline for the final response: the latency target or, if a late response still has value, the
+    /// time at which the client gives up.
     fn response_deadline(&self, new: &NewRequest, class: &Class, upload: Option<Duration>) -> Duration {
-        // The timer comes a tick late at most, and the response must be there before the client leaves.
+        // The timer may be a tick late, and the response must arrive before the client gives up.
         let client_leaves = self.now + new.remaining.saturating_sub(2 * self.settings.tick);
         let stretch = new.cost.unwrap_or_default().mul_f64(class.latency_target_stretch.min(1e3));
         let target = if class.late_value > 0.0 { new.remaining } else { class.latency_target + stretch };
@@ -54,22 +55,21 @@
         deadline.min(self.shutdown_deadline.max(self.now))
     }
 
-    /// Whether a request would be late even at a server without load, at the present slowdown.
-    fn is_hopeless(&mut self, cost: Option<Duration>, deadline: Duration) -> bool {
-        // Where most servers are idle it may be tried: costs are not exact.
+    /// Whether a request would be late even at an idle server, given the current slowdown.
+    fn cannot_meet_deadline(&mut self, cost: Option<Duration>, deadline: Duration) -> bool {
+        // While most servers are idle an attempt is still worthwhile, as costs are not exact.
         let longest = (deadline - self.now) * if self.own_traffic.busy() < 0.5 { 2 } else { 1 };
-        let hopeless = cost.is_some_and(|cost| cost.as_secs_f64() * self.slowdown > longest.as_secs_f64());
-        if hopeless {
-            // Only an attempt can show that servers have recovered, so the slowdown fades without one.
+        let cannot_meet = cost.is_some_and(|cost| cost.as_secs_f64() * self.slowdown > longest.as_secs_f64());
+        if cannot_meet {
+            // Without attempts a recovery would go unnoticed, so the slowdown decays with each rejection.
             self.slowdown += (1.0 - self.slowdown) * SMOOTHING / 8.0;
         }
-        hopeless
+        cannot_meet
     }
 
-    /// Whether a request is one of those to reject at once, as responses arrive with too little margin.
+    /// Whether adaptive throttling rejects this request, by a random draw.
     fn is_throttled(&mut self) -> bool {
-        let fraction =
-            if self.shares_servers_with_many() { self.throttle.rejection_fraction(self.now) } else { 0.0 };
+        let fraction = if self.has_many_peers() { self.throttle.rejection_fraction(self.now) } else { 0.0 };
         let throttled = fraction > 0.0 && self.fleet.random() < fraction;
         if throttled {
             self.throttle.record_rejection(self.now);
@@ -77,12 +77,12 @@
         throttled
     }
 
-    /// The rounds of probes that a request starts with: all of them used up where load isn't known from probes.
+    /// The initial count of probe rounds: the maximum, which allows none, if load is not learned from probes.
     fn initial_probe_rounds(&self) -> u32 {
         if self.settings.learns_load_from_probes() { 0 } else { MAX_PROBE_ROUNDS }
     }
 
-    /// A body has arrived completely: the time of its request begins now, and so does that of its attempt.
+    /// Handles the end of an upload: the time of the request and of its attempts starts now.
     pub(super) fn on_uploaded(&mut self, id: RequestId, remaining: Duration, actions: &mut Vec<Action>) {
         let remaining = remaining.min(MAX_DURATION).saturating_sub(2 * self.settings.tick);
         let is_uploading = |request: &&mut Request| !request.is_closed && request.upload_timeout.is_some();
@@ -94,8 +94,7 @@
         actions.push(Action::SetTimer { after: request.deadline - self.now, token: id.0 });
     }
 
-    /// The node shuts down and closes whatever is still open at the end, so all requests are to have their response by
-    /// then.
+    /// Handles the start of a shutdown. The node closes all connections after `within`: no deadline is later.
     pub(super) fn on_shutdown(&mut self, within: Duration, actions: &mut Vec<Action>) {
         self.shutdown_deadline = self.shutdown_deadline.min(self.now + within.min(MAX_DURATION));
         let deadline = self.shutdown_deadline;
@@ -106,7 +105,7 @@
         }
     }
 
-    /// A timer is due: that of a request, or of the server list.
+    /// Handles a timer, of a request or of the server list.
     pub(super) fn on_timer(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.request_list_if_due(actions);
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -114,7 +113,7 @@
             return self.finish(id, actions);
         }
         if self.waiting_for_probes.contains(&id) {
-            request.probe_rounds = MAX_PROBE_ROUNDS; // It has waited long enough for probes.
+            request.probe_rounds = MAX_PROBE_ROUNDS; // The maximum wait for probes is over.
             self.waiting_for_probes.retain(|waiting| *waiting != id);
         }
         if request.hedge_at.is_some_and(|at| self.now >= at) {
@@ -123,12 +122,12 @@
         self.dispatch(id, actions);
     }
 
-    /// A hedged attempt of a request is due: decides whether it may be sent.
+    /// Decides whether a hedged attempt that is due may be sent.
     fn hedge(&mut self, id: RequestId) {
         let probe_rounds = self.initial_probe_rounds();
         let Some(request) = self.requests.get_mut(&id) else { return };
         let last = request.attempts.last().and_then(|attempt| self.fleet.get(&attempt.server.id));
-        // The last attempt is likely lost: its server doesn't respond or failed recently.
+        // The last attempt is probably lost if its server is unresponsive or failed recently.
         let is_lost = |server: &Server| {
             server.failure_rate > SMOOTHING / 2.0
                 || server.is_unresponsive(self.now, 2.0 * self.response_time)
@@ -141,12 +140,13 @@
         request.probe_rounds = probe_rounds;
     }
 
-    /// The only place that gives a final response: rejected if a retry by the client is safe, else failed.
+    /// Sends the final response of a request without success: a rejection if a retry by the client is safe,
+    /// else a failure. This is the only place that does.
     pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let is_owed = |request: &&Request| !request.is_closed && !request.is_streaming;
         let Some(request) = self.requests.get(&id).filter(is_owed) else { return };
         if request.is_in_flight() && self.now < request.deadline {
-            return; // The attempt in flight may still bring the response.
+            return; // The attempt in flight may still get a response.
         }
         let class = &self.classes[request.class];
         let is_retry_safe = match class.repeat {
@@ -158,8 +158,8 @@
         self.close(id, actions);
     }
 
-    /// Ends a request: nothing more is sent for it. Its attempts in flight are cancelled, and it is stored until they
-    /// have ended.
+    /// Closes a request: nothing more is sent for it. Its attempts in flight are cancelled where the site
+    /// permits it, and it is removed once they have ended.
     pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.waiting_for_probes.retain(|waiting| *waiting != id);
         let Some(request) = self.requests.get_mut(&id) else { return };
--- a/crates/join-up-to/src/balance/rules.rs
+++ b/crates/join-up-to/src/balance/rules.rs
@@ -1,4 +1,5 @@
-//! The rules: which server a request may be sent to, and whether it may have another attempt. Nothing relaxes them.
+//! The rules that no attempt may violate: to which servers a request may be sent, and whether it may be
+//! retried.
 
 use super::Balancer;
 use crate::interface::*;
@@ -8,15 +9,15 @@
 /// The kind of an additional attempt of a request.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptKind {
-    /// After the end of the attempt before.
+    /// After the previous attempt has ended.
     Retry,
-    /// While the attempt before is in flight.
+    /// While the previous attempt is in flight.
     Hedged,
 }
 
 impl Balancer {
-    /// Whether a request may be sent to a server. Nothing is sent to a server that is draining or gone, although rule 3
-    /// allows that for a grace period.
+    /// Whether a request may be sent to a server. Never to one that is draining or removed, although rule 3
+    /// allows this for a grace period.
     pub(super) fn permits(&self, server: &Server, request: &Request) -> bool {
         let was_sent_there = |attempt: &Attempt| {
             attempt.server.id == server.entry.id && attempt.outcome != Some(Outcome::NotSent)
@@ -27,7 +28,7 @@
             && !request.attempts.iter().any(was_sent_there)
     }
 
-    /// Rule 2: a request that may have been executed is sent again only as its class allows.
+    /// Rule 2: a request that may have been executed is repeated only as its class allows.
     fn repeat_permits(&self, server: &Server, request: &Request) -> bool {
         let Some(first) = request.first_possible_execution() else { return true };
         match self.classes[request.class].repeat {
@@ -44,8 +45,7 @@
         }
     }
 
-    /// Whether a retry at this time is possible, whichever server it goes to. The class's own policy applies besides
-    /// rule 2.
+    /// Whether a retry at this time is possible at any server, by rule 2 and the attempt policy of the class.
     pub(super) fn may_retry_at(&self, request: &Request, at: Duration) -> bool {
         let class = &self.classes[request.class];
         let is_repeatable = request.first_possible_execution().is_none_or(|first| match class.repeat {
@@ -61,7 +61,8 @@
             && request.attempts.iter().all(allows)
     }
 
-    /// Whether a request may have another attempt. A body that is forwarded while it arrives is sent once.
+    /// Whether a request may have another attempt. An upload is sent only once if its body is no longer
+    /// available or an attempt may have been executed.
     pub(super) fn has_attempts_left(&self, request: &Request) -> bool {
         let is_unavailable = request.is_body_consumed || request.may_have_run();
         if request.upload_timeout.is_some() && is_unavailable {
@@ -72,8 +73,8 @@
         request.attempts.len() < max as usize
     }
 
-    /// Whether the budget allows another attempt. Hedged attempts have a budget of their own where their class sets
-    /// their number.
+    /// Whether restrictions and the budget allow another attempt. Hedged attempts have their own budget if
+    /// the class sets their maximum fraction.
     pub(super) fn has_budget(&self, request: &Request) -> bool {
         let (class, restrictions) = (request.class, self.restrictions);
         let is_hedged = request.is_next_hedged();
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Takes an additional attempt from its budget.
+    /// Deducts an additional attempt from its budget.
     pub(super) fn spend(&mut self, class: ClassSlot, kind: AttemptKind) {
         let policy = &self.classes[class].attempt_policy;
         match policy.hedging {
--- a/crates/join-up-to/src/balance/server_list.rs
+++ b/crates/join-up-to/src/balance/server_list.rs
@@ -1,4 +1,4 @@
-//! The server list: updates, and requests for it where it is not pushed.
+//! The server list: updates, and requests for it if it is not pushed.
 
 use super::{Balancer, HOUSEKEEPING_TOKEN};
 use crate::interface::*;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// An update of the list has arrived, or a request for it has failed.
+    /// Handles an update of the list, or the failure of a request for it.
     pub(super) fn on_list(
         &mut self,
         kind: ListKind,
@@ -21,7 +21,7 @@
             (self.list_request_at, self.list_backoff) = (None, Duration::ZERO);
         }
         if version < self.list_version {
-            return; // An older list would bring back servers that are gone.
+            return; // An older list would restore servers that have been removed.
         }
         self.list_version = version;
         if kind != ListKind::Changes {
@@ -36,11 +36,11 @@
         self.slow_start_check_at = self.now;
     }
 
-    /// Adds or changes a server. One that was restarted keeps only what does not depend on its process.
+    /// Adds or updates a server. After a restart it keeps only what does not depend on its process.
     fn update_server(&mut self, entry: ServerEntry) {
         let mut server = self.fleet.remove(entry.id).unwrap_or_default();
         if server.entry.id != entry.id || server.entry.started != entry.started {
-            // Slow start begins with a random part of a request, so that not all nodes send one at once.
+            // Slow start begins with a random fraction of a request, so that not all nodes send one at once.
             let slow_start_credit = TokenBucket::new(self.fleet.random(), self.now);
             let Server { in_flight, capacity, rank, .. } = server;
             server = Server { in_flight, capacity, rank, slow_start_credit, ..Server::default() };
@@ -50,7 +50,7 @@
         self.fleet.insert(server);
     }
 
-    /// A request for the list has failed: requests it again after a backoff.
+    /// Schedules another request for the list after a failed one, with exponential backoff and jitter.
     fn retry_list_request(&mut self, actions: &mut Vec<Action>) {
         let interval = self.settings.rules.list_request_interval;
         self.list_backoff = (2 * self.list_backoff).clamp(interval / 16, interval / 2);
@@ -58,7 +58,7 @@
         self.request_list_after(wait, actions);
     }
 
-    /// Requests the list when that is due, and again if there is no response.
+    /// Requests the list if that is due, and schedules the next request in case there is no response.
     pub(super) fn request_list_if_due(&mut self, actions: &mut Vec<Action>) {
         if self.list_request_at.is_some_and(|at| self.now >= at) {
             actions.push(Action::Subscribe { on: true });
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Sets the time of the next request for the list.
+    /// Schedules the next request for the list.
     pub(super) fn request_list_after(&mut self, wait: Duration, actions: &mut Vec<Action>) {
         self.list_request_at = Some(self.now + wait);
         actions.push(Action::SetTimer { after: wait, token: HOUSEKEEPING_TOKEN });
--- a/crates/join-up-to/src/state/classes.rs
+++ b/crates/join-up-to/src/state/classes.rs
@@ -1,29 +1,29 @@
-//! The classes of requests with what is left of their budgets, over changes of the settings.
+//! The classes of requests with their retry and hedging budgets, preserved when the settings change.
 
 use super::token_bucket::TokenBucket;
 use crate::interface::{Class, Hedging};
 use std::ops::Index;
 use std::time::Duration;
 
-/// The maximum of an unused budget, beside one second of its rate.
-const MAX_UNUSED: f64 = 10.0;
+/// The maximum number of unused tokens of a budget, in addition to one second of its rate.
+const MAX_SAVED_TOKENS: f64 = 10.0;
 
-/// The position of a class among [`Classes`]. It stays the same while a request of the class exists.
+/// The index of a class in [`Classes`]. It does not change while a request of the class exists.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassSlot(usize);
 
-/// The present classes, and those of earlier settings that requests still have.
+/// The classes of the current settings, and those of earlier settings that are still used by requests.
 pub struct Classes {
     slots: Vec<Slot>,
-    /// The slot of each class of the settings, by its position there.
+    /// The slot of each class, by its index in the settings.
     current: Vec<usize>,
 }
 
-/// A class with what is left of its budgets.
+/// A class with the tokens left in its budgets.
 struct Slot {
     class: Class,
     is_current: bool,
-    /// The number of requests that have it.
+    /// The number of open requests of the class.
     requests: usize,
     retries: TokenBucket,
     hedges: TokenBucket,
@@ -35,8 +35,8 @@
         all.replace(classes);
         all
     }
-    /// Replaces the classes. One that stays the same keeps its budgets; one that is removed is stored for as long as a
-    /// request has it.
+    /// Replaces the classes. An unchanged class keeps its budgets; a removed class is kept until its last
+    /// request has ended.
     pub fn replace(&mut self, classes: &[Class]) {
         self.slots.iter_mut().for_each(|slot| slot.is_current = false);
         self.current.clear();
@@ -52,48 +52,48 @@
             self.current.push(at);
         }
     }
-    /// Adds a request of the class at this position in the settings, and what it pays into the class's budgets.
+    /// Adds a request of the class at this index in the settings, and its tokens to the budgets of the class.
     pub fn add_request(&mut self, class: usize, now: Duration) -> ClassSlot {
         let at = self.current[class.min(self.current.len() - 1)];
         let slot = &mut self.slots[at];
         slot.requests += 1;
         if let Some(budget) = slot.class.attempt_policy.retry_budget {
-            let max = MAX_UNUSED + budget.per_s;
+            let max = MAX_SAVED_TOKENS + budget.per_s;
             if slot.retries.at.is_zero() {
-                slot.retries.at = now; // The rate adds nothing before the first request.
+                slot.retries.at = now; // Time before the first request adds no tokens.
             }
             slot.retries = slot.retries.refilled(now, budget.per_s, max);
             slot.retries.tokens = (slot.retries.tokens + budget.share).min(max);
         }
         if let Hedging::After { max_fraction, .. } = slot.class.attempt_policy.hedging {
-            slot.hedges.tokens = (slot.hedges.tokens + max_fraction).min(MAX_UNUSED);
+            slot.hedges.tokens = (slot.hedges.tokens + max_fraction).min(MAX_SAVED_TOKENS);
         }
         ClassSlot(at)
     }
-    /// Removes a request.
+    /// Removes a request from the count of its class.
     pub fn remove_request(&mut self, slot: ClassSlot) {
         self.slots[slot.0].requests -= 1;
     }
-    /// The retries that are left; `None` if the class has no budget of its own.
+    /// The retries left in the budget; `None` if the class has no budget of its own.
     pub fn retries_left(&self, slot: ClassSlot, now: Duration) -> Option<f64> {
         let slot = &self.slots[slot.0];
         let budget = slot.class.attempt_policy.retry_budget?;
-        Some(slot.retries.refilled(now, budget.per_s, MAX_UNUSED + budget.per_s).tokens)
+        Some(slot.retries.refilled(now, budget.per_s, MAX_SAVED_TOKENS + budget.per_s).tokens)
     }
-    /// Takes a retry from the budget.
+    /// Deducts a retry from the budget.
     pub fn spend_retry(&mut self, slot: ClassSlot, now: Duration) {
         let left = self.retries_left(slot, now).unwrap_or_default();
         self.slots[slot.0].retries = TokenBucket::new(left - 1.0, now);
     }
-    /// The hedged attempts that are left.
+    /// The hedged attempts left in the budget.
     pub fn hedges_left(&self, slot: ClassSlot) -> f64 {
         self.slots[slot.0].hedges.tokens
     }
-    /// Takes a hedged attempt from the budget.
+    /// Deducts a hedged attempt from the budget.
     pub fn spend_hedge(&mut self, slot: ClassSlot) {
         self.slots[slot.0].hedges.tokens -= 1.0;
     }
-    /// Slots in use or free for reuse.
+    /// The number of slots, in use or free.
     #[cfg(test)]
     pub fn slots(&self) -> usize {
         self.slots.len()
@@ -102,7 +102,7 @@
 
 impl Slot {
     fn new(class: Class) -> Self {
-        // One additional attempt is allowed from the start.
+        // Both budgets start with one token.
         let tokens = TokenBucket::new(1.0, Duration::ZERO);
         Slot { class, is_current: true, requests: 0, retries: tokens, hedges: tokens }
     }
--- a/crates/join-up-to/src/state/classes/tests.rs
+++ b/crates/join-up-to/src/state/classes/tests.rs
@@ -4,7 +4,7 @@
 use crate::interface::{RetryBudget, Settings};
 
 #[test]
-fn a_removed_class_is_stored_while_a_request_has_it_and_no_longer() {
+fn a_removed_class_is_kept_only_while_a_request_uses_it() {
     let class = |target| Class {
         latency_target: Duration::from_millis(target),
         ..Settings::default().classes[0].clone()
@@ -13,9 +13,9 @@
     let slot = classes.add_request(1, Duration::ZERO);
     for round in 0..100 {
         classes.replace(&[class(1), class(3 + round)]);
-        assert_eq!(classes[slot], class(2), "as it was when the request arrived");
+        assert_eq!(classes[slot], class(2), "the class is the one with which the request arrived");
         let unchanged = classes.add_request(0, Duration::ZERO);
-        assert_eq!(unchanged, ClassSlot(0), "a class that stays keeps its slot");
+        assert_eq!(unchanged, ClassSlot(0), "an unchanged class keeps its slot");
         classes.remove_request(unchanged);
     }
     classes.remove_request(slot);
--- a/crates/join-up-to/src/state/mod.rs
+++ b/crates/join-up-to/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What a node stores of servers and requests: types and their plain arithmetic, no decisions.
+//! The state of servers, requests and classes, without decision logic.
 
 mod classes;
 mod fleet;
@@ -14,4 +14,4 @@
 pub use request::{Attempt, Request};
 pub use server::{Capacity, ReportedLoad, Server};
 pub use token_bucket::TokenBucket;
-pub use usual_cost::UsualCost;
+pub use usual_cost::AverageCost;
--- a/crates/join-up-to/src/state/request.rs
+++ b/crates/join-up-to/src/state/request.rs
@@ -4,9 +4,9 @@
 use crate::interface::{Outcome, ServerEntry};
 use std::time::Duration;
 
-/// An attempt, and how it ended.
+/// An attempt of a request.
 pub struct Attempt {
-    /// The server that it was sent to, as listed then.
+    /// The list entry of its server at the time of the send.
     pub server: ServerEntry,
     pub sent: Duration,
     /// The load of the server at the send, rounded.
@@ -22,37 +22,37 @@
     }
 }
 
-/// A request that is owed a response, or some of whose attempts are still in flight.
+/// A request without final response, or with attempts in flight.
 #[derive(Default)]
 pub struct Request {
     pub class: ClassSlot,
-    /// Its expected processing time, where known.
+    /// Its expected processing time; `None` if unknown.
     pub cost: Option<Duration>,
-    /// Its cost in units of the usual request's.
-    pub weight: f64,
-    /// A response after this time has no value.
+    /// Its cost relative to the average; 1 if unknown.
+    pub relative_cost: f64,
+    /// The time by which it must have its final response.
     pub deadline: Duration,
     pub attempts: Vec<Attempt>,
-    /// Rounds of probes that were made for it.
+    /// The number of probe rounds made for it.
     pub probe_rounds: u32,
     /// Whether its response is being streamed to the client.
     pub is_streaming: bool,
-    /// How long its body may take to arrive, where that is forwarded while it arrives.
+    /// The maximum time for its body to arrive; `None` unless the body is forwarded while it arrives.
     pub upload_timeout: Option<Duration>,
-    /// Whether bytes of that body were forwarded that are not buffered.
+    /// Whether bytes of an upload's body that are not buffered were forwarded.
     pub is_body_consumed: bool,
-    /// When a hedged attempt is due, whether one may be sent now, and how many were.
+    /// When a hedged attempt is due, whether one may be sent now, and how many have been sent.
     pub hedge_at: Option<Duration>,
     pub may_hedge: bool,
     pub hedges: u32,
-    /// The end of its backoff.
+    /// The end of the backoff before its next retry.
     pub backoff_until: Option<Duration>,
     /// Whether nothing more is to be sent for it.
     pub is_closed: bool,
 }
 
 impl Request {
-    /// Whether it is owed a response and may be sent: nothing is in flight, or a hedged attempt is due.
+    /// Whether it needs a response and may be sent now: nothing is in flight, or a hedged attempt is due.
     pub fn is_dispatchable(&self) -> bool {
         !self.is_closed && !self.is_streaming && (self.may_hedge || !self.is_in_flight())
     }
@@ -60,7 +60,7 @@
     pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.outcome.is_none())
     }
-    /// Whether its next attempt is a hedged one, not a retry after the last.
+    /// Whether its next attempt is a hedged one and not a retry.
     pub fn is_next_hedged(&self) -> bool {
         self.may_hedge && self.is_in_flight()
     }
--- a/crates/join-up-to/src/state/server.rs
+++ b/crates/join-up-to/src/state/server.rs
@@ -1,20 +1,21 @@
-//! What a node knows of a server.
+//! The state that a node keeps of a server.
 
 use super::token_bucket::TokenBucket;
 use crate::interface::ServerEntry;
 use crate::join::Estimate;
 use std::time::Duration;
 
-/// What a node knows of a server.
+/// The state that a node keeps of a server.
 #[derive(Default)]
 pub struct Server {
     pub entry: ServerEntry,
-    /// Its rank among the ready servers: drawn once, and kept over all updates of the list that contain it.
+    /// Its random rank among the ready servers, kept as long as updates of the list contain the server.
     pub rank: Option<u32>,
-    /// Join-Up-To(m)'s estimate: own sends since its last idle report.
+    /// The estimate of Join-Up-To(m): this node's sends since the last idle report.
     pub estimate: Estimate,
-    pub last_idle_at: Option<Duration>,
-    /// Own attempts in flight, and since when none of them has had a response.
+    pub last_idle_report_at: Option<Duration>,
+    /// This node's attempts in flight, and the time of the last response or, if later, of the first of these
+    /// sends.
     pub in_flight: u32,
     pub no_response_since: Duration,
     pub load: Option<ReportedLoad>,
@@ -22,14 +23,14 @@
     pub is_probed: bool,
     /// Moving average of failed attempts, from 0 to 1.
     pub failure_rate: f64,
-    /// The end of its ejection; after that it gets one request at a time until one is served.
+    /// The end of its ejection. Afterwards it gets one request at a time until one is served.
     pub ejected_until: Option<Duration>,
-    /// What it may still be sent in slow start, in usual requests.
+    /// The cost that may still be sent to it in slow start, relative to the average cost of a request.
     pub slow_start_credit: TokenBucket,
-    /// Its capacity, where that is provided.
+    /// Its capacity, if provided from outside.
     pub capacity: Option<Capacity>,
-    /// The logarithm of its capacity relative to the mean, as learned from reports: with that of its kind, and its own
-    /// deviation from that.
+    /// The logarithm of its learned capacity relative to the mean: the sum of the log weight of its machine
+    /// kind and of its own deviation from that, `log_deviation`.
     pub log_weight: f64,
     pub log_deviation: f64,
 }
@@ -37,23 +38,23 @@
 /// The load that a server reported.
 #[derive(Clone, Copy)]
 pub struct ReportedLoad {
-    /// Requests in flight or queued there, with own sends since the report.
+    /// Requests in flight or queued at the server, plus this node's sends since the report.
     pub requests: f64,
     /// When it was reported.
     pub at: Duration,
 }
 
-/// The capacity of a server, where it is provided from outside.
+/// The capacity of a server, if provided from outside.
 #[derive(Clone, Copy)]
 pub struct Capacity {
-    /// The maximum of own attempts in flight.
+    /// The maximum of this node's attempts in flight.
     pub max_in_flight: u32,
-    /// The capacity relative to the mean of all servers.
+    /// Relative to the mean of all servers.
     pub relative: f64,
 }
 
 impl Server {
-    /// Records that an attempt was sent, with the credit that is left after it.
+    /// Records a send. `credit` is the slow-start credit left after it.
     pub fn record_send(&mut self, now: Duration, credit: TokenBucket) {
         if self.in_flight == 0 {
             self.no_response_since = now;
@@ -62,15 +63,15 @@
         self.estimate.record_send();
         self.load = self.load.map(|load| ReportedLoad { requests: load.requests + 1.0, ..load });
     }
-    /// Its capacity relative to the mean: 1 as long as nothing else is provided or learned.
+    /// Its capacity relative to the mean; 1 unless another one is provided or learned.
     pub fn relative_capacity(&self) -> f64 {
         self.capacity.map_or_else(|| self.log_weight.exp(), |capacity| capacity.relative)
     }
-    /// Whether it has fewer attempts in flight than it may have.
+    /// Whether it has fewer attempts in flight than its provided maximum; always if none is provided.
     pub fn has_capacity(&self) -> bool {
         self.capacity.is_none_or(|capacity| self.in_flight < capacity.max_in_flight)
     }
-    /// Whether attempts are in flight and none has had a response for longer than this.
+    /// Whether attempts are in flight and there was no response for longer than `for_s` seconds.
     pub fn is_unresponsive(&self, now: Duration, for_s: f64) -> bool {
         self.in_flight > 0 && now.saturating_sub(self.no_response_since).as_secs_f64() > for_s
     }
--- a/crates/join-up-to/src/throttle.rs
+++ b/crates/join-up-to/src/throttle.rs
@@ -1,25 +1,25 @@
-//! The fraction of requests that a node rejects at once, from the margin with which responses arrive (client-side
-//! adaptive throttling). For a node whose own sends say little about the load of servers because many nodes share
-//! them: it sees the load only in its responses. All nodes together then send what servers can serve in time,
-//! without any message between them. Holds no clock and draws no random numbers.
+//! Client-side adaptive throttling: the fraction of requests that a node rejects at once, computed from the
+//! time left when responses arrive. Used where many nodes share the servers, so that a node's own sends say
+//! little about server load and only its responses show it. All nodes together then send what the servers can
+//! serve in time, without communication. Reads no clock and draws no random numbers.
 
 use crate::rate::Rate;
 use std::time::Duration;
 
-/// Attempts exceed responses with their full margin by this factor: enough to notice that servers have capacity
-/// again, and little enough that servers stay short of where they turn slow.
+/// Permitted attempts per response with full margin. High enough to notice that servers have free capacity
+/// again, low enough not to overload them until they slow down.
 const OVERSEND_FACTOR: f64 = 1.35;
-/// The fraction of an attempt's time that has to remain at the response for it to count in full: a response without
-/// queueing is no sign of load.
+/// A response with at least this fraction of the attempt's time left counts in full: a response without
+/// queueing does not indicate load.
 const FULL_MARGIN: f64 = 1.0 / 1.4;
-/// This number of attempts may fail before any request is rejected: a node with little traffic judges by few.
+/// This number of attempts may fail before a request is rejected: a node with little traffic has few samples.
 const SLACK: f64 = 0.5;
-/// The time constant, as a fraction of the time in which servers collapse. They fill up within a second.
+/// The time constant as a fraction of `overload_time`, short because server queues fill up within a second.
 const WINDOW_FRACTION: f64 = 1.0 / 6.0;
 
-/// The recent results of attempts.
+/// Decayed sums of recent attempts and of the margins of their responses.
 pub struct Throttle {
-    /// The time constant in seconds.
+    /// The time constant of both rates in seconds.
     window_s: f64,
     attempts: Rate,
     /// The sum of the margins of responses, each from 0 to 1.
@@ -27,13 +27,14 @@
 }
 
 impl Throttle {
-    /// For servers that collapse under an overload of this duration.
+    /// A throttle for servers that collapse after an overload of this duration.
     pub fn new(overload_time: Duration) -> Self {
         let window_s = (overload_time.as_secs_f64() * WINDOW_FRACTION).max(1e-3);
         Throttle { window_s, attempts: Rate::over(window_s), margin: Rate::over(window_s) }
     }
 
-    /// Records the end of an attempt by the fraction of its time that was left, 0 for one that timed out.
+    /// Records the end of an attempt. `time_left` is the fraction of its time that was left, 0 after a
+    /// time-out.
     pub fn record_attempt(&mut self, now: Duration, time_left: f64) {
         self.attempts.add(now, 1.0);
         self.margin.add(now, (time_left / FULL_MARGIN).clamp(0.0, 1.0));
@@ -44,7 +45,7 @@
         self.attempts.add(now, 1.0);
     }
 
-    /// The fraction of arriving requests to reject; 0 or less for none.
+    /// The fraction of arriving requests to reject; none if it is 0 or negative.
     pub fn rejection_fraction(&self, now: Duration) -> f64 {
         let attempts = self.attempts.per_s(now) * self.window_s;
         let margin = self.margin.per_s(now) * self.window_s;
--- a/crates/join-up-to/src/weights/tests.rs
+++ b/crates/join-up-to/src/weights/tests.rs
@@ -8,11 +8,11 @@
 }
 
 #[test]
-fn draws_go_to_servers_with_less_load_until_all_have_the_same() {
+fn weights_converge_until_all_servers_have_the_same_load() {
     let (mut weights, mut slow, mut fast) = (Weights::default(), server(1), server(0));
     assert_eq!((slow.relative_capacity(), fast.relative_capacity()), (1.0, 1.0), "nothing is known");
     for _ in 0..200 {
-        // The load is in proportion to the draws and to the time of a request: the fast server does twice as much.
+        // Load is proportional to the draws and to the service time; the fast server needs half the time.
         let all = slow.relative_capacity() + fast.relative_capacity();
         let slow_load = 8.0 * slow.relative_capacity() / all;
         let fast_load = 4.0 * fast.relative_capacity() / all;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn late_responses_leave_a_server_few_draws_whatever_it_reports_until_they_arrive_in_time() {
+fn late_responses_lower_a_servers_weight_whatever_it_reports_until_responses_are_in_time() {
     let (mut weights, mut slow, mut other) = (Weights::default(), server(0), server(0));
     let share = |slow: &Server, other: &Server| {
         slow.relative_capacity() / (slow.relative_capacity() + other.relative_capacity())
