--- a/crates/join-up-to/src/interface/actions.rs
+++ b/crates/join-up-to/src/interface/actions.rs
@@ -1,9 +1,9 @@
-//! The actions that a [`Balancer`](crate::Balancer) asks of its node.
+//! The actions that a [`Balancer`](crate::Balancer) requests from its node.
 
 use super::ids::{RequestId, ServerId};
 use std::time::Duration;
 
-/// An action of the node. Actions are carried out in the order in which they are returned.
+/// An action for the node to execute, in the order in which actions are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -12,17 +12,17 @@
         id: RequestId,
         /// The server that it is sent to.
         server: ServerId,
-        /// After this time the attempt has timed out.
+        /// The attempt times out after this time.
         timeout: Duration,
     },
-    /// Final response: rejected, and a retry by the client is safe.
+    /// Send the final response: the request is rejected, and a retry by the client is safe.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should wait before it retries.
+        /// How long the client should wait before it retries; `None` to give no hint.
         retry_after: Option<Duration>,
     },
-    /// Final response: failed; whether the request was executed is unknown.
+    /// Send the final response: the request has failed and may have been executed.
     Fail {
         /// The request.
         id: RequestId,
@@ -36,9 +36,9 @@
     },
     /// Request an [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// When, from now.
+        /// The time until the event, from now.
         after: Duration,
-        /// The token that the event will carry.
+        /// Returned in the event.
         token: u64,
     },
     /// Request a load report of a server.
@@ -53,16 +53,16 @@
     },
     /// Start or end the subscription to changes of the server list.
     Subscribe {
-        /// Whether it is to be on.
+        /// `true` starts the subscription, `false` ends it.
         on: bool,
     },
     /// Request the full server list once.
     FetchList,
     /// Send a message to another node, or to all of them.
     Tell {
-        /// The receiver's number; `None` for all.
+        /// The number of the receiving node; `None` for all nodes.
         to: Option<u32>,
-        /// At most 256 bytes.
+        /// The content, at most 256 bytes.
         data: Vec<u8>,
     },
     /// Write to the operators' log.
--- a/crates/join-up-to/src/interface/class.rs
+++ b/crates/join-up-to/src/interface/class.rs
@@ -1,4 +1,4 @@
-//! Classes of requests: the value of their responses, how far they may be repeated, and how attempts are made.
+//! Classes of requests: the value of their responses, whether they may be repeated, and their attempt policy.
 
 use super::outcome::Outcome;
 use std::time::Duration;
@@ -8,24 +8,24 @@
 pub struct Class {
     /// A response within this time has its full value.
     pub latency_target: Duration,
-    /// The target is longer by this multiple of the request's own cost, within the deadline.
+    /// The latency target is extended by this multiple of the request's cost, up to the deadline.
     pub latency_target_stretch: f64,
-    /// How long a client waits in total, over all its retries.
+    /// How long a client waits in total, including all its retries.
     pub deadline: Duration,
-    /// The value of a response.
+    /// The value of a response within the latency target, relative to other classes.
     pub value: f64,
     /// The fraction of the value that a response after the latency target still has.
     pub late_value: f64,
-    /// How far a request may be repeated once it may have been executed.
+    /// Whether a request may be repeated once it may have been executed.
     pub repeat: Repeat,
-    /// Whether responses are streamed, so that [`Event::Started`](super::Event::Started) arrives.
+    /// Whether responses are streamed; each then causes an [`Event::Started`](super::Event::Started).
     pub streamed: bool,
-    /// How its attempts are made, where that is not left to the balancer.
+    /// Time-outs, retries and hedging, where these are not left to the balancer.
     pub attempt_policy: AttemptPolicy,
 }
 
-/// How the attempts of a class are made. The default leaves everything to the balancer and the site's
-/// [`Limits`](super::Limits). None of this loosens a rule: [`Repeat`] and the deadline hold whatever is set here.
+/// Time-outs, retries and hedging of a class. The default leaves them to the balancer and the site's
+/// [`Limits`](super::Limits). No setting here relaxes a rule: [`Repeat`] and the deadline always apply.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptPolicy {
     /// The maximum number of attempts of a request, hedged ones included; `None` for that of
@@ -37,9 +37,9 @@
     pub retry_on: RetryOn,
     /// The wait before a retry; `None` for none.
     pub backoff: Option<Backoff>,
-    /// Hedged requests.
+    /// When a hedged attempt is sent.
     pub hedging: Hedging,
-    /// The budget of retries; `None` for the one that all classes without a budget share.
+    /// The retry budget; `None` for the one shared by all classes without a budget of their own.
     pub retry_budget: Option<RetryBudget>,
     /// How long a rejected client is asked to wait; `None` for the time in [`Limits`](super::Limits).
     pub retry_after: Option<Duration>,
@@ -48,7 +48,7 @@
 /// The outcomes after which a retry is allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryOn {
-    /// The request was certainly never executed: [`Outcome::never_ran`].
+    /// The request was certainly not executed: [`Outcome::never_ran`].
     pub never_ran: bool,
     /// The server responded with an error.
     pub error: bool,
@@ -59,14 +59,14 @@
 }
 
 impl Default for RetryOn {
-    /// After each of them.
+    /// Retries are allowed after each of these outcomes.
     fn default() -> Self {
         RetryOn { never_ran: true, error: true, reset: true, timed_out: true }
     }
 }
 
 impl RetryOn {
-    /// Whether it includes an outcome after which the request may have been executed.
+    /// Whether a retry is allowed after any outcome that leaves open whether the request was executed.
     pub fn may_have_run(self) -> bool {
         self.error || self.reset || self.timed_out
     }
@@ -85,31 +85,31 @@
 /// The wait before a retry: exponential backoff with jitter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Backoff {
-    /// Before the second attempt; doubled before each further one.
+    /// The wait before the second attempt; doubled before each further one.
     pub initial: Duration,
-    /// It grows no longer than this.
+    /// The maximum wait.
     pub max: Duration,
-    /// The fraction of it, from 0 to 1, that chance may take off.
+    /// The maximum random reduction of the wait, as a fraction of it from 0 to 1.
     pub jitter: f64,
 }
 
 impl Backoff {
-    /// The maximum wait after this number of attempts, which is at least one.
+    /// The wait after this number of attempts, which is at least one, before jitter is applied.
     pub fn max_delay_after(&self, attempts: u32) -> Duration {
         let factor = 1u32.checked_shl(attempts.saturating_sub(1)).unwrap_or(u32::MAX);
         self.initial.saturating_mul(factor).min(self.max)
     }
 }
 
-/// Hedged requests: another attempt while one is in flight.
+/// When a hedged attempt is sent, that is, another attempt while one is in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Hedging {
-    /// As the balancer decides, where [`Limits`](super::Limits) permit two attempts at once.
+    /// Decided by the balancer, if [`Limits`](super::Limits) permit two attempts at once.
     #[default]
     Automatic,
-    /// None.
+    /// No hedged attempts.
     Never,
-    /// A fixed time after the attempt before, while that is in flight.
+    /// A fixed time after the previous attempt, if that is still in flight.
     After {
         /// The time between the attempts.
         delay: Duration,
@@ -120,21 +120,21 @@
     },
 }
 
-/// The budget of retries.
+/// A retry budget, which limits retries over all requests of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     /// Retries as a fraction of the class's requests.
     pub share: f64,
-    /// Retries per second that are allowed besides, whatever the traffic.
+    /// Retries per second that are allowed in addition, independent of the traffic.
     pub per_s: f64,
 }
 
-/// How far a request may be repeated once an attempt may have been executed.
+/// Whether a request may be repeated once an attempt may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// Idempotent: it may be repeated freely.
+    /// Idempotent: it may be repeated without restriction.
     Safe,
-    /// Servers deduplicate by a key, within a group of servers and for a time.
+    /// Servers deduplicate requests by a key, within a group of servers and a time window.
     Keyed {
         /// The servers that deduplicate each other's requests.
         scope: Scope,
--- a/crates/join-up-to/src/interface/events.rs
+++ b/crates/join-up-to/src/interface/events.rs
@@ -11,22 +11,22 @@
 pub struct NewRequest {
     /// The request.
     pub id: RequestId,
-    /// The position of its class in [`Settings::classes`](super::Settings::classes).
+    /// The index of its class in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// The position of its tenant in [`Settings::tenants`](super::Settings::tenants).
+    /// The index of its tenant in [`Settings::tenants`](super::Settings::tenants).
     pub tenant: usize,
-    /// The key of what it concerns; 0 for none.
+    /// The key of the entity that it concerns; 0 for none.
     pub key: u64,
     /// How long the client waits for this request.
     pub remaining: Duration,
-    /// Its expected processing time on a standard core, where known.
+    /// Its expected processing time on a standard core; `None` if unknown.
     pub cost: Option<Duration>,
-    /// Whether the client marks it as a retry of an earlier request.
+    /// Whether the client has marked it as a retry of an earlier request.
     pub client_retry: bool,
 }
 
 impl NewRequest {
-    /// The same request with durations of at most [`MAX_DURATION`].
+    /// The same request with its durations clamped to [`MAX_DURATION`].
     pub fn clamped(self) -> Self {
         let cost = self.cost.map(|cost| cost.min(MAX_DURATION));
         NewRequest { remaining: self.remaining.min(MAX_DURATION), cost, ..self }
@@ -46,7 +46,7 @@
     pub outcome: Outcome,
     /// The time from its start to its end.
     pub elapsed: Duration,
-    /// Whether the client has its final response; otherwise the node still owes it one.
+    /// Whether the client has received its final response; otherwise the node still has to send one.
     pub finished: bool,
     /// The server's load report, if the response carried one.
     pub report: Option<LoadReport>,
@@ -65,7 +65,7 @@
     pub report: Option<LoadReport>,
 }
 
-/// The kinds of additional attempts that are switched off because servers are overloaded. The default switches off none.
+/// The kinds of additional attempts that are disabled because servers are overloaded; by default none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptRestrictions {
     /// No hedged requests.
@@ -76,85 +76,87 @@
     pub no_retries: bool,
 }
 
-/// Something that has happened.
+/// An input of the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An update of the server list.
     List {
-        /// What the entries are.
+        /// Whether the entries are changes or the full list.
         kind: ListKind,
-        /// The list's version. It only grows; an update older than the present list is ignored.
+        /// The version of the list, which never decreases. An update older than the current list is ignored.
         version: u32,
         /// The entries.
         entries: Vec<ServerEntry>,
     },
-    /// A client's request has arrived. The node owes it one final response.
+    /// A client's request has arrived. It must get exactly one final response.
     Request(NewRequest),
-    /// The same for a request whose body is forwarded while it arrives: after [`Event::BodyConsumed`] it can't be sent
-    /// again, as the forwarded bytes are not buffered. Its time begins when the body is complete.
+    /// An upload has arrived: a request whose body is forwarded while it arrives. After
+    /// [`Event::BodyConsumed`] it can't be sent again, as the forwarded bytes are not buffered. Its time
+    /// starts when the body is complete.
     Upload {
         /// The request.
         request: NewRequest,
-        /// How long its body may take to arrive.
+        /// The maximum time until its body is complete.
         within: Duration,
     },
-    /// Bytes of the body of such a request were forwarded that are not buffered, so no other attempt can send it. Until
-    /// then an attempt that was certainly never executed may be followed by another.
+    /// Bytes of an upload's body that are not buffered were forwarded, so no other attempt can send the body.
+    /// Before this event an attempt that was certainly not executed may be followed by another one.
     BodyConsumed {
         /// The request.
         id: RequestId,
     },
-    /// The body of such a request has arrived and was forwarded completely.
+    /// The body of an upload has arrived and was forwarded completely.
     Uploaded {
         /// The request.
         id: RequestId,
-        /// How long its client waits from now on.
+        /// How long the client still waits for the response.
         remaining: Duration,
     },
-    /// A streamed response has started: its attempt is the request's last.
+    /// A streamed response has started. No further attempt of the request is made.
     Started {
         /// The request.
         id: RequestId,
-        /// The number of the attempt, in the order of sending.
+        /// The number of the attempt, in the order of sending, from 0.
         attempt: u32,
         /// The server.
         server: ServerId,
     },
-    /// An attempt has ended. Each [`Action::Send`](super::Action::Send) has exactly one such event.
+    /// An attempt has ended. Each [`Action::Send`](super::Action::Send) is followed by exactly one such
+    /// event.
     AttemptEnded(AttemptEnd),
-    /// The client has disconnected; no response is owed any more.
+    /// The client has disconnected; no response is needed.
     ClientGone {
         /// The request.
         id: RequestId,
     },
-    /// The node shuts down: present and later requests are to have their response within this time.
+    /// The node shuts down: open and new requests must get their final response within this time.
     Ending {
-        /// From now on.
+        /// The time until the node closes its connections.
         within: Duration,
     },
     /// A timer set by this node is due.
     Timer {
-        /// The token it was set with.
+        /// The token of [`Action::SetTimer`](super::Action::SetTimer).
         token: u64,
     },
     /// A probe has ended.
     Probed(ProbeEnd),
-    /// A server's capacity, where this is [`CapacitySource::Provided`](super::CapacitySource::Provided).
+    /// The capacity of a server, for [`CapacitySource::Provided`](super::CapacitySource::Provided).
     Capacity {
         /// The server.
         server: ServerId,
-        /// It is to have no more of this node's attempts in flight while another server has capacity.
+        /// The maximum of this node's attempts in flight there, as long as another server has capacity.
         max_in_flight: u32,
         /// Its capacity relative to the mean of all servers, which is 1.
         relative: f64,
     },
-    /// The additional attempts that are switched off from now on.
+    /// Replaces the restrictions on additional attempts.
     Restrict(AttemptRestrictions),
     /// A message from another node.
     Peer {
-        /// The sender's number.
+        /// The number of the sending node.
         from: u32,
-        /// Its content.
+        /// The content, as in [`Action::Tell`](super::Action::Tell).
         data: Vec<u8>,
     },
 }
--- a/crates/join-up-to/src/interface/mod.rs
+++ b/crates/join-up-to/src/interface/mod.rs
@@ -1,9 +1,10 @@
-//! The interface of the decisions: settings, events and actions.
+//! The interface of the balancer: settings, events and actions.
 //!
-//! Nothing here decides anything. Times are [`Duration`](std::time::Duration)s; a point in time is the time since some
-//! fixed moment of the host's clock, which never runs backwards.
+//! There is no decision logic here. A point in time is a [`Duration`](std::time::Duration) since a fixed
+//! origin of the host's monotonic clock.
 //!
-//! The names of events, actions and what they hold are in `tests/recorded`, as hashes of their debug text.
+//! `tests/recorded` holds hashes of the `Debug` output of events and actions, so renaming a type, variant or
+//! field changes these hashes.
 
 mod actions;
 mod class;
--- a/crates/join-up-to/src/interface/outcome.rs
+++ b/crates/join-up-to/src/interface/outcome.rs
@@ -7,22 +7,22 @@
     Served,
     /// The server returned an error; the request may have been executed.
     Error,
-    /// Rejected unexecuted: the server's queue is full, or it is draining.
+    /// The server rejected the request without executing it: its queue is full, or it is draining.
     Rejected,
     /// No response in time; the request may have been executed.
     TimedOut,
-    /// No connection in time.
+    /// No connection was established, so the request was not executed.
     ConnectFailed,
     /// The connection was lost; the request may have been executed.
     Reset,
     /// Cancelled by this node; the request may have been executed.
     Cancelled,
-    /// Never sent: the request had ended, its time was over or its attempts were used up.
+    /// Never sent: the request had ended, its deadline had passed or its attempts were used up.
     NotSent,
 }
 
 impl Outcome {
-    /// Each outcome once, in the order above.
+    /// All outcomes, in the order of declaration.
     pub const ALL: [Outcome; 8] = [
         Outcome::Served,
         Outcome::Error,
--- a/crates/join-up-to/src/interface/servers.rs
+++ b/crates/join-up-to/src/interface/servers.rs
@@ -8,9 +8,9 @@
 pub enum ServerState {
     /// It accepts requests.
     Ready,
-    /// It finishes its requests and accepts no new ones.
+    /// It completes its requests in flight and accepts no new ones.
     Draining,
-    /// It has been removed.
+    /// It has been removed from the list.
     #[default]
     Gone,
 }
@@ -20,41 +20,41 @@
 pub struct ServerEntry {
     /// The server.
     pub id: ServerId,
-    /// The number of its zone.
+    /// The number of its zone; servers of a zone may deduplicate each other's requests.
     pub zone: u8,
-    /// The number of its machine kind.
+    /// The number of its machine kind; servers of a kind have similar capacity.
     pub kind: u8,
-    /// The number of its cell.
+    /// The number of its cell; servers of a cell may deduplicate each other's requests.
     pub cell: u16,
-    /// Its state.
+    /// Whether it accepts requests.
     pub state: ServerState,
-    /// Its weight relative to other servers.
+    /// Its configured weight relative to other servers.
     pub weight: f32,
-    /// When it last started; `None` if that is long ago.
+    /// When its process last started; `None` if too long ago to matter for slow start.
     pub started: Option<Duration>,
 }
 
-/// What the entries of an update of the server list are.
+/// The kind of an update of the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// The entries that have changed.
     Changes,
-    /// The full list.
+    /// The full list; servers that are not in it have been removed.
     Full,
-    /// The full list as this node last stored it before it started; may be out of date.
+    /// The full list as stored by this node before its last start; may be out of date.
     Cached,
-    /// A request for the list failed, or the subscription was lost. No entries.
+    /// A request for the list failed, or the subscription was lost. There are no entries.
     Failed,
 }
 
-/// The load that a server reports. Reports lag and are noisy.
+/// A load report of a server; `None` for a value that it does not report. Reports lag and are noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests in flight at the server.
     pub in_flight: Option<f32>,
     /// Requests waiting in its queue.
     pub queue: Option<f32>,
-    /// The fraction of its processors in use.
+    /// The fraction of its processors in use, from 0 to 1.
     pub utilisation: Option<f32>,
     /// Its recent service time in milliseconds.
     pub latency_ms: Option<f32>,
--- a/crates/join-up-to/src/interface/settings.rs
+++ b/crates/join-up-to/src/interface/settings.rs
@@ -1,73 +1,74 @@
-//! The settings of a node: the site, its rules, and how the result is valued.
+//! The settings of a node: the site, its rules, and how results are scored.
 
 use super::class::{AttemptPolicy, Class, Hedging, Repeat};
 use std::time::Duration;
 
-/// The longest duration of a setting or a request. Longer ones are cut to it, so that their sums don't overflow.
+/// The maximum duration of a setting or a request. Longer ones are clamped, so that sums of them don't
+/// overflow.
 pub const MAX_DURATION: Duration = Duration::from_secs(86_400);
 
-/// The largest number of a setting.
+/// Numbers of settings are clamped to this value.
 const MAX_NUMBER: f64 = 1e9;
 
 /// The settings of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The number of nodes that share the requests, this one included; at least 1.
+    /// The number of nodes that the requests are distributed over, including this one; at least 1.
     pub nodes: u32,
-    /// The number of this node among them, from 0.
+    /// The index of this node among them, from 0.
     pub node: u32,
-    /// The zone this node is in.
+    /// The number of the zone this node is in.
     pub zone: u8,
-    /// The classes of requests; events refer to them by position.
+    /// The classes of requests; events refer to them by index.
     pub classes: Vec<Class>,
-    /// The tenants; events refer to them by position. Empty where there are none.
+    /// The tenants; events refer to them by index. Empty if there are none.
     pub tenants: Vec<Tenant>,
-    /// The value of a response beyond its tenant's share, as a fraction of its class's value.
+    /// The value of a response beyond its tenant's share, as a fraction of the value of its class.
     pub over_share_value: f64,
-    /// Whether value is counted by the cost of requests instead of their number.
+    /// Whether the score weights requests by their cost instead of counting them.
     pub value_by_cost: bool,
     /// How servers report their load.
     pub reports: ReportSource,
-    /// What the site permits.
+    /// What the site permits its nodes to do.
     pub limits: Limits,
     /// The parameters of the four rules.
     pub rules: Rules,
-    /// What is deducted from the result, as fractions of the service.
+    /// The deductions from the score, as fractions of the service.
     pub prices: Prices,
-    /// How the result is composed.
+    /// The weights of the parts of the score.
     pub goal: Goal,
-    /// Whether the server list must be requested; otherwise changes are pushed.
+    /// Whether the node must request the server list; otherwise changes are pushed.
     pub list_on_request: bool,
-    /// The minimum time between two batches of events, and so the precision of timers.
+    /// The minimum time between two batches of events, which is the precision of timers.
     pub tick: Duration,
-    /// Where the capacity of servers is known from.
+    /// Whether the capacity of servers is learned or provided.
     pub capacity_source: CapacitySource,
 }
 
-/// Where the capacity of servers is known from.
+/// The source of the capacity of servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CapacitySource {
-    /// The balancer learns at which load responses arrive in time; requests that would be late are rejected.
+    /// The balancer learns up to which load responses are in time, and rejects requests that would be late.
     #[default]
     Learned,
-    /// [`Event::Capacity`](super::Event::Capacity) provides it, and the sender of that event delays requests for which
-    /// there is no capacity.
+    /// The capacity is provided by [`Event::Capacity`](super::Event::Capacity). The sender of that event
+    /// queues requests for which there is no capacity.
     Provided,
 }
 
-/// A tenant and what it is entitled to.
+/// A tenant and its entitlement.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second within its share, over all nodes.
+    /// Requests per second within its share, summed over all nodes.
     pub allowance_per_s: f64,
-    /// Its fraction of the service.
+    /// Its fraction of the service, from 0 to 1.
     pub share: f64,
 }
 
-/// Where load reports come from.
+/// How servers report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With responses, and with probe results.
+    /// With responses and with probe results.
     Answers,
     /// With probe results only.
     Probes,
@@ -75,68 +76,69 @@
     None,
 }
 
-/// What the site permits.
+/// What the site permits its nodes to do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// The maximum number of attempts of a request.
+    /// The maximum number of attempts of a request, including the first; at least 1.
     pub max_attempts: u32,
-    /// Whether an attempt may be cancelled.
+    /// Whether an attempt in flight may be cancelled.
     pub cancel: bool,
     /// Whether servers may be probed.
     pub probes: bool,
     /// Whether two attempts of a request may be in flight at once.
     pub parallel_attempts: bool,
-    /// The longest wait that clients obey after a rejection; `None` if they are not asked to wait.
+    /// The longest wait after a rejection that clients respect; `None` if they are not asked to wait.
     pub max_retry_after: Option<Duration>,
-    /// A connection that is not established after this time has failed.
+    /// The time-out for establishing a connection.
     pub connect_timeout: Duration,
 }
 
 /// The parameters of the four rules.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// How long a node may still send to a server after the list shows that it is draining or gone.
+    /// Rule 3: how long a node may still send to a server after the list shows it as draining or removed.
     pub drain_grace: Duration,
-    /// The fraction of its capacity that a server has at least when it starts.
+    /// Rule 4: the fraction of its full capacity that a server has at least when it starts.
     pub initial_capacity: f64,
-    /// The duration of slow start: after it a server has its full capacity.
+    /// Rule 4: the duration of slow start, after which a server has its full capacity.
     pub slow_start: Duration,
-    /// A server in slow start collapses when it receives more than this multiple of its present capacity ...
+    /// Rule 4: a server in slow start collapses when it receives more than this multiple of its current
+    /// capacity ...
     pub overload_factor: f64,
     /// ... for this time.
     pub overload_time: Duration,
-    /// Where the list must be requested: the maximum time without a request or a subscription.
+    /// If the list is not pushed: the maximum time without a request for it or a subscription.
     pub list_request_interval: Duration,
 }
 
-/// What is deducted from the result.
+/// The deductions from the score.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// One probe for each request costs this fraction of the service.
+    /// The deduction, as a fraction of the service, if there is one probe per request.
     pub probe: f64,
-    /// An attempt that crosses zones, for each request.
+    /// The same if each request has one attempt that crosses zones.
     pub cross_zone: f64,
-    /// Work without a response, equal to all requested work.
+    /// The same if as much work is done without a response as was requested.
     pub waste: f64,
-    /// All requests failing only after the latency target.
+    /// The same if all requests fail only after their latency target.
     pub late_failure: f64,
 }
 
-/// Weights of the parts of the result.
+/// The weights of the parts of the score.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Goal {
-    /// The whole time.
+    /// The weight of the result over the whole time.
     pub whole: f64,
-    /// The worst period.
+    /// The weight of the worst period.
     pub worst_window: f64,
-    /// The worst-served class.
+    /// The weight of the worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant, within its share.
+    /// The weight of the worst-served tenant, within its share.
     pub worst_tenant: f64,
 }
 
 impl Settings {
-    /// Whether load is known from probes alone, and these are permitted.
+    /// Whether servers report their load to probes only, and probes are permitted.
     pub fn learns_load_from_probes(&self) -> bool {
         self.reports == ReportSource::Probes && self.limits.probes
     }
@@ -160,7 +162,7 @@
         self
     }
 
-    /// All durations.
+    /// The durations that [`Settings::clamped`] limits.
     fn durations(&mut self) -> Vec<&mut Duration> {
         let (rules, limits) = (&mut self.rules, &mut self.limits);
         let mut all = vec![&mut rules.drain_grace, &mut rules.slow_start, &mut rules.overload_time];
@@ -183,7 +185,7 @@
         all
     }
 
-    /// All numbers that are not counts.
+    /// The floating-point numbers that [`Settings::clamped`] limits.
     fn numbers(&mut self) -> Vec<&mut f64> {
         let (rules, prices) = (&mut self.rules, &mut self.prices);
         let mut all =
@@ -208,7 +210,8 @@
 }
 
 impl Default for Settings {
-    /// One node, one safe class, no tenants, no reports and no probes: the minimum that a node can run on.
+    /// Minimal settings: one node, one class of idempotent requests, no tenants, no load reports and no
+    /// probes.
     fn default() -> Self {
         Settings {
             nodes: 1,
--- a/crates/join-up-to/src/lib.rs
+++ b/crates/join-up-to/src/lib.rs
@@ -1,11 +1,12 @@
-//! The decisions of a load-balancing proxy, without the proxy.
+//! The decision logic of a load-balancing proxy, without I/O.
 //!
-//! A [`Balancer`] handles the events of one node and returns its actions: to which server a request is sent, when it is
-//! retried, hedged, rejected or failed. Its policy is Join-Up-To(m), in the words of the paper: backends are servers. It
-//! has no I/O and no clock and shares nothing with other nodes; the same events always give the same actions.
+//! A [`Balancer`] receives the events of one node and returns actions: which server a request is sent to, when
+//! it is retried, hedged, rejected or failed. Its policy is Join-Up-To(m); as in the paper, backends are called
+//! servers. It reads no clock and shares no state with other nodes; the same events always give the same
+//! actions.
 //!
-//! [`join`] is the policy by itself, for other programs that choose a server; [`settings`] reads the settings of a
-//! platform.
+//! [`join`] contains the policy alone, for other programs that select a server; [`settings`] parses the settings
+//! of a platform.
 //!
 //! ```
 //! use join_up_to::*;
--- a/crates/join-up-to/src/rate.rs
+++ b/crates/join-up-to/src/rate.rs
@@ -1,4 +1,4 @@
-//! A rate with exponential decay.
+//! A rate estimate with exponential decay.
 
 use std::time::Duration;
 
@@ -15,29 +15,30 @@
 }
 
 impl Rate {
-    /// A rate with this time constant in seconds.
+    /// A rate without any amount, with this time constant in seconds; at least a millisecond.
     pub fn over(seconds: f64) -> Self {
         Rate { sum: 0.0, at: Duration::ZERO, over: seconds.max(1e-3), since: None }
     }
 
-    /// Adds an amount.
+    /// Adds an amount. A time before that of the previous amount counts as that time.
     pub fn add(&mut self, now: Duration, amount: f64) {
         self.since.get_or_insert(now);
         (self.sum, self.at) = (self.recent_sum(now) + amount, now.max(self.at));
     }
 
-    /// The decayed sum of all amounts.
+    /// The sum of all amounts, each decayed by its age.
     pub fn recent_sum(&self, now: Duration) -> f64 {
         self.sum * (-now.saturating_sub(self.at).as_secs_f64() / self.over).exp()
     }
 
-    /// The amount per second over the time constant: too little at first, as nothing is known of the time before.
+    /// The amount per second, averaged over the time constant. Too low until about that time has been
+    /// observed.
     pub fn per_s(&self, now: Duration) -> f64 {
         self.recent_sum(now) / self.over
     }
 
-    /// The amount per second since the first was added, where that is recent, but over `min_observed_s` seconds at
-    /// least. A short observation is so not taken for a low rate.
+    /// The amount per second, corrected for the time since the first amount, or for `min_observed_s` seconds
+    /// if that is longer. A short observation is therefore not mistaken for a low rate.
     pub fn per_s_since_first(&self, now: Duration, min_observed_s: f64) -> f64 {
         let age = self.since.map_or(0.0, |since| now.saturating_sub(since).as_secs_f64());
         let seen = 1.0 - (-age.max(min_observed_s) / self.over).exp();
--- a/crates/join-up-to/src/settings.rs
+++ b/crates/join-up-to/src/settings.rs
@@ -1,6 +1,7 @@
-//! The settings of a platform: JSON, parsed into [`Settings`] and what the host of the balancer needs besides. The
-//! simulator adapter receives them with each instance, the standalone proxy in its configuration. The names of the raw
-//! types are seen in error texts.
+//! Parses the JSON settings of a platform into [`Settings`] and [`HostSettings`]. The simulator adapter
+//! receives them with each instance, the standalone proxy in its configuration. The raw types mirror the
+//! JSON, so their fields and variants keep its names; the names of the types themselves are part of error
+//! texts.
 
 use crate::{
     AttemptPolicy, CapacitySource, Class, Goal, Limits, LoadReport, Prices, Repeat, ReportSource, Rules,
@@ -20,7 +21,7 @@
     Concurrent,
     /// Requests waiting in its queue.
     Depth,
-    /// The fraction of its processors in use.
+    /// The fraction of its processors in use, from 0 to 1.
     LoadShare,
     /// Its recent service time in milliseconds.
     MeanMs,
@@ -34,13 +35,13 @@
 }
 
 impl Column {
-    /// The column of this name on the wire.
+    /// The column with this name on the wire; [`Column::Unknown`] if there is none.
     pub fn from_name(name: &str) -> Self {
         let name: StrDeserializer<serde::de::value::Error> = name.into_deserializer();
         Column::deserialize(name).unwrap_or(Column::Unknown)
     }
 
-    /// Stores a value of this column in a report. One that is not finite counts as missing.
+    /// Sets the value of this column in a report. A value that is not finite is stored as missing.
     pub fn set(self, report: &mut LoadReport, value: f32) {
         let field = match self {
             Column::Concurrent => &mut report.in_flight,
@@ -208,7 +209,7 @@
 }
 
 #[derive(Deserialize)]
-// Error texts show this name.
+// The name of this type is part of error texts.
 #[serde(rename_all = "PascalCase")]
 struct Raw {
     #[serde(default = "one_node")]
@@ -252,26 +253,27 @@
     1
 }
 
-/// A number of milliseconds as a duration; one that is negative, too large or not a number becomes zero or the longest.
+/// Converts milliseconds to a duration, rounded to microseconds. Values below 0 and NaN become 0; values
+/// above 1e15 ms are clamped.
 pub fn millis(ms: f64) -> Duration {
     const LONGEST_US: f64 = 1e18;
     Duration::from_micros((ms * 1000.0).round().clamp(0.0, LONGEST_US) as u64)
 }
 
-/// The settings that the host of the balancer needs, not the balancer.
+/// Settings that are used by the host of the balancer and not by the balancer itself.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostSettings {
-    /// A load report's columns, in the order of their values.
+    /// The columns of load reports, in the order of their values.
     pub columns: Vec<Column>,
-    /// The names of the classes, by their number in events.
+    /// The names of the classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
-    /// The names of the tenants, likewise.
+    /// The names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// The names of the zones, likewise.
+    /// The names of the zones, by zone number.
     pub zones: Vec<String>,
-    /// The names of the machine kinds, likewise.
+    /// The names of the machine kinds, by the number of the kind.
     pub kinds: Vec<String>,
-    /// After this time a server closes an idle connection.
+    /// The time after which a server closes an idle connection.
     pub idle_close: Duration,
 }
 
@@ -279,13 +281,13 @@
     /// Why settings are invalid.
     #[derive(Debug)]
     pub enum SettingsError {
-        /// A field is missing or has an invalid value, or the text is no JSON.
+        /// A field is missing or has an invalid value, or the text is not valid JSON.
         Field(error: serde_path_to_error::Error<serde_json::Error>) {
             from()
             display("bad settings: {}, in {}", error.inner(), error.path())
             source(error.inner())
         }
-        /// The text goes on after the settings.
+        /// There is further text after the JSON value.
         TrailingText(error: serde_json::Error) {
             from()
             display("bad settings: {}", error)
@@ -298,7 +300,7 @@
     }
 }
 
-/// Parses settings.
+/// Parses the JSON settings of a platform. Unknown fields are ignored.
 pub fn parse(text: &[u8]) -> Result<(Settings, HostSettings), SettingsError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let raw: Raw = serde_path_to_error::deserialize(&mut json)?;
