--- a/crates/admission-control/benches/gate.rs
+++ b/crates/admission-control/benches/gate.rs
@@ -1,4 +1,4 @@
-//! The cost of an admission and of a rejection, among 5,000 tenants of which most are idle.
+//! The cost of an admission and of a rejection with 5,000 tenants, most of which are idle.
 
 use admission_control::backends::LimitSettings;
 use admission_control::gate::{ClassSettings, TenantSettings};
@@ -64,7 +64,7 @@
             });
         });
     }
-    // The queue is full: each arrival is rejected, or displaces another request.
+    // The queue is full: each arrival is rejected or displaces a queued request.
     let full = || {
         let mut gate = gate(3, 100.0);
         (0..20_000).for_each(|id| {
--- a/crates/admission-control/src/backends/mod.rs
+++ b/crates/admission-control/src/backends/mod.rs
@@ -1,5 +1,6 @@
-//! The backends of a cluster: a concurrency limit for each, their relative capacity, and the slow start of new ones. The
-//! result is the [`Capacity`] of each backend, which is passed to the balancer; the balancer selects.
+//! The backends of a cluster: their concurrency limits, their relative capacity, and the slow start of new
+//! ones. The result is the [`Capacity`] of each backend, which is passed to the balancer for backend
+//! selection.
 
 mod relative_capacity;
 mod settings;
@@ -15,24 +16,24 @@
 use state::BackendState;
 use std::time::Duration;
 
-/// The minimum time between two computations of relative capacities, which look at all backends.
+/// The minimum time between two computations of relative capacities, which iterate over all backends.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
-/// A relative capacity that changes by less is not published: equal backends stay equal.
+/// A smaller relative change of a capacity is not published, so that equal backends remain equal.
 const TOLERANCE: f64 = 0.1;
-/// The same during a slow start, and for a backend that is equal to the mean again.
+/// The tolerance during slow start, and for a backend whose capacity has become equal to the mean.
 const FINE_TOLERANCE: f64 = 0.01;
-/// Changes that are retained until they are collected.
+/// The maximum number of limit changes that are kept for [`Backends::take_limit_changes`].
 const MAX_PENDING_CHANGES: usize = 256;
-/// The maximum of [`Capacity::max_in_flight`]: sums over thousands of backends fit.
+/// The maximum of [`Capacity::max_in_flight`], so that the sum over thousands of backends does not overflow.
 const MAX_CAPACITY: u32 = u32::MAX / 4096;
 
-/// The backends of a cluster.
+/// The backends of a cluster with their limits and capacities.
 #[derive(Debug)]
 pub struct Backends {
     settings: LimitSettings,
     backends: FxHashMap<ServerId, BackendState>,
     refreshed_at: Option<Duration>,
-    /// Whether a backend was in its slow start at the last computation.
+    /// Whether any backend was in slow start at the last computation.
     in_slow_start: bool,
     in_flight: u32,
     total_capacity: u32,
@@ -40,13 +41,13 @@
     limit_changes: Vec<(ServerId, LimitChange)>,
 }
 
-/// Whether two positive numbers differ by that share at most.
+/// Whether two positive numbers differ by at most the fraction `tolerance`.
 fn is_close(a: f64, b: f64, tolerance: f64) -> bool {
     (a / b - 1.0).abs() <= tolerance
 }
 
 impl Backends {
-    /// A cluster without backends.
+    /// A cluster without backends; see [`Backends::set_endpoints`].
     pub fn new(settings: LimitSettings) -> Self {
         Backends {
             settings,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Replaces the settings. Learnt limits are retained, within the new bounds.
+    /// Replaces the settings. Learned limits are kept, clamped to the new bounds.
     pub fn set_limit_settings(&mut self, now: Duration, settings: LimitSettings) {
         self.settings = settings;
         let mean_weight = self.mean_weight();
@@ -70,7 +71,8 @@
         self.refresh(now);
     }
 
-    /// Replaces the list. A backend that stays keeps what was learnt; one with another `added_at` is a new one.
+    /// Replaces the list of backends. A backend that is still listed keeps its learned state, unless its
+    /// `added_at` differs, which marks a new backend.
     pub fn set_endpoints(&mut self, now: Duration, endpoints: &[Endpoint]) {
         let mean_weight =
             endpoints.iter().map(|endpoint| endpoint.weight).sum::<f64>() / endpoints.len().max(1) as f64;
@@ -100,7 +102,7 @@
         (sum / self.backends.len().max(1) as f64).max(1e-9)
     }
 
-    /// An attempt is sent to a backend.
+    /// Records that an attempt is sent to a backend.
     pub fn attempt_sent(&mut self, now: Duration, id: ServerId) {
         if let Some(backend) = self.backends.get_mut(&id) {
             backend.limit.attempt_sent(now);
@@ -108,7 +110,8 @@
         }
     }
 
-    /// An attempt of a request of that class has ended, `elapsed` after it was sent.
+    /// Records the end of an attempt, `elapsed` after it was sent. `class` is the cost slot of the request's
+    /// class.
     pub fn attempt_ended(
         &mut self,
         now: Duration,
@@ -131,21 +134,22 @@
         }
     }
 
-    /// Updates capacities during a slow start. To be called by [`Backends::next_refresh`].
+    /// Updates capacities during slow start. To be called no later than [`Backends::next_refresh`].
     pub fn tick(&mut self, now: Duration) {
         let due = self.refreshed_at.map(|at| at + REFRESH_INTERVAL);
-        // There is one more refresh after the last slow start has ended.
+        // `in_slow_start` is that of the last refresh, so there is one more refresh after the last slow
+        // start.
         if self.in_slow_start && due.is_none_or(|due| due <= now) {
             self.refresh(now);
         }
     }
 
-    /// The deadline for the next call of [`Backends::tick`]; `None` without a slow start.
+    /// The time of the next call of [`Backends::tick`]; `None` if no backend is in slow start.
     pub fn next_refresh(&self) -> Option<Duration> {
         self.in_slow_start.then(|| self.refreshed_at.unwrap_or_default() + REFRESH_INTERVAL)
     }
 
-    /// Computes all capacities anew and publishes those that have changed.
+    /// Recomputes all capacities and publishes those that have changed.
     fn refresh(&mut self, now: Duration) {
         let settings = self.settings;
         let fraction_of =
@@ -176,22 +180,22 @@
         std::mem::take(&mut self.capacity_updates)
     }
 
-    /// The changes of limits since the last call, with their evidence.
+    /// The changes of limits since the last call, with the measurements that caused them.
     pub fn take_limit_changes(&mut self) -> Vec<(ServerId, LimitChange)> {
         std::mem::take(&mut self.limit_changes)
     }
 
-    /// The maximum number of requests in flight at all backends that accept requests.
+    /// The maximum number of requests in flight, summed over the backends that accept requests.
     pub fn total_capacity(&self) -> u32 {
         self.total_capacity
     }
 
-    /// Attempts in flight at all backends.
+    /// The number of attempts in flight, summed over all backends.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// The state of a backend; `None` for one that is not on the list.
+    /// The state of a backend; `None` if it is not listed.
     pub fn status(&self, id: ServerId) -> Option<BackendStatus> {
         let backend = self.backends.get(&id)?;
         Some(BackendStatus {
@@ -201,13 +205,13 @@
         })
     }
 
-    /// How often limits of the present backends have changed.
+    /// The number of limit changes of the listed backends.
     pub fn change_count(&self) -> usize {
         self.backends.values().map(|backend| backend.change_count).sum()
     }
 }
 
-/// The relative capacity to publish: the previous one, unless the new one differs by more than noise.
+/// The relative capacity to publish: the previous one, unless the new one differs by more than the tolerance.
 fn published_relative(previous: Option<Capacity>, relative: f64, in_slow_start: bool) -> f64 {
     let relative = if !in_slow_start && is_close(relative, 1.0, TOLERANCE) { 1.0 } else { relative };
     let tolerance = if in_slow_start || relative == 1.0 { FINE_TOLERANCE } else { TOLERANCE };
--- a/crates/admission-control/src/backends/settings.rs
+++ b/crates/admission-control/src/backends/settings.rs
@@ -1,17 +1,17 @@
-//! Settings of the limits of a cluster's backends.
+//! Settings of the concurrency limits and the slow start of a cluster's backends.
 
 use crate::limit::LimitBounds;
 use std::time::Duration;
 
-/// The fraction of its capacity that a new backend starts with, where there is a slow start.
+/// The fraction of its capacity with which a new backend starts its slow start.
 const INITIAL_FRACTION: f64 = 0.1;
 
-/// How the backends of a cluster are limited.
+/// The settings of concurrency limits and slow start for all backends of a cluster.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitSettings {
-    /// The bounds for a backend of average weight; `None` for no limits.
+    /// The bounds of the limit of a backend of average weight; `None` for no limits.
     pub bounds: Option<LimitBounds>,
-    /// The time over which a new backend is ramped up to its full capacity; `None` for at once.
+    /// The time over which the capacity of a new backend rises to its full value; `None` for no slow start.
     pub slow_start: Option<Duration>,
 }
 
@@ -35,7 +35,8 @@
         })
     }
 
-    /// The fraction of its capacity, up to 1, that a backend gets which was added at that time; `None` if it is not new.
+    /// The fraction of its capacity that a backend gets, up to 1. `added_at` is `None` if the backend is not
+    /// new.
     pub(super) fn slow_start_fraction(&self, added_at: Option<Duration>, now: Duration) -> f64 {
         let (Some(slow_start), Some(added_at)) = (self.slow_start, added_at) else { return 1.0 };
         let age = now.saturating_sub(added_at).as_secs_f64() / slow_start.as_secs_f64().max(1e-3);
--- a/crates/admission-control/src/backends/state.rs
+++ b/crates/admission-control/src/backends/state.rs
@@ -1,32 +1,33 @@
-//! What is known of one backend: its entry on the list, its limit, its errors and its rate when saturated.
+//! The state of one backend: its list entry, its limit, its share of errors and its rate when saturated.
 
 use crate::limit::{BackendLimit, Cause, LimitBounds, LimitChange, LoadSignal};
 use join_up_to::{Outcome, ServerId};
 use std::time::Duration;
 
-/// The weight of one response in the smoothed share of errors.
+/// The weight of one response in the moving average of the share of errors.
 const ERROR_SMOOTHING: f64 = 1.0 / 16.0;
-/// An attempt that was cancelled after this many times its usual latency counts as one that timed out.
+/// An attempt that was cancelled after more than this multiple of the baseline latency counts as timed out.
 const OVERDUE_FACTOR: f64 = 3.0;
-/// The rate when saturated is the mean over this many windows, smoothed exponentially beyond.
+/// The saturated rate is the mean over up to this number of windows, and an exponential moving average after
+/// that.
 const MAX_MEAN_WINDOWS: f64 = 8.0;
 
-/// A backend's entry on the list of its cluster.
+/// A backend's entry in the list of its cluster.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
     /// The backend.
     pub id: ServerId,
-    /// Its speed relative to the others, as far as it is known beforehand.
+    /// Its configured weight relative to the others, which may stand for its speed or its concurrency.
     pub weight: f64,
-    /// Its machine kind: measurements of one backend are assumed for a new one of the same kind.
+    /// Its machine kind: a new backend is assumed to be as fast as others of its kind.
     pub kind: u8,
     /// Whether it accepts requests.
     pub ready: bool,
-    /// When it was added, if it is new: it then has a slow start, where the settings have one.
+    /// When it was added, for the slow start; `None` if it is not new.
     pub added_at: Option<Duration>,
 }
 
-/// The capacity of a backend, as it is passed to the balancer.
+/// The capacity of a backend that is passed to the balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
     /// The backend.
@@ -40,20 +41,20 @@
 /// The state of a backend, for diagnostics.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendStatus {
-    /// Its capacity.
+    /// The capacity that was published last.
     pub capacity: Capacity,
-    /// Attempts in flight there.
+    /// The number of attempts in flight at it.
     pub in_flight: u32,
-    /// The latest changes of its limit, the oldest first.
+    /// The latest changes of its limit, oldest first.
     pub recent_changes: Vec<LimitChange>,
 }
 
 /// The mean rate of responses while a backend was saturated.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SaturatedRate {
-    /// Responses a second.
+    /// Responses per second.
     pub(super) per_s: f64,
-    /// The number of windows that it was measured in.
+    /// The number of windows in which it was measured.
     pub(super) windows: f64,
 }
 
@@ -70,17 +71,17 @@
 pub(super) struct BackendState {
     pub(super) endpoint: Endpoint,
     pub(super) limit: BackendLimit,
-    /// The smoothed share of errors among responses, from 0 to 1.
+    /// Moving average of the share of errors among responses, from 0 to 1.
     pub(super) error_share: f64,
     pub(super) saturated_rate: SaturatedRate,
     /// The capacity that was published last.
     pub(super) published: Option<Capacity>,
-    /// How often its limit has changed.
+    /// The number of changes of its limit.
     pub(super) change_count: usize,
 }
 
 impl BackendState {
-    /// A backend of which nothing is known yet.
+    /// A backend without any measurements.
     pub(super) fn new(endpoint: Endpoint, bounds: LimitBounds, now: Duration) -> Self {
         BackendState {
             endpoint,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Records the end of an attempt. Returns the change of the limit that came of it, if any.
+    /// Records the end of an attempt. Returns the resulting change of the limit, if any.
     pub(super) fn attempt_ended(
         &mut self,
         now: Duration,
@@ -107,7 +108,7 @@
         }
         let change = *self.limit.recent_changes().last()?;
         self.change_count += 1;
-        // A limit is lowered for queueing only where the backend is saturated: it responds as fast as it can.
+        // A limit is lowered for queueing only if the backend is saturated, so this is its maximum rate.
         if change.cause == Cause::Waiting && change.rate > 0.0 {
             self.saturated_rate.add_window(change.rate);
         }
@@ -115,8 +116,8 @@
     }
 
     fn load_signal(&self, class: usize, outcome: Outcome, elapsed: Duration) -> LoadSignal {
-        let usual = self.limit.usual_latency(class);
-        let is_overdue = usual.is_some_and(|usual| elapsed.as_secs_f64() > OVERDUE_FACTOR * usual);
+        let baseline = self.limit.baseline_latency(class);
+        let is_overdue = baseline.is_some_and(|baseline| elapsed.as_secs_f64() > OVERDUE_FACTOR * baseline);
         match outcome {
             Outcome::Served => LoadSignal::Served,
             Outcome::Rejected => LoadSignal::Rejected,
--- a/crates/admission-control/src/brownout.rs
+++ b/crates/admission-control/src/brownout.rs
@@ -1,31 +1,33 @@
-//! Brownout: what an overloaded cluster does without. Ordered steps, each with a threshold, a lower threshold for its
-//! release, and a hold time for both. This module decides which steps are active; the gate and the balancer apply them.
+//! Brownout: disables features of an overloaded cluster in ordered steps. Each has an activation threshold, a
+//! release threshold, and a hold time for both. This module decides which steps are active; the gate and the
+//! balancer apply them.
 
 use std::time::Duration;
 
-/// What a cluster does without while a step is active.
+/// The effect of a brownout step while it is active.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BrownoutAction {
     /// No hedged requests.
     DisableHedging,
     /// No retries once an attempt may have been executed.
     DisableRetries,
-    /// Requests of these classes, by index, are rejected at once, unless they are within a guaranteed rate.
+    /// Requests of these classes, by index, are rejected at once unless they are within a guaranteed rate.
     ShedClasses(Vec<usize>),
-    /// A request that would be rejected gets the fallback response of its class, where there is one.
+    /// A rejected request gets the fallback response of its class, if there is one.
     ServeFallback,
 }
 
-/// A step of the brownout.
+/// A brownout step.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BrownoutStep {
-    /// The step is activated at this share of work that can't be served, from 0 to 1, ...
+    /// The step is activated when the share of work that exceeds the capacity, from 0 to 1, is at least this
+    /// ...
     pub threshold: f64,
-    /// ... and released at this share or less, ...
+    /// ... and released when the share is at most this ...
     pub release_threshold: f64,
-    /// ... once that has held for this time.
+    /// ... for this time without interruption.
     pub hold_time: Duration,
-    /// What is done while it is active.
+    /// The effect of the step while it is active.
     pub action: BrownoutAction,
 }
 
@@ -34,19 +36,20 @@
 pub struct BrownoutLevels {
     steps: Vec<BrownoutStep>,
     level: usize,
-    /// Since when the threshold of the next step is exceeded.
+    /// Since when the threshold of the next step has been reached; `None` if it is not.
     above_since: Option<Duration>,
-    /// Since when the load is below the release threshold of the last active step.
+    /// Since when the load has been within the release threshold of the last active step; `None` if it is
+    /// not.
     below_since: Option<Duration>,
 }
 
 impl BrownoutLevels {
-    /// Level 0: no step is active.
+    /// Starts at level 0, where no step is active.
     pub fn new(steps: Vec<BrownoutStep>) -> Self {
         BrownoutLevels { steps, level: 0, above_since: None, below_since: None }
     }
 
-    /// Replaces the steps. Returns to level 0 if they differ.
+    /// Replaces the steps. The level becomes 0 if they differ from the previous ones.
     pub fn set_steps(&mut self, steps: Vec<BrownoutStep>) {
         if steps != self.steps {
             *self = BrownoutLevels::new(steps);
@@ -58,13 +61,13 @@
         self.level
     }
 
-    /// The active steps.
+    /// The active steps, in the order of activation.
     pub fn active_steps(&self) -> &[BrownoutStep] {
         &self.steps[..self.level]
     }
 
-    /// Follows the share of work that can't be served, from 0 to 1. Returns whether the level has changed: by one step at
-    /// a time, so that each shows its effect before the next.
+    /// Updates the level for the share of work that exceeds the capacity, from 0 to 1. Returns whether the
+    /// level has changed. It changes by one step at a time, so that each step takes effect before the next.
     pub fn update(&mut self, now: Duration, unserved_share: f64) -> bool {
         let has_held = |since: &mut Option<Duration>, holds: bool, hold_time: Duration| {
             let from = holds.then(|| *since.get_or_insert(now));
--- a/crates/admission-control/src/client_retries.rs
+++ b/crates/admission-control/src/client_retries.rs
@@ -1,5 +1,5 @@
-//! Recognizes clients that retry after a rejection: the fingerprints of rejected requests are stored until some time
-//! after the moment at which their clients were asked to retry. The memory is bounded.
+//! Recognizes requests that clients retry after a rejection. The fingerprints of rejected requests are stored
+//! until some time after the requested retry, in bounded memory.
 
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
@@ -8,12 +8,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Rejections that are stored at most. Bounds memory: some 3 MB, at 30,000 rejections a second those of two seconds.
+/// The maximum number of stored rejections. Bounds memory to some 3 MB: two seconds at 30,000 rejections per
+/// second.
 const MAX_REJECTIONS: usize = 1 << 16;
-/// How long after the time that it was given a client still counts as one that retries.
+/// How long after the requested retry time a request is still recognized as a retry.
 const GRACE: Duration = Duration::from_secs(30);
 
-/// A hash of what makes two requests the same.
+/// A hash of the parts of a request that identify it; equal for a request and its retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestFingerprint(pub u64);
 
@@ -24,22 +25,23 @@
     rejections: u32,
 }
 
-/// Rejected requests whose clients may retry.
+/// The rejected requests whose clients may retry.
 #[derive(Debug, Default)]
 pub struct ClientRetries {
     rejected: FxHashMap<RequestFingerprint, RejectedRequest>,
-    /// Rejections with the time of their expiry, in the order of rejection.
+    /// Rejections with their expiry times, in the order of rejection.
     order: VecDeque<(Duration, RequestFingerprint)>,
 }
 
 impl ClientRetries {
-    /// How often a request with this fingerprint was rejected lately.
+    /// The number of times that a request with this fingerprint has been rejected; 0 after it was served or
+    /// expired.
     pub fn rejection_count(&mut self, now: Duration, fingerprint: RequestFingerprint) -> u32 {
         self.remove_expired(now);
         self.rejected.get(&fingerprint).map_or(0, |request| request.rejections)
     }
 
-    /// Records a rejection whose client was asked to retry after that time.
+    /// Records a rejection. The client is asked to retry after `retry_after`.
     pub fn record_rejection(
         &mut self,
         now: Duration,
@@ -74,7 +76,7 @@
         self.rejected.is_empty()
     }
 
-    /// Removes a request, unless it was rejected again since and expires later.
+    /// Removes a request, unless it has been rejected again and expires later.
     fn remove_if_current(&mut self, expires_at: Duration, fingerprint: RequestFingerprint) {
         if self.rejected.get(&fingerprint).is_some_and(|request| request.expires_at == expires_at) {
             self.rejected.remove(&fingerprint);
@@ -82,7 +84,8 @@
     }
 
     fn remove_expired(&mut self, now: Duration) {
-        // In the order of rejection: a longer wait delays the expiry of shorter ones behind it, by a few seconds at most.
+        // In the order of rejection: a rejection with a longer wait delays the expiry of later ones with a
+        // shorter wait, by a few seconds at most.
         while let Some((expires_at, fingerprint)) = self.order.front().copied().filter(|(at, _)| *at <= now) {
             self.order.pop_front();
             self.remove_if_current(expires_at, fingerprint);
--- a/crates/admission-control/src/fair_queue.rs
+++ b/crates/admission-control/src/fair_queue.rs
@@ -1,12 +1,14 @@
-//! The queue of a cluster whose capacity is in use: tenants are served by share, requests of one tenant by priority weight
-//! for each second of backend time. It has no limit and rejects nothing; it names the request to displace when asked.
+//! The queue of a cluster without free capacity. Tenants are served by share, the requests of a tenant by
+//! priority weight per second of backend time. The queue is unbounded; [`FairQueue::displaced_by`] selects
+//! the request to reject for a new one.
 //!
-//! Shares are enforced by start-time fair queueing (Goyal, Vin, Cheng: "Start-time Fair Queueing", SIGCOMM 1996): each
-//! tenant has a virtual time, which advances by the backend time that it gets over its share, and the lowest is served
-//! next. Its result is that of deficit round robin, without rounds: of 5,000 tenants with shares that differ
-//! a thousandfold the next one is found at once, and none waits for the whole quantum of another. A tenant whose queue
-//! was empty starts at the present virtual time: an unused share is lent to others, is available again with the next
-//! request, and is not accumulated.
+//! Shares are enforced by start-time fair queueing (Goyal, Vin, Cheng: "Start-time Fair Queueing", SIGCOMM
+//! 1996). Each tenant has a virtual time, which advances by its backend time divided by its share; the tenant
+//! with the lowest virtual time is served next. The result is that of deficit round robin, but without
+//! rounds: among 5,000 tenants whose shares differ by a factor of 1,000 the next one is found immediately,
+//! and no tenant waits for the whole quantum of another. A tenant whose queue was empty starts at the current
+//! virtual time: an unused share is lent to others, is available again with the tenant's next request, and
+//! does not accumulate.
 
 use join_up_to::RequestId;
 use rustc_hash::FxHashMap;
@@ -14,9 +16,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The minimum cost of a request, in seconds of backend time: a tenant with costs of 0 would be served for ever.
+/// The minimum cost of a request in seconds of backend time. With a cost of 0, a tenant would always be
+/// served first.
 const MIN_COST: f64 = 1e-6;
-/// The share of a tenant that has none: it is served when no other is queued.
+/// The share of a tenant without share, which is served only when no other tenant is queued.
 const MIN_SHARE: f64 = 1e-6;
 
 /// A floating-point number with a total order.
@@ -38,29 +41,29 @@
 /// A request in the queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueuedRequest {
-    /// Its number.
+    /// Its unique id.
     pub id: RequestId,
     /// The slot of its tenant.
     pub tenant: usize,
-    /// The backend time that it takes, in seconds.
+    /// Its expected backend time in seconds.
     pub cost: f64,
     /// Its value relative to other requests.
     pub priority_weight: f64,
-    /// When it is to be rejected unless it was served.
+    /// The time at which it is rejected if it has not been served.
     pub deadline: Duration,
-    /// Whether it is within its tenant's guaranteed rate: served before all shares, and never displaced.
+    /// Whether it is within its tenant's guaranteed rate: served before all others, and never displaced.
     pub guaranteed: bool,
 }
 
-/// The position in a tenant's queue: the highest priority weight for a second of backend time first, then the oldest.
-/// Guaranteed requests are in the order of their arrival alone.
+/// The position in a tenant's queue: the highest priority weight per second of backend time first, then the
+/// oldest. Guaranteed requests are ordered by arrival only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     density: Reverse<OrderedF64>,
     arrival: u64,
 }
 
-/// Where a request is in the queue.
+/// The location of a request in the queue, for its removal.
 #[derive(Clone, Copy, Debug)]
 struct QueueLocation {
     tenant: usize,
@@ -83,14 +86,14 @@
     tenants: Vec<TenantQueue>,
     /// The virtual time of the request that was served last.
     virtual_time: f64,
-    /// Tenants with a backlog, by virtual time.
+    /// Tenants with queued requests, by virtual time.
     by_virtual_time: BTreeSet<(OrderedF64, usize)>,
-    /// Tenants with a backlog, by its cost over their share.
+    /// Tenants with queued requests, by the cost of these divided by the tenant's share.
     by_backlog: BTreeSet<(OrderedF64, usize)>,
     guaranteed: BTreeMap<u64, QueuedRequest>,
     deadlines: BTreeSet<(Duration, RequestId)>,
     locations: FxHashMap<RequestId, QueueLocation>,
-    /// The number of requests that have ever been queued.
+    /// The number of requests queued so far.
     arrivals: u64,
     cost: f64,
 }
@@ -106,17 +109,17 @@
         self.locations.is_empty()
     }
 
-    /// The backend time of all queued requests, in seconds.
+    /// The expected backend time of all queued requests, in seconds.
     pub fn cost(&self) -> f64 {
         self.cost
     }
 
-    /// Whether a request is queued.
+    /// Whether the request with this id is queued.
     pub fn contains(&self, id: RequestId) -> bool {
         self.locations.contains_key(&id)
     }
 
-    /// Sets the share of a tenant, also for what it has queued.
+    /// Sets the share of a tenant. It applies to queued requests too.
     pub fn set_share(&mut self, tenant: usize, share: f64) {
         if self.tenants.len() <= tenant {
             self.tenants.resize_with(tenant + 1, TenantQueue::default);
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Adds a request.
+    /// Adds a request. Its tenant gets share 1 if its slot is higher than all known ones.
     pub fn push(&mut self, request: QueuedRequest) {
         let mut request = request;
         request.cost = if request.cost.is_finite() { request.cost.max(MIN_COST) } else { MIN_COST };
@@ -165,7 +168,7 @@
         self.remove_from_order(tenant);
         let queue = &mut self.tenants[tenant];
         if queue.requests.is_empty() {
-            // It starts at the present virtual time; what it did not use is not accumulated.
+            // It starts at the current virtual time, so that an unused share does not accumulate.
             queue.virtual_time = queue.virtual_time.max(self.virtual_time);
         }
         queue.requests.insert(position, request);
@@ -173,7 +176,7 @@
         self.add_to_order(tenant);
     }
 
-    /// Removes a request, for whatever reason.
+    /// Removes a request; `None` if it is not queued.
     pub fn remove(&mut self, id: RequestId) -> Option<QueuedRequest> {
         let QueueLocation { tenant, position, guaranteed } = self.locations.remove(&id)?;
         let request = if guaranteed {
@@ -183,7 +186,7 @@
             let queue = &mut self.tenants[tenant];
             let request = queue.requests.remove(&position)?;
             let left = queue.cost - request.cost;
-            // A running sum of floating-point numbers drifts; that of an empty queue is 0.
+            // The running sum accumulates rounding errors; reset it when the queue is empty.
             queue.cost = if queue.requests.is_empty() { 0.0 } else { left };
             self.add_to_order(tenant);
             request
@@ -193,7 +196,8 @@
         Some(request)
     }
 
-    /// Removes the request to serve next: guaranteed ones first, then by shares.
+    /// Removes and returns the request to serve next: guaranteed requests first, then by shares. `None` if
+    /// empty.
     pub fn pop(&mut self) -> Option<QueuedRequest> {
         if let Some((_, first)) = self.guaranteed.first_key_value() {
             let id = first.id;
@@ -211,9 +215,9 @@
         Some(request)
     }
 
-    /// The request to displace for a new one: of the tenant with the largest backlog for its share, the one of the least
-    /// priority weight for its cost; the new one itself, if it is that. `None` if the new one is guaranteed and so are all
-    /// in the queue.
+    /// The request to displace for a new one: that with the lowest priority weight per cost, of the tenant
+    /// with the largest backlog relative to its share. This may be the new request itself. `None` if the new
+    /// one and all queued requests are guaranteed.
     pub fn displaced_by(&self, new: &QueuedRequest) -> Option<RequestId> {
         let cost = |tenant: usize| self.tenants.get(tenant).map_or(0.0, |queue| queue.cost);
         let share =
@@ -226,7 +230,7 @@
                 self.tenants[tenant].requests.last_key_value().map(|(_, request)| request.id)
             }
             _ if new.guaranteed => None,
-            // One of its own tenant: the least by priority weight, and the newest of equals.
+            // One of its own tenant: the lowest priority weight per cost, and of equals the newest.
             _ => {
                 let last = self.tenants.get(new.tenant).and_then(|queue| queue.requests.last_key_value());
                 let density = new.priority_weight / new.cost.max(MIN_COST);
@@ -236,13 +240,14 @@
         }
     }
 
-    /// Removes the next request whose deadline has passed.
+    /// Removes and returns a request whose deadline has passed, the earliest deadline first; `None` if there
+    /// is none.
     pub fn expire(&mut self, now: Duration) -> Option<QueuedRequest> {
         let (_, id) = *self.deadlines.first().filter(|(deadline, _)| *deadline <= now)?;
         self.remove(id)
     }
 
-    /// The earliest deadline.
+    /// The earliest deadline of a queued request; `None` if the queue is empty.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
--- a/crates/admission-control/src/gate/class_costs.rs
+++ b/crates/admission-control/src/gate/class_costs.rs
@@ -1,26 +1,26 @@
-//! What requests of each class cost, in seconds of backend time, as measured.
+//! The measured cost of requests of each class, in seconds of backend time.
 
 use super::settings::ClassSettings;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
-/// The cost of a request while none has been measured, in seconds of backend time.
+/// The assumed cost of a request before any has been measured, in seconds of backend time.
 const DEFAULT_COST: f64 = 0.02;
-/// The weight of one response in the smoothed cost of its class.
+/// The weight of one response in the moving average of the cost of its class.
 const SMOOTHING: f64 = 1.0 / 32.0;
 
-/// The costs of the classes. A class keeps its slot, by its name, when settings are replaced.
+/// The costs of the classes. A class is identified by its name and keeps its slot when settings are replaced.
 #[derive(Debug, Default)]
 pub(super) struct ClassCosts {
     slots_by_name: FxHashMap<String, usize>,
-    /// The slot of each class, by the index of the present settings.
+    /// The slot of each class, by its index in the current settings.
     slots: Vec<usize>,
-    /// The cost by slot; 0 while unknown.
+    /// The cost of each slot; 0 while unknown.
     costs: Vec<f64>,
 }
 
 impl ClassCosts {
-    /// Replaces the classes.
+    /// Replaces the classes of the settings.
     pub(super) fn set_classes(&mut self, classes: &[ClassSettings]) {
         self.slots.clear();
         for class in classes {
@@ -31,12 +31,13 @@
         }
     }
 
-    /// The slot of a class.
+    /// The slot of a class by its index in the settings; 0 if there is no such class.
     pub(super) fn slot(&self, class: usize) -> usize {
         self.slots.get(class).copied().unwrap_or(0)
     }
 
-    /// The cost of a request, in seconds of backend time: the mean of the known classes where its own is unknown.
+    /// The cost of a request, in seconds of backend time. If that of its class is unknown: the mean of the
+    /// others.
     pub(super) fn cost(&self, slot: usize) -> f64 {
         let known = self.costs.get(slot).copied().unwrap_or(0.0);
         if known > 0.0 {
@@ -46,7 +47,7 @@
         if all.is_empty() { DEFAULT_COST } else { all.iter().copied().sum::<f64>() / all.len() as f64 }
     }
 
-    /// Records the duration of an attempt that was served.
+    /// Updates the cost of a class with the duration of a served attempt.
     pub(super) fn record(&mut self, slot: usize, elapsed: Duration) {
         if let Some(cost) = self.costs.get_mut(slot) {
             let seconds = elapsed.as_secs_f64().max(1e-6);
--- a/crates/admission-control/src/gate/decision.rs
+++ b/crates/admission-control/src/gate/decision.rs
@@ -1,4 +1,4 @@
-//! Requests that arrive at a gate, the decisions on them, and their counts.
+//! The arrivals, decisions, counts and status of a gate.
 
 use crate::client_retries::RequestFingerprint;
 use join_up_to::RequestId;
@@ -7,53 +7,55 @@
 /// A request that has arrived.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// Its number, which no other request has.
+    /// Its unique id.
     pub id: RequestId,
-    /// The index of its class.
+    /// The index of its class in the settings.
     pub class: usize,
-    /// The index of its tenant; 0 where there are none.
+    /// The index of its tenant in the settings; 0 if there are no tenants.
     pub tenant: usize,
     /// The time until its deadline.
     pub remaining: Duration,
-    /// Recognizes the same request when it arrives again, where that is possible.
+    /// Identifies the request when its client retries; `None` if that is not possible.
     pub fingerprint: Option<RequestFingerprint>,
 }
 
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// No capacity, and the queue is full of requests that come before it.
+    /// There is no capacity, and the queue is full of requests with precedence over it.
     QueueFull,
-    /// Displaced from the queue by a request of another tenant's share or of a higher priority weight.
+    /// Displaced from the queue by a request of a tenant that uses less of its share, or of a higher priority
+    /// weight.
     Displaced,
-    /// It has been in the queue for its maximum time.
+    /// It was queued for its maximum time.
     QueueTimeout,
-    /// The same request is in the queue.
+    /// A request with the same fingerprint is in the queue.
     Duplicate,
-    /// Its class is shed at the present brownout level.
+    /// Its class is shed at the current brownout level.
     Shed,
 }
 
-/// A rejection.
+/// A rejection and its response to the client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rejection {
-    /// The reason.
+    /// The reason, for logs and metrics.
     pub reason: RejectionReason,
     /// The time after which the client is asked to retry.
     pub retry_after: Duration,
-    /// Whether the fallback response of its class is to be served, where there is one.
+    /// Whether to serve the fallback response of the class, if it has one.
     pub fallback: bool,
 }
 
 /// The decision on a request at its arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
-    /// It is forwarded now. A call of [`Gate::request_finished`](super::Gate::request_finished) must follow.
+    /// It is forwarded now. The caller must call [`Gate::request_finished`](super::Gate::request_finished)
+    /// later.
     Admit,
     /// It is queued, until [`Gate::take_decisions`](super::Gate::take_decisions) returns it or
     /// [`Gate::request_finished`](super::Gate::request_finished) removes it.
     Queue,
-    /// It is rejected. No call must follow.
+    /// It is rejected. The caller must not call [`Gate::request_finished`](super::Gate::request_finished).
     Reject(Rejection),
 }
 
@@ -62,20 +64,20 @@
 pub struct QueueDecision {
     /// The request.
     pub id: RequestId,
-    /// Its rejection; `None` if it is admitted.
+    /// The rejection; `None` if the request is admitted.
     pub rejection: Option<Rejection>,
 }
 
-/// Counts of requests.
+/// Counts of requests since the gate was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Admitted at arrival.
+    /// Requests admitted at arrival.
     pub admitted_at_once: u64,
-    /// Admitted from the queue.
+    /// Requests admitted from the queue.
     pub admitted_from_queue: u64,
-    /// Rejected.
+    /// Rejections, at arrival or from the queue.
     pub rejected: u64,
-    /// Arrived again after a rejection.
+    /// Arrivals that were recognized as retries after a rejection.
     pub client_retries: u64,
 }
 
@@ -84,9 +86,9 @@
 pub struct GateStatus {
     /// Admitted requests that are not finished.
     pub in_flight: u32,
-    /// The maximum number of requests in flight at the backends.
+    /// The maximum number of requests in flight, summed over the backends.
     pub capacity: u32,
-    /// Requests in the queue.
+    /// The number of requests in the queue.
     pub queued: usize,
     /// The number of active brownout steps.
     pub brownout_level: usize,
--- a/crates/admission-control/src/gate/mod.rs
+++ b/crates/admission-control/src/gate/mod.rs
@@ -1,9 +1,10 @@
-//! Decides whether a request is forwarded to the balancer now, queued, or rejected. One gate for each cluster. It selects no
-//! backend and makes no attempts: the balancer does.
+//! The gate of a cluster, which decides whether a request is forwarded to the balancer now, queued, or
+//! rejected. The balancer then selects a backend and sends attempts.
 //!
-//! While the backends have capacity every request is admitted at once. Beyond that requests are queued, but only as many as
-//! will be served within their time in the queue. A request that is displaced or has been queued for its maximum time is
-//! rejected at once, with a time to retry that is spread by the pressure. What is queued or rejected here was never sent.
+//! While the backends have capacity, every request is admitted at once. Beyond that requests are queued, but
+//! only as many as can be served within their maximum time in the queue. A request that is displaced or has
+//! been queued for its maximum time is rejected at once, with a retry time that is spread in proportion to
+//! the overload. Requests that are queued or rejected here have never been sent to a backend.
 
 mod class_costs;
 mod decision;
@@ -29,11 +30,12 @@
 use std::time::Duration;
 use tenants::Tenants;
 
-/// The maximum number of queued requests. Bounds memory, whatever their costs are assumed to be.
+/// The maximum number of queued requests. Bounds memory independently of their estimated costs.
 const MAX_QUEUED: usize = 1 << 14;
-/// How many requests may be displaced for one arrival. Bounds its work; the others are displaced by the next arrivals.
+/// The maximum number of requests displaced by one arrival. Bounds the work per arrival; later arrivals
+/// displace the rest.
 const MAX_DISPLACED: usize = 4;
-/// The minimum time to retry for a class that is not in the settings.
+/// The minimum retry time for a class that is not in the settings.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A request that is queued or in flight.
@@ -44,11 +46,11 @@
     fingerprint: Option<RequestFingerprint>,
     is_queued: bool,
     cost: f64,
-    /// Whether it is not a client's retry after a rejection.
+    /// Whether it is new work, as opposed to a client's retry after a rejection.
     is_first: bool,
 }
 
-/// The gate of a cluster.
+/// The gate of a cluster, with its queue and the concurrency limits of its backends.
 #[derive(Debug)]
 pub struct Gate {
     settings: GateSettings,
@@ -69,7 +71,7 @@
 }
 
 impl Gate {
-    /// The gate of a cluster without backends.
+    /// A gate without backends; see [`Gate::set_endpoints`].
     pub fn new(now: Duration, settings: GateSettings) -> Self {
         let mut gate = Gate {
             backends: Backends::new(settings.limits),
@@ -91,7 +93,8 @@
         gate
     }
 
-    /// Replaces the settings. Queued requests stay, under the new shares; what was learnt is retained.
+    /// Replaces the settings. Queued requests remain queued under the new shares; learned limits and costs
+    /// are kept.
     pub fn reconfigure(&mut self, now: Duration, settings: GateSettings) {
         self.settings = settings;
         self.backends.set_limit_settings(now, self.settings.limits);
@@ -105,13 +108,14 @@
         self.tenants.set_tenants(now, &self.settings.tenants, &mut self.queue);
     }
 
-    /// Replaces the list of backends.
+    /// Replaces the list of backends. See [`Backends::set_endpoints`].
     pub fn set_endpoints(&mut self, now: Duration, endpoints: &[Endpoint]) {
         self.backends.set_endpoints(now, endpoints);
         self.admit_queued(now);
     }
 
-    /// Requests in flight; hedged requests use capacity as well, and requests in a backoff will.
+    /// The larger of requests and attempts in flight: hedged attempts use capacity too, and a request in a
+    /// backoff will use it again.
     fn used_capacity(&self) -> u32 {
         self.in_flight.max(self.backends.in_flight())
     }
@@ -120,7 +124,7 @@
         self.used_capacity() < self.backends.total_capacity()
     }
 
-    /// Decides on a request that has arrived.
+    /// Decides whether an arriving request is admitted, queued or rejected.
     pub fn arrive(&mut self, now: Duration, arrival: Arrival) -> AdmissionDecision {
         self.advance(now);
         let request = self.track(now, &arrival);
@@ -159,7 +163,8 @@
         AdmissionDecision::Queue
     }
 
-    /// Counts an arrival as new work or as a client's retry. Work is counted once, however often its client retries.
+    /// Counts an arrival as new work or as a client's retry, so that work counts only once if its client
+    /// retries.
     fn track(&mut self, now: Duration, arrival: &Arrival) -> TrackedRequest {
         let class_slot = self.costs.slot(arrival.class);
         let cost = self.costs.cost(class_slot);
@@ -189,9 +194,9 @@
         })
     }
 
-    /// Whether a new request may be queued, after those that it displaces have been rejected.
+    /// Rejects the requests that a new one displaces. Returns whether there is space for it in the queue.
     fn make_queue_space(&mut self, now: Duration, new: &QueuedRequest, queue_time: Duration) -> bool {
-        // By Little's law, capacity for n requests serves n seconds of backend time a second.
+        // By Little's law, a capacity of n requests in flight serves n seconds of backend time per second.
         let max_cost = queue_time.as_secs_f64() * f64::from(self.backends.total_capacity().max(1));
         for _ in 0..MAX_DISPLACED {
             if self.queue.is_empty()
@@ -204,7 +209,7 @@
                 _ => return false,
             }
         }
-        // Enough have been displaced for it.
+        // The maximum number of requests has been displaced; the queue may exceed the cost limit for now.
         self.queue.len() < MAX_QUEUED
     }
 
@@ -224,7 +229,7 @@
         }
     }
 
-    /// Counts a rejection and computes what its client is asked to do.
+    /// Counts a rejection and computes the retry time for its client.
     fn reject(&mut self, now: Duration, request: &TrackedRequest, reason: RejectionReason) -> Rejection {
         self.counts.rejected += 1;
         if request.is_first {
@@ -247,7 +252,7 @@
         self.requests.insert(id, TrackedRequest { is_queued: false, ..request });
     }
 
-    /// The share of the arriving work that there is no capacity for, from 0 to 1.
+    /// The share of arriving work that exceeds the capacity, from 0 to 1.
     pub fn unserved_share(&self, now: Duration) -> f64 {
         self.pressure.unserved_share(now)
     }
@@ -257,7 +262,7 @@
         self.pressure.record_spare(now, spare);
     }
 
-    /// Rejects requests that have been queued for their maximum time, and updates the brownout level.
+    /// Rejects requests whose maximum time in the queue has passed, and updates the brownout level.
     fn advance(&mut self, now: Duration) {
         while let Some(request) = self.queue.expire(now) {
             self.reject_queued(now, request.id, RejectionReason::QueueTimeout);
@@ -282,13 +287,13 @@
         }
     }
 
-    /// An attempt of a request is sent to a backend.
+    /// Records that an attempt is sent to a backend.
     pub fn attempt_sent(&mut self, now: Duration, backend: ServerId) {
         self.record_spare_capacity(now);
         self.backends.attempt_sent(now, backend);
     }
 
-    /// An attempt of a request has ended, `elapsed` after it was sent.
+    /// Records the end of an attempt, `elapsed` after it was sent, and admits queued requests.
     pub fn attempt_ended(
         &mut self,
         now: Duration,
@@ -310,7 +315,7 @@
         self.admit_queued(now);
     }
 
-    /// A request is finished, or its client has disconnected. Its capacity is free.
+    /// Records that a request is finished or that its client has disconnected, and reuses its capacity.
     pub fn request_finished(&mut self, now: Duration, id: RequestId) {
         self.record_spare_capacity(now);
         if let Some(request) = self.requests.remove(&id) {
@@ -323,12 +328,13 @@
         self.admit_queued(now);
     }
 
-    /// Runs what is due. To be called by [`Gate::next_tick`].
+    /// Processes expired queue times, slow start and brownout levels. To be called no later than
+    /// [`Gate::next_tick`].
     pub fn tick(&mut self, now: Duration) {
         self.admit_queued(now);
     }
 
-    /// The deadline for the next call of [`Gate::tick`].
+    /// The time of the next call of [`Gate::tick`]; `None` if none is needed.
     pub fn next_tick(&self) -> Option<Duration> {
         match (self.queue.next_deadline(), self.backends.next_refresh()) {
             (Some(deadline), Some(refresh)) => Some(deadline.min(refresh)),
@@ -336,7 +342,8 @@
         }
     }
 
-    /// The decisions on queued requests since the last call, in order, one for each.
+    /// The decisions on queued requests since the last call, in order. There is exactly one for each queued
+    /// request, unless [`Gate::request_finished`] removed it.
     pub fn take_decisions(&mut self) -> Vec<QueueDecision> {
         std::mem::take(&mut self.decisions)
     }
@@ -346,12 +353,12 @@
         self.backends.take_capacity_updates()
     }
 
-    /// The changes of limits since the last call, with their evidence.
+    /// The changes of limits since the last call, with the measurements that caused them.
     pub fn take_limit_changes(&mut self) -> Vec<(ServerId, LimitChange)> {
         self.backends.take_limit_changes()
     }
 
-    /// What the balancer must do without at the present brownout level.
+    /// The additional attempts that the balancer must not make at the current brownout level.
     pub fn restraint(&self) -> AttemptRestrictions {
         AttemptRestrictions {
             no_hedging: self.is_active(&BrownoutAction::DisableHedging),
@@ -360,7 +367,7 @@
         }
     }
 
-    /// The state in numbers.
+    /// The current state, for diagnostics.
     pub fn status(&self) -> GateStatus {
         GateStatus {
             in_flight: self.in_flight,
@@ -370,7 +377,7 @@
         }
     }
 
-    /// Counts of all requests.
+    /// The request counts since the gate was created.
     pub fn counts(&self) -> RequestCounts {
         self.counts
     }
--- a/crates/admission-control/src/gate/settings.rs
+++ b/crates/admission-control/src/gate/settings.rs
@@ -7,36 +7,37 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Its name: what was measured for a class is retained under its name when settings are replaced.
+    /// Its name, under which its measured cost is kept when settings are replaced.
     pub name: String,
-    /// The value of a request relative to other classes.
+    /// The value of a request relative to other classes; queued requests are served by weight per cost.
     pub priority_weight: f64,
     /// The minimum time after which a rejected client is asked to retry.
     pub min_retry_after: Duration,
-    /// The maximum time in the queue; `None` for a quarter of the remaining time of the request.
+    /// The maximum time in the queue; `None` for a quarter of the time until the request's deadline.
     pub max_queue_time: Option<Duration>,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Its name.
+    /// Its name, which identifies it when settings are replaced.
     pub name: String,
-    /// Its share of the backend time, from 0 to 1; `None` for an equal part of what the others leave.
+    /// Its share of the backend time, from 0 to 1; `None` for an equal part of what the configured shares
+    /// leave.
     pub share: Option<f64>,
-    /// Requests a second at this node that are served before all shares.
+    /// The rate of requests per second at this node that are served before all others.
     pub guaranteed_rate: f64,
 }
 
 /// The settings of a gate.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GateSettings {
-    /// How backends are limited.
+    /// The concurrency limits and slow start of the backends.
     pub limits: LimitSettings,
-    /// The classes, by index.
+    /// The classes; arrivals refer to them by index.
     pub classes: Vec<ClassSettings>,
-    /// The tenants, by index; empty where there are none.
+    /// The tenants; arrivals refer to them by index. Empty if there are none.
     pub tenants: Vec<TenantSettings>,
-    /// What the cluster does without when overloaded, in order.
+    /// The brownout steps, in the order of activation.
     pub brownout: Vec<BrownoutStep>,
 }
--- a/crates/admission-control/src/gate/tenants.rs
+++ b/crates/admission-control/src/gate/tenants.rs
@@ -5,13 +5,13 @@
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
-/// The capacity of a token bucket, in seconds of the guaranteed rate.
+/// The size of a token bucket, in seconds of the guaranteed rate.
 const BURST_S: f64 = 1.0;
 
 /// The guaranteed rate of a tenant, enforced by a token bucket.
 #[derive(Clone, Copy, Debug)]
 struct GuaranteedRate {
-    /// Requests a second.
+    /// Requests per second.
     per_s: f64,
     tokens: f64,
     refilled_at: Duration,
@@ -23,7 +23,7 @@
         GuaranteedRate { per_s, tokens: (per_s * BURST_S).max(1.0), refilled_at: now }
     }
 
-    /// Takes a token. Returns whether there was one.
+    /// Takes a token if there is one. Returns whether there was.
     fn take(&mut self, now: Duration) -> bool {
         if self.per_s <= 0.0 {
             return false;
@@ -37,22 +37,22 @@
     }
 }
 
-/// The tenants: a slot for each name that has ever been in the settings.
+/// The tenants, with a slot for each name that has ever been in the settings.
 #[derive(Debug, Default)]
 pub(super) struct Tenants {
     slots_by_name: FxHashMap<String, usize>,
-    /// The slot of each tenant, by the index of the present settings.
+    /// The slot of each tenant, by its index in the current settings.
     slots: Vec<usize>,
-    /// By slot.
+    /// The guaranteed rate of each slot.
     guaranteed_rates: Vec<GuaranteedRate>,
 }
 
 impl Tenants {
-    /// Replaces the tenants. Queued requests of a tenant that was removed are served last.
+    /// Replaces the tenants of the settings. Queued requests of removed tenants are served last.
     pub(super) fn set_tenants(&mut self, now: Duration, tenants: &[TenantSettings], queue: &mut FairQueue) {
-        let stated: f64 = tenants.iter().filter_map(|tenant| tenant.share).sum();
-        let unstated = tenants.iter().filter(|tenant| tenant.share.is_none()).count();
-        let default_share = (1.0 - stated).max(0.0) / unstated.max(1) as f64;
+        let sum_of_shares: f64 = tenants.iter().filter_map(|tenant| tenant.share).sum();
+        let without_share = tenants.iter().filter(|tenant| tenant.share.is_none()).count();
+        let default_share = (1.0 - sum_of_shares).max(0.0) / without_share.max(1) as f64;
         let previous: Vec<_> = self.slots_by_name.values().copied().collect();
         previous.iter().for_each(|slot| queue.set_share(*slot, 0.0));
         self.slots.clear();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Sets a guaranteed rate, in requests a second. One that is new or has changed starts with a full bucket.
+    /// Sets a guaranteed rate, in requests per second. A new or changed rate starts with a full bucket.
     fn set_guaranteed_rate(&mut self, now: Duration, slot: usize, per_s: f64) {
         match self.guaranteed_rates.get_mut(slot) {
             Some(known) if known.per_s == per_s => {}
@@ -77,12 +77,12 @@
         }
     }
 
-    /// The slot of a tenant.
+    /// The slot of a tenant by its index in the settings; 0 if there is no such tenant.
     pub(super) fn slot(&self, tenant: usize) -> usize {
         self.slots.get(tenant).copied().unwrap_or(0)
     }
 
-    /// Whether a request is within its tenant's guaranteed rate, which it then has used.
+    /// Takes a token of the tenant's guaranteed rate. Returns whether there was one.
     pub(super) fn take_guaranteed(&mut self, now: Duration, slot: usize) -> bool {
         self.guaranteed_rates.get_mut(slot).is_some_and(|rate| rate.take(now))
     }
--- a/crates/admission-control/src/lib.rs
+++ b/crates/admission-control/src/lib.rs
@@ -1,20 +1,20 @@
-//! Admission control for a cluster of backends under overload. Before the balancer receives a request, a [`Gate`] admits
-//! it, queues it or rejects it. Responses of the backends adjust the concurrency limits, and the [`Capacity`] of each
-//! backend is passed to the balancer.
+//! Admission control for a cluster of backends under overload. Before a request reaches the balancer, a
+//! [`Gate`] admits, queues or rejects it. The responses of the backends adjust their concurrency limits, and
+//! the [`Capacity`] of each backend is passed to the balancer.
 //!
-//! - [`limit`]: adaptive concurrency limit of one backend.
-//! - [`backends`]: the limits of all backends of a cluster, their relative capacity, slow start.
-//! - [`fair_queue`]: queue that serves tenants by share and requests by priority weight.
+//! - [`limit`]: the adaptive concurrency limit of one backend.
+//! - [`backends`]: the limits of all backends of a cluster, their relative capacity, and slow start.
+//! - [`fair_queue`]: a queue that serves tenants by share and requests by priority weight.
 //! - [`gate`]: combines these for one cluster.
-//! - [`brownout`]: what an overloaded cluster does without, step by step.
+//! - [`brownout`]: disables features of an overloaded cluster step by step.
 //! - [`client_retries`]: recognizes requests that were rejected before.
 //! - [`retry_storm`]: bounds additional attempts over all clusters of a node.
 //! - [`retry_after`]: spreads the times at which rejected clients retry.
 //!
-//! The package `overload-simulation` plays overload scenarios through all of it.
+//! The package `overload-simulation` tests the combination in simulated overload scenarios.
 //!
-//! Nothing here opens a socket, reads a clock or draws random numbers: the same calls give the same results. Times are
-//! durations since an origin that the caller chooses.
+//! Nothing here opens a socket, reads a clock or draws random numbers: the same calls give the same results.
+//! Points in time are durations since an origin chosen by the caller.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/admission-control/src/limit/dedicated.rs
+++ b/crates/admission-control/src/limit/dedicated.rs
@@ -1,5 +1,5 @@
-//! How the limit is adjusted at a backend that no other node uses: by trials, one after the other where a step indicates
-//! that the next one may help.
+//! Adjustment of the limit of a backend that is used by this node only: by trials of one or more steps, as
+//! long as a step indicates that the next one may help.
 
 use super::trial::{
     COARSE_MEASUREMENT, CUT, DEEP_CUT, FINE_MEASUREMENT, RAISE, RateMeasurement, Trial, TrialStep,
@@ -8,33 +8,34 @@
 use super::{BackendLimit, Cause, SHRINK_ABOVE};
 use std::ops::ControlFlow::{self, Break, Continue};
 
-/// After this many windows in full use there is a trial, whatever the latency: the usual latency may have been learnt from
-/// a backend with permanent queueing.
+/// After this number of saturated windows there is a trial even without high latency: the baseline latency
+/// may have been learned while requests were permanently queued.
 const WINDOWS_BETWEEN_TRIALS: u32 = 300;
-/// There is also one when the limit has grown to twice that of the last trial and this many more.
+/// There is also a trial when the limit exceeds twice that of the last trial plus this number.
 const GROWTH_BETWEEN_TRIALS: f64 = 16.0;
-/// For this many windows after load turned out not to be the cause, the limit is not lowered for latency.
+/// After load proved not to be the cause of latency, the limit is not lowered for latency for this number of
+/// windows.
 const HOLD_OFF_WINDOWS: u32 = 20;
 
-/// `Continue` with a step that starts a trial; `Break` with whether the limit has changed.
+/// `Continue` with the next step of a trial; `Break` if there is none, with whether the limit has changed.
 type TrialFlow = ControlFlow<bool, TrialStep>;
 
 impl BackendLimit {
-    /// Adjusts the limit after a window in full use, at a backend that no other node uses.
+    /// Adjusts the limit after a saturated window, at a backend that is used by this node only.
     pub(super) fn adjust_dedicated(&mut self, summary: &WindowSummary) -> bool {
         let may_shrink = self.hold_off == 0 && self.limit > self.bounds.min;
         let is_congested = summary.queued > self.queue_threshold(summary, SHRINK_ABOVE) && may_shrink;
         let flow = match self.trial {
             Trial::Idle => self.consider_trial(is_congested, summary),
-            Trial::Baseline { deep, measurement } => {
-                self.measure_baseline(deep, measurement.with(summary), is_congested)
+            Trial::MeasuringBefore { deep, measurement } => {
+                self.measure_before(deep, measurement.with(summary), is_congested)
             }
             Trial::Settling(step) => {
-                self.trial = Trial::Measuring(step, RateMeasurement::default());
+                self.trial = Trial::MeasuringAfter(step, RateMeasurement::default());
                 Break(false)
             }
-            Trial::Measuring(step, measurement) => {
-                self.measure_step(step, measurement.with(summary), is_congested, summary)
+            Trial::MeasuringAfter(step, measurement) => {
+                self.measure_after(step, measurement.with(summary), is_congested, summary)
             }
         };
         match flow {
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Without a trial in progress: whether one starts.
+    /// Without a trial in progress: starts one if it is due, or lets the limit grow.
     fn consider_trial(&mut self, is_congested: bool, summary: &WindowSummary) -> TrialFlow {
         self.windows_since_trial += 1;
         let is_due = self.windows_since_trial >= WINDOWS_BETWEEN_TRIALS
@@ -51,7 +52,7 @@
         let deep = is_due && self.has_decreased && self.limit > self.bounds.min;
         if is_congested || deep {
             let measurement = RateMeasurement::default();
-            self.trial = Trial::Baseline { deep: deep && !is_congested, measurement };
+            self.trial = Trial::MeasuringBefore { deep: deep && !is_congested, measurement };
             self.windows_since_trial = 0;
             return Break(false);
         }
@@ -65,18 +66,14 @@
         Continue(TrialStep { previous_limit: self.limit, previous_rate, factor: RAISE })
     }
 
-    /// Measures the rate under the present limit, until that is sufficient.
-    fn measure_baseline(
-        &mut self,
-        deep: bool,
-        measurement: RateMeasurement,
-        is_congested: bool,
-    ) -> TrialFlow {
+    /// Extends the measurement of the rate under the current limit. Once it is sufficient, returns the first
+    /// step.
+    fn measure_before(&mut self, deep: bool, measurement: RateMeasurement, is_congested: bool) -> TrialFlow {
         if !is_congested && !deep {
             self.trial = Trial::Idle;
             return Break(false);
         }
-        self.trial = Trial::Baseline { deep, measurement };
+        self.trial = Trial::MeasuringBefore { deep, measurement };
         if !measurement.is_sufficient(if deep { COARSE_MEASUREMENT } else { FINE_MEASUREMENT }) {
             return Break(false);
         }
@@ -88,36 +85,39 @@
         Continue(TrialStep { previous_limit: self.limit, previous_rate: measurement.rate(), factor })
     }
 
-    /// Measures the rate under the changed limit, until that is sufficient; then evaluates it.
-    fn measure_step(
+    /// Extends the measurement of the rate under the changed limit. Once it is sufficient, evaluates the
+    /// step.
+    fn measure_after(
         &mut self,
         step: TrialStep,
         measurement: RateMeasurement,
         is_congested: bool,
         summary: &WindowSummary,
     ) -> TrialFlow {
-        self.trial = Trial::Measuring(step, measurement);
+        self.trial = Trial::MeasuringAfter(step, measurement);
         let follows = step.is_followed_by(measurement.rate());
-        // A rate that has risen although attempts under the previous limit are still in the figures has risen.
+        // A risen rate needs no sufficient measurement: attempts under the previous limit can only lower it.
         if !(measurement.is_sufficient(step.measurement_size()) || follows && step.factor == RAISE) {
             return Break(false);
         }
         (self.trial, self.windows_since_trial) = (Trial::Idle, 0);
-        // The next step is compared with the last one, not the best: more load may have made the backend slower.
+        // The next step is compared with this one, not with the best: more load may have made the backend
+        // slower.
         let mut rate = measurement.rate();
         self.last_trial_limit = if follows == (step.factor > 1.0) { self.limit } else { step.previous_limit };
         if follows || step.factor < 1.0 {
-            // Where the rate has followed, the present latency is the usual one; where not, only a lower one is.
+            // If the rate has followed the limit, the current latency is the new baseline; otherwise only a
+            // lower one.
             let ratio = summary.latency_ratio;
             let factor = if follows { ratio.max(1.0) } else { ratio.min(1.0) };
-            self.scale_usual_latencies(factor);
-            // The next step is measured by the new reference.
+            self.scale_baseline_latencies(factor);
+            // Work is counted in baseline latencies, so the rate is converted to the new baseline.
             rate *= factor;
         }
         self.conclude_step(step, follows, rate, is_congested, summary)
     }
 
-    /// What follows from a step: the next one, or the end of the trial.
+    /// Draws the conclusion of a step: the next step, or the end of the trial.
     fn conclude_step(
         &mut self,
         step: TrialStep,
@@ -130,13 +130,13 @@
             (true, RAISE) => {
                 Continue(TrialStep { previous_limit: self.limit, previous_rate: rate, factor: RAISE })
             }
-            // Too low: back to the limit at which the rate was still the same.
+            // The limit is too low: restore the previous one, at which the rate had not fallen yet.
             (true, DEEP_CUT) => Break(self.move_to(step.previous_limit, Cause::Room, summary)),
             (true, _) => {
                 (self.hold_off, self.has_decreased) = (HOLD_OFF_WINDOWS, false);
                 Break(self.move_to(step.previous_limit, Cause::NotLoad, summary))
             }
-            // A higher limit did not help, so a lower one may not hurt.
+            // A higher limit did not raise the rate, so a lower one may not reduce it.
             (false, RAISE) => {
                 self.has_decreased = true;
                 self.trial = Trial::Settling(TrialStep {
@@ -159,7 +159,7 @@
             (self.has_decreased, self.trial) = (true, Trial::Settling(step));
             return self.move_to(self.limit * step.factor, Cause::Waiting, summary);
         }
-        self.trial = Trial::Measuring(step, RateMeasurement::default());
+        self.trial = Trial::MeasuringAfter(step, RateMeasurement::default());
         let has_grown = self.move_to(self.limit * step.factor, Cause::Room, summary);
         if !has_grown {
             self.trial = Trial::Idle;
--- a/crates/admission-control/src/limit/mod.rs
+++ b/crates/admission-control/src/limit/mod.rs
@@ -1,13 +1,14 @@
-//! The adaptive concurrency limit of one backend, learnt from its responses. Independent of other backends, tenants and
-//! queues.
+//! The adaptive concurrency limit of one backend, learned from its responses. Independent of other backends,
+//! tenants and queues.
 //!
-//! Latency is compared with the usual latency of each class, so that 2 ms and 900 ms under one limit show the same load
-//! (`usual_latency`). The number of requests queued at the backend is estimated from that, as TCP Vegas does (`window`),
-//! and the limit is kept where a few are queued: the backend is neither idle nor congested. A limit that is lowered for
-//! latency is a trial: the rate is measured before and after (`trial`). If it falls with the limit, load is not the cause
-//! of the latency (a slow database, or responses that were quicker than usual at the start), and the limit is restored
-//! with the new latency as the usual one. A node that has its backends for itself makes trials when measurements call for
-//! them (`dedicated`), one that shares them with other nodes at fixed times of the clock (`shared`).
+//! Latency is compared with the baseline latency of each class, so that classes of 2 ms and 900 ms under one
+//! limit show the same load (`usual_latency`). From the ratio the number of requests queued at the backend is
+//! estimated, as in TCP Vegas (`window`), and the limit is kept where a few are queued: the backend is
+//! neither idle nor congested. Lowering the limit for latency is a trial, with the rate measured before and
+//! after (`trial`). If the rate falls with the limit, load is not the cause of the latency (a slow database,
+//! or responses that were unusually fast at the start): the limit is restored, and the new latency becomes
+//! the baseline. A node that is the only user of a backend makes trials when measurements indicate them
+//! (`dedicated`); nodes that share a backend make them at fixed times of the clock (`shared`).
 
 mod dedicated;
 mod shared;
@@ -18,25 +19,25 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 use trial::Trial;
-use usual_latency::UsualLatency;
+use usual_latency::BaselineLatency;
 use window::{Window, WindowSummary};
 
-/// How many requests may be queued at a backend: the larger of the two.
+/// A threshold for the number of requests queued at a backend: the larger of the two values.
 #[derive(Clone, Copy, Debug)]
 struct QueueThreshold {
     requests: f64,
-    /// As a share of the requests in flight.
+    /// As a fraction of the requests in flight.
     share: f64,
 }
 
-/// The limit grows while fewer are queued.
+/// The limit grows while fewer requests than this are queued.
 const GROW_BELOW: QueueThreshold = QueueThreshold { requests: 3.0, share: 0.15 };
-/// The limit shrinks while more are queued.
+/// The limit shrinks while more requests than this are queued.
 const SHRINK_ABOVE: QueueThreshold = QueueThreshold { requests: 6.0, share: 0.35 };
-/// Changes that are retained.
+/// The number of changes kept for [`BackendLimit::recent_changes`].
 const MAX_RECENT_CHANGES: usize = 16;
 
-/// The bounds of a limit, in requests in flight.
+/// The bounds of a concurrency limit, in requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitBounds {
     /// The limit at the start.
@@ -47,33 +48,35 @@
     pub max: f64,
     /// Whether the limit is adapted; it is fixed otherwise.
     pub is_adaptive: bool,
-    /// How many nodes use the backend, this one included. Capacity that one leaves is used by the others, so a trial of
-    /// a single one shows nothing: all make theirs at the same times of the clock, without communication.
+    /// The number of nodes that use the backend, including this one. Capacity left unused by one node is used
+    /// by the others, so a trial of a single node shows nothing: all make theirs at the same times of the
+    /// clock, without communication.
     pub nodes: f64,
 }
 
-/// What the end of an attempt shows of the load of its backend.
+/// What the end of an attempt shows about the load of its backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadSignal {
-    /// A response.
+    /// The backend responded; its latency shows the load.
     Served,
-    /// The backend rejected it without execution: it is overloaded by its own account.
+    /// The backend rejected the request without executing it, which it does when overloaded.
     Rejected,
-    /// No response in time.
+    /// There was no response in time.
     TimedOut,
-    /// No connection, or one that was reset.
+    /// The connection failed or was reset.
     ConnectionFailed,
-    /// Nothing of load: the time of an error is not that of the work.
+    /// Nothing: the latency of an error is not that of the work.
     Neutral,
 }
 
-/// Why a limit has changed. The names of the variants are shown to operators in log lines at level `debug`, and a test
-/// of `marlwinch` holds them.
+/// The cause of a change of a limit. The names of the variants appear in log lines at level `debug`, and a
+/// test of `marlwinch` checks them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// All of it was in use and little was queued at the backend.
+    /// The limit was in full use and few requests were queued at the backend, or a trial showed that it was
+    /// too low.
     Room,
-    /// More was queued at the backend than it needs.
+    /// Too many requests were queued at the backend, or a trial lowers the limit.
     Waiting,
     /// The backend rejected requests.
     Refused,
@@ -81,41 +84,42 @@
     Late,
     /// Connections failed or were reset.
     Failed,
-    /// The rate fell with the limit: load is not the cause of the latency.
+    /// The rate fell with the limit, so load is not the cause of the latency.
     NotLoad,
 }
 
-/// A change of a limit and its evidence.
+/// A change of a limit, with the measurements that caused it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
-    /// When it was made.
+    /// The time of the change.
     pub at: Duration,
-    /// The limit before.
+    /// The limit before, in requests in flight.
     pub from: f64,
-    /// The limit after.
+    /// The limit after, in requests in flight.
     pub to: f64,
-    /// Why it was made.
+    /// The cause, by the last window.
     pub cause: Cause,
-    /// The latency in multiples of the usual one, in the window that caused it.
+    /// The latency in that window as a multiple of the baseline latency.
     pub ratio: f64,
-    /// The responses a second in that window.
+    /// The responses per second in that window.
     pub rate: f64,
 }
 
-/// The concurrency limit of a backend.
+/// The adaptive concurrency limit of a backend, with the measurements that it is computed from.
 #[derive(Debug)]
 pub struct BackendLimit {
     bounds: LimitBounds,
     limit: f64,
     in_flight: u32,
-    usual_latencies: Vec<UsualLatency>,
+    baseline_latencies: Vec<BaselineLatency>,
     window: Window,
-    /// Whether the limit has ever been lowered: until then it grows fast.
+    /// Whether the limit has been lowered since the start or since latency proved not to be caused by load.
+    /// Until then it grows fast.
     has_decreased: bool,
     trial: Trial,
-    /// The number of windows in which the limit is not lowered for latency.
+    /// The number of windows for which the limit is not lowered for latency or time-outs.
     hold_off: u32,
-    /// Windows in full use since the last trial.
+    /// The number of saturated windows since the last trial.
     windows_since_trial: u32,
     /// The limit at the end of the last trial.
     last_trial_limit: f64,
@@ -123,13 +127,13 @@
 }
 
 impl BackendLimit {
-    /// The limit of a backend of which nothing is known yet.
+    /// The limit of a backend without any measurements.
     pub fn new(bounds: LimitBounds, now: Duration) -> Self {
         BackendLimit {
             bounds,
             limit: bounds.initial.clamp(bounds.min, bounds.max),
             in_flight: 0,
-            usual_latencies: Vec::new(),
+            baseline_latencies: Vec::new(),
             window: Window::new(now, 0),
             has_decreased: false,
             trial: Trial::Idle,
@@ -140,7 +144,7 @@
         }
     }
 
-    /// Replaces the bounds. A learnt limit is retained, within the new bounds.
+    /// Replaces the bounds. A learned limit is kept, clamped to the new bounds; a fixed one is set anew.
     pub fn set_bounds(&mut self, bounds: LimitBounds) {
         let is_reset = !bounds.is_adaptive || !self.bounds.is_adaptive && bounds != self.bounds;
         let limit = if is_reset { bounds.initial } else { self.limit };
@@ -157,29 +161,32 @@
         self.in_flight
     }
 
-    /// The usual latency of a class, in seconds; `None` before its first response.
-    pub fn usual_latency(&self, class: usize) -> Option<f64> {
-        self.usual_latencies.get(class).filter(|usual| usual.responses > 0).map(|usual| usual.seconds)
+    /// The baseline latency of a class, in seconds; `None` before its first response.
+    pub fn baseline_latency(&self, class: usize) -> Option<f64> {
+        self.baseline_latencies
+            .get(class)
+            .filter(|baseline| baseline.responses > 0)
+            .map(|baseline| baseline.seconds)
     }
 
-    /// The number of responses of a class.
+    /// The number of responses recorded for a class.
     pub fn response_count(&self, class: usize) -> u32 {
-        self.usual_latencies.get(class).map_or(0, |usual| usual.responses)
+        self.baseline_latencies.get(class).map_or(0, |baseline| baseline.responses)
     }
 
-    /// The highest index of a class with a response.
+    /// The highest index of a class with a response; `None` before the first response.
     pub fn highest_class(&self) -> Option<usize> {
-        self.usual_latencies.len().checked_sub(1)
+        self.baseline_latencies.len().checked_sub(1)
     }
 
-    /// The latest changes, the oldest first.
+    /// The latest changes of the limit, oldest first; at most 16.
     pub fn recent_changes(&self) -> impl Iterator<Item = &LimitChange> {
         self.recent_changes.iter()
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt is sent.
     pub fn attempt_sent(&mut self, now: Duration) {
-        // The time without any attempt shows nothing of the backend's rate.
+        // Time without any attempt does not count for the backend's rate.
         if self.in_flight == 0 && self.window.ended() == 0 {
             self.window.started_at = now;
         }
@@ -187,7 +194,7 @@
         self.window.peak_in_flight = self.window.peak_in_flight.max(self.in_flight);
     }
 
-    /// An attempt has ended, `elapsed` after it was sent. Returns whether the limit has changed.
+    /// Records the end of an attempt, `elapsed` after it was sent. Returns whether the limit has changed.
     pub fn attempt_ended(
         &mut self,
         now: Duration,
@@ -199,13 +206,13 @@
         self.in_flight = self.in_flight.saturating_sub(1);
         match signal {
             LoadSignal::Served => {
-                if self.usual_latencies.len() <= class {
-                    self.usual_latencies.resize(class + 1, UsualLatency::default());
+                if self.baseline_latencies.len() <= class {
+                    self.baseline_latencies.resize(class + 1, BaselineLatency::default());
                 }
                 let seconds = elapsed.as_secs_f64();
-                let usual = &mut self.usual_latencies[class];
-                usual.record(seconds);
-                self.window.record_served(seconds, usual.seconds);
+                let baseline = &mut self.baseline_latencies[class];
+                baseline.record(seconds);
+                self.window.record_served(seconds, baseline.seconds);
             }
             LoadSignal::Rejected => self.window.rejected += 1,
             LoadSignal::TimedOut => self.window.timed_out += 1,
@@ -216,14 +223,14 @@
         self.window.is_complete(age) && self.evaluate_window(now, age)
     }
 
-    /// Adjusts the limit by a complete window and starts the next one.
+    /// Adjusts the limit after a complete window and starts the next window.
     fn evaluate_window(&mut self, now: Duration, age: Duration) -> bool {
         let window = std::mem::replace(&mut self.window, Window::new(now, self.in_flight));
         let summary = WindowSummary::of(window, now, age);
-        for usual in &mut self.usual_latencies {
+        for baseline in &mut self.baseline_latencies {
             match self.trial {
-                Trial::Idle => usual.follow_window(summary.latency_ratio),
-                _ => usual.discard_window(),
+                Trial::Idle => baseline.follow_window(summary.latency_ratio),
+                _ => baseline.discard_window(),
             }
         }
         self.hold_off = self.hold_off.saturating_sub(1);
@@ -231,7 +238,8 @@
             return changed;
         }
         let is_reached = f64::from(summary.window.peak_in_flight) >= (self.limit * 0.9).floor();
-        // Whether the limit restricted the rate, and not the arrivals: only then the rate shows something of the limit.
+        // Whether the rate was bounded by the limit and not by arrivals. Only then does it show an effect of
+        // the limit.
         let is_saturated = is_reached && summary.in_flight >= 0.8 * self.limit;
         if !is_saturated {
             self.trial = Trial::Idle;
@@ -243,7 +251,7 @@
         }
     }
 
-    /// The multiplicative decrease for attempts without a response; `None` where there are few of them.
+    /// Multiplicative decrease if many attempts failed, were rejected or timed out; `None` if there were few.
     fn back_off(&mut self, summary: &WindowSummary) -> Option<bool> {
         let (window, ended, limit) = (&summary.window, summary.window.ended(), self.limit);
         let used = limit.min(f64::from(window.peak_in_flight));
@@ -262,7 +270,7 @@
         None
     }
 
-    /// Raises the limit by a share of it, at least by one.
+    /// Raises the limit by the fraction `share`, at least by one.
     fn increase(&mut self, summary: &WindowSummary, share: f64) -> bool {
         self.move_to(self.limit + (self.limit * share).max(1.0), Cause::Room, summary)
     }
@@ -289,17 +297,17 @@
         true
     }
 
-    /// How many requests may be queued at the backend under a threshold. Its fixed part is divided among the nodes.
+    /// A queue threshold in requests. Its fixed part is divided by the number of nodes.
     fn queue_threshold(&self, summary: &WindowSummary, threshold: QueueThreshold) -> f64 {
         f64::max(threshold.requests / self.bounds.nodes, threshold.share * summary.in_flight)
     }
 
-    /// Multiplies all usual latencies.
-    fn scale_usual_latencies(&mut self, factor: f64) {
-        self.usual_latencies.iter_mut().for_each(|usual| usual.seconds *= factor);
+    /// Multiplies all baseline latencies by a factor.
+    fn scale_baseline_latencies(&mut self, factor: f64) {
+        self.baseline_latencies.iter_mut().for_each(|baseline| baseline.seconds *= factor);
     }
 
-    /// Whether so few requests are queued at the backend that the limit may grow.
+    /// Whether few enough requests are queued at the backend for the limit to grow.
     fn may_grow(&self, summary: &WindowSummary) -> bool {
         summary.queued < self.queue_threshold(summary, GROW_BELOW) && summary.window.served > 0
     }
--- a/crates/admission-control/src/limit/window.rs
+++ b/crates/admission-control/src/limit/window.rs
@@ -1,16 +1,16 @@
-//! Counts of a backend's responses over a short time, and what they show of its load.
+//! Counts of a backend's responses in a short time window, and the load estimated from them.
 
 use std::time::Duration;
 
-/// The effective number of responses that a window needs: fewer are noise.
+/// The effective number of responses that a window needs; with fewer the result is noise.
 const MIN_SAMPLES: f64 = 32.0;
 /// The minimum length of a window.
 const MIN_LENGTH: Duration = Duration::from_millis(100);
-/// The maximum length of a window with any response.
+/// The maximum length of a window in which any attempt has ended.
 const MAX_LENGTH: Duration = Duration::from_secs(1);
-/// A window without a response ends after this many failed connections.
+/// A window without a response ends after this number of failed connections.
 const MIN_FAILURES: u32 = 4;
-/// Latency up to this multiple of the usual one is no sign of queueing: service times vary.
+/// Latency up to this multiple of the baseline does not indicate queueing, as service times vary.
 pub(super) const TOLERANCE: f64 = 1.3;
 
 /// The attempts that have ended since the start of the window.
@@ -21,15 +21,15 @@
     pub(super) rejected: u32,
     pub(super) timed_out: u32,
     pub(super) failed: u32,
-    /// The sum of the latencies of what was served, in seconds.
+    /// The sum of the latencies of served attempts, in seconds.
     pub(super) latency_sum: f64,
-    /// The sum of their usual latencies, in seconds: the work done.
+    /// The work served: the sum of the baseline latencies of served attempts, in seconds.
     pub(super) work: f64,
-    /// The sum of the squares of their usual latencies.
+    /// The sum of the squares of these baseline latencies.
     pub(super) work_squares: f64,
     /// The maximum number of attempts in flight.
     pub(super) peak_in_flight: u32,
-    /// The number of attempts in flight, summed over the ends of attempts.
+    /// The sum of the numbers of attempts in flight at each end of an attempt.
     pub(super) in_flight_sum: f64,
 }
 
@@ -50,54 +50,54 @@
         }
     }
 
-    /// Kish's effective sample size, (Σw)²/Σw²: among 100 quick responses and two slow ones the two decide.
+    /// Kish's effective sample size, (Σw)²/Σw²: with 100 fast responses and two slow ones, the two dominate.
     fn effective_samples(&self) -> f64 {
         self.work * self.work / self.work_squares.max(1e-18)
     }
 
-    /// How many attempts have ended.
+    /// The number of attempts that have ended.
     pub(super) fn ended(&self) -> u32 {
         self.served + self.rejected + self.timed_out + self.failed
     }
 
-    /// Records a response after `seconds` that usually takes `usual_seconds`.
-    pub(super) fn record_served(&mut self, seconds: f64, usual_seconds: f64) {
+    /// Records a response with its latency and the baseline latency of its class.
+    pub(super) fn record_served(&mut self, seconds: f64, baseline_seconds: f64) {
         self.served += 1;
         self.latency_sum += seconds;
-        self.work += usual_seconds;
-        self.work_squares += usual_seconds * usual_seconds;
+        self.work += baseline_seconds;
+        self.work_squares += baseline_seconds * baseline_seconds;
     }
 
-    /// Whether a window of that age is complete.
+    /// Whether the window is complete at this age.
     pub(super) fn is_complete(&self, age: Duration) -> bool {
         let samples = self.effective_samples() + f64::from(self.ended() - self.served);
         let has_samples = samples >= MIN_SAMPLES && age >= MIN_LENGTH;
-        // A backend that fails is recognized before there are that many samples.
+        // A failing backend is recognized before there are enough samples.
         let is_failing = self.failed >= MIN_FAILURES && self.served == 0;
         has_samples || is_failing || self.ended() > 0 && age >= MAX_LENGTH
     }
 }
 
-/// What a complete window shows.
+/// The measurements of a complete window.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WindowSummary {
     pub(super) window: Window,
     pub(super) ended_at: Duration,
     /// The length of the window in seconds.
     pub(super) seconds: f64,
-    /// Latency in multiples of the usual one.
+    /// Latency as a multiple of the baseline latency.
     pub(super) latency_ratio: f64,
-    /// Responses a second.
+    /// Responses per second.
     pub(super) responses_per_s: f64,
     /// The mean number of attempts in flight.
     pub(super) in_flight: f64,
-    /// How many of them were queued at the backend.
+    /// The estimated number of these that were queued at the backend.
     pub(super) queued: f64,
 }
 
 impl WindowSummary {
-    /// Summarizes a window that ends now at that age. Queued attempts are estimated as TCP Vegas does: the number in flight
-    /// times the part of the latency above the usual one.
+    /// Summarizes a window that ends now at this age. Queued attempts are estimated as in TCP Vegas: the
+    /// number in flight times the fraction of the latency in excess of the baseline.
     pub(super) fn of(window: Window, now: Duration, age: Duration) -> Self {
         let seconds = age.as_secs_f64();
         let latency_ratio = if window.work > 0.0 { window.latency_sum / window.work } else { 1.0 };
--- a/crates/admission-control/src/retry_storm.rs
+++ b/crates/admission-control/src/retry_storm.rs
@@ -1,22 +1,23 @@
-//! A retry budget over all clusters of a node. Each class has a budget of its own; when all clusters fail at once, the sum
-//! of those would still be a retry storm.
+//! A retry budget over all clusters of a node. Each class has a budget of its own, but if all clusters fail
+//! at once, the sum of these budgets still allows a retry storm.
 
 use join_up_to::rate::Rate;
 use std::time::Duration;
 
-/// The time over which attempts are counted, in seconds.
+/// The time constant of the attempt counts in seconds.
 const WINDOW_S: f64 = 5.0;
-/// Attempts are allowed again once they are down to this part of the budget, so that the decision does not flap.
+/// Hysteresis: additional attempts are allowed again once their count has fallen to this fraction of the
+/// budget.
 const RELEASE_FACTOR: f64 = 0.7;
-/// What a rejection counts for, in additional attempts: of ten rejected clients one retries at once.
+/// The additional attempts that a rejection counts for: of ten rejected clients one retries at once.
 const REJECTION_WEIGHT: f64 = 0.1;
 
-/// How many additional attempts (retries and hedged requests) a node may make.
+/// The number of additional attempts (retries and hedged requests) that a node may make.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// As a share of first attempts.
+    /// Additional attempts as a fraction of first attempts.
     pub share: f64,
-    /// Additional attempts a second that are always allowed.
+    /// Additional attempts per second that are allowed independently of first attempts.
     pub per_s: f64,
 }
 
@@ -29,7 +30,7 @@
     Additional,
 }
 
-/// Counts the attempts of a node and stops additional ones beyond the budget.
+/// Counts the attempts of a node and reports when additional ones exceed the budget.
 #[derive(Debug)]
 pub struct RetryStormGuard {
     budget: RetryBudget,
@@ -39,7 +40,7 @@
 }
 
 impl RetryStormGuard {
-    /// A guard without attempts.
+    /// A guard that has recorded no attempts yet.
     pub fn new(budget: RetryBudget) -> Self {
         RetryStormGuard {
             budget,
@@ -49,12 +50,12 @@
         }
     }
 
-    /// Replaces the budget.
+    /// Replaces the budget; the recorded attempts are kept.
     pub fn set_budget(&mut self, budget: RetryBudget) {
         self.budget = budget;
     }
 
-    /// Records an attempt. Returns whether additional ones are to stop, as [`RetryStormGuard::is_exceeded`].
+    /// Records an attempt. Returns [`RetryStormGuard::is_exceeded`].
     pub fn record_attempt(&mut self, now: Duration, kind: AttemptKind) -> bool {
         match kind {
             AttemptKind::First => self.first_attempts.add(now, 1.0),
@@ -63,12 +64,12 @@
         self.is_exceeded(now)
     }
 
-    /// Records a rejected request: its client may retry, which leaves less for the node's own attempts.
+    /// Records a rejected request: its client may retry, which uses part of the budget.
     pub fn record_rejection(&mut self, now: Duration) {
         self.additional_attempts.add(now, REJECTION_WEIGHT);
     }
 
-    /// Whether the budget is exceeded, so that no cluster may make additional attempts.
+    /// Whether the budget is exceeded; no cluster may make additional attempts while it is.
     pub fn is_exceeded(&mut self, now: Duration) -> bool {
         let allowed = self.budget.share * self.first_attempts.recent_sum(now) + self.budget.per_s * WINDOW_S;
         let additional = self.additional_attempts.recent_sum(now);
