--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The loop of the adapter: reads batches, passes their events to the instances, writes the replies.
+//! The main loop of the adapter: reads batches, passes their events to the instances, and writes the replies.
 
 use crate::instance::{Instance, InstanceError};
 use crate::wire::{Batch, Input, Reply, WireError, read_batch};
@@ -7,7 +7,7 @@
 use std::io::{self, Read, Write};
 
 quick_error! {
-    /// Why the adapter exits with a failure.
+    /// An error that terminates the adapter.
     #[derive(Debug)]
     pub enum AdapterError {
         /// A batch cannot be read.
@@ -21,20 +21,20 @@
             display("batch {}: record {}: {}", batch, record, error)
             source(error)
         }
-        /// An event is for an instance that does not run.
+        /// An event or a stop is for an instance that is not running.
         NotRunning(batch: u32, record: usize, instance: u16) {
-            display("batch {}: record {}: an event for instance {}, which is not up", batch, record, instance)
+            display("batch {}: record {}: instance {} is not running", batch, record, instance)
         }
-        /// The output failed.
+        /// A reply cannot be written.
         Write(error: io::Error) {
             from()
-            display("cannot write: {}", error)
+            display("cannot write a reply: {}", error)
             source(error)
         }
     }
 }
 
-/// Runs until the end of the input. A batch with an error gets no reply.
+/// Processes batches until the end of the input. A batch with an error gets no reply.
 pub fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut instances = BTreeMap::new();
     while let Some(batch) = read_batch(input)? {
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-/// Carries out the records of a batch in order; returns the frame of the reply.
+/// Processes the records of a batch in order. Returns the frame of the reply.
 fn reply_to(batch: &Batch, instances: &mut BTreeMap<u16, Instance>) -> Result<Vec<u8>, AdapterError> {
     let mut reply = Reply::default();
     let mut failed = BTreeSet::new();
@@ -57,7 +57,7 @@
                     .map_err(|error| AdapterError::Start(batch.number, i, error))?;
                 instances.insert(id, instance);
             }
-            // The records after the fault of an instance, in the same batch, have no receiver.
+            // After a panic of an instance, its further records in the batch are skipped.
             _ if failed.contains(&id) => {}
             Input::Stop => drop(instances.remove(&id).ok_or_else(not_running)?),
             Input::Event(event, report) => {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! A simulated node: its decisions, and protection against their panics.
+//! A simulated node: a balancer whose panics are caught.
 
 use crate::wire::{RawReport, named_report};
 use join_up_to::settings::{self, Column};
@@ -8,35 +8,36 @@
 use std::time::Duration;
 
 quick_error! {
-    /// Why an instance cannot start or go on.
+    /// An error that prevents an instance from starting or continuing.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum InstanceError {
         /// Its settings are invalid.
         Settings(message: String) {
             display("{}", message)
         }
-        /// Its decisions panicked with this message.
+        /// The balancer panicked with this message.
         Panic(message: String) {
             display("{}", message)
         }
     }
 }
 
-/// A running instance.
+/// A running instance: a balancer, and the columns of its load reports.
 pub struct Instance {
     balancer: Balancer,
     columns: Vec<Column>,
 }
 
 impl Instance {
-    /// Starts an instance by the text of its settings and the seed of its random numbers.
+    /// Starts an instance from its settings as JSON text and the seed of its random number generator.
     pub fn start(settings: &[u8], seed: u64) -> Result<Self, InstanceError> {
         let (settings, host) =
             settings::parse(settings).map_err(|error| InstanceError::Settings(error.to_string()))?;
         Ok(Instance { balancer: Balancer::new(settings, seed), columns: host.columns })
     }
 
-    /// Passes an event to the decisions and returns their actions. After a panic the instance must not be used again.
+    /// Passes an event to the balancer and returns the actions. After a panic the instance must not be used
+    /// again.
     pub fn handle(
         &mut self,
         now: Duration,
@@ -54,9 +55,9 @@
     }
 }
 
-/// Runs a function; an error has the message of its panic.
-pub fn catch_panic(decide: impl FnOnce()) -> Result<(), InstanceError> {
-    catch_unwind(AssertUnwindSafe(decide)).map_err(|panic| {
+/// Runs a function. If it panics, the error contains the panic message.
+pub fn catch_panic(function: impl FnOnce()) -> Result<(), InstanceError> {
+    catch_unwind(AssertUnwindSafe(function)).map_err(|panic| {
         let text = panic.downcast_ref::<String>().map(String::as_str);
         let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("the decisions panicked");
         InstanceError::Panic(text.to_string())
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,5 +1,5 @@
-//! Connects the decisions of `join-up-to` to a simulator: many nodes in one process, without sockets. Batches of events are
-//! read, and a reply with the actions of all instances is written for each.
+//! Connects the balancer of `join-up-to` to a simulator: many nodes in one process, without sockets. The
+//! adapter reads batches of events, and writes one reply with the actions of all instances for each.
 #![forbid(unsafe_code)]
 
 pub mod adapter;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! The adapter as a process: frames on standard input, replies on standard output, one line on standard error for a failure.
+//! The adapter as a process: reads batches from standard input and writes replies to standard output. An
+//! error is reported in one line on standard error.
 #![forbid(unsafe_code)]
 
 use simulator_adapter::adapter::run;
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The wire format of the simulator: it sends batches of events, and gets one reply with actions for each batch. Numbers are
-//! big-endian; times are in milliseconds, as `f64`.
+//! The wire format of the simulator, which sends batches of events and receives one reply with actions for
+//! each. Numbers are big-endian; times are in milliseconds, as `f64`.
 
 use join_up_to::settings::{Column, millis};
 use join_up_to::{
@@ -10,20 +10,20 @@
 use std::io::{self, Read};
 use std::time::Duration;
 
-/// Lengths in bytes: the header of a batch, an event, an action, and an entry of a list of backends.
+/// Lengths in bytes: the header of a batch, an event record, an action record, and an entry of a server list.
 const BATCH_HEADER_LENGTH: usize = 20;
 const EVENT_LENGTH: usize = 48;
 const ACTION_LENGTH: usize = 32;
 const ENTRY_LENGTH: usize = 23;
 
 quick_error! {
-    /// Why a batch cannot be read.
+    /// An error in reading a batch.
     #[derive(Debug)]
     pub enum WireError {
         /// The input failed.
         Read(error: io::Error) {
             from()
-            display("cannot read: {}", error)
+            display("cannot read a batch: {}", error)
             source(error)
         }
         /// The input ended within the header, after this number of bytes.
@@ -32,13 +32,13 @@
         }
         /// The time of a batch is not finite.
         InvalidClock(batch: u32) {
-            display("batch {}: the clock is no number", batch)
+            display("batch {}: the clock is not a finite number", batch)
         }
-        /// The input ended within the body.
+        /// The input ended within the body: bytes received, and the length in the header.
         ShortBody(batch: u32, received: usize, length: usize) {
-            display("batch {}: {} of {} bytes", batch, received, length)
+            display("batch {}: body: {} of {} bytes", batch, received, length)
         }
-        /// The body is shorter than its records.
+        /// The body is too short for the number of records in the header.
         TooManyRecords(batch: u32, count: usize, length: usize) {
             display("batch {}: {} records do not fit in {} bytes", batch, count, length)
         }
@@ -51,7 +51,7 @@
 }
 
 quick_error! {
-    /// Why a record of a batch is invalid.
+    /// An error in a record of a batch.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum RecordError {
         /// No event has this code.
@@ -60,23 +60,23 @@
         }
         /// No kind of list has this code.
         UnknownListKind(code: u8) {
-            display("unknown list form {}", code)
+            display("unknown list kind code {}", code)
         }
         /// No outcome has this code.
         UnknownOutcome(code: u8) {
-            display("unknown outcome {}", code)
+            display("unknown outcome code {}", code)
         }
-        /// No state of a backend has this code.
+        /// No server state has this code.
         UnknownServerState(code: u8) {
-            display("unknown server state {}", code)
+            display("unknown server state code {}", code)
         }
         /// A load report has more than four values.
         TooManyValues(count: usize) {
-            display("a load report of {} values", count)
+            display("a load report has {} values, the maximum is 4", count)
         }
-        /// A reference past the end of the tail.
+        /// A field refers to bytes past the end of the tail.
         OutsideTail(count: usize, size: usize, start: usize, tail: usize) {
-            display("points to {} x {} bytes at {} of a tail of {}", count, size, start, tail)
+            display("refers to {} x {} bytes at offset {} of a tail of {} bytes", count, size, start, tail)
         }
     }
 }
@@ -84,34 +84,36 @@
 /// A record of a batch.
 #[derive(Debug, PartialEq)]
 pub enum Input {
-    /// The instance starts, with the seed of its random numbers and the text of its settings.
+    /// The instance starts.
     Start {
-        /// Seeds the node's random draws.
+        /// The seed of the node's random number generator.
         seed: u64,
         /// The node's settings, as JSON.
         settings: Vec<u8>,
     },
-    /// The instance has stopped.
+    /// The instance stops.
     Stop,
-    /// An event for the decisions of the instance, and the load report in it: [`named_report`] needs the instance's columns.
+    /// An event for the balancer of the instance, and its raw load report if there is one. [`named_report`]
+    /// converts that, as it depends on the columns in the settings of the instance.
     Event(Event, Option<RawReport>),
 }
 
-/// The values of a load report, and how many of them are set.
+/// The values of a load report, and the number of values that are set.
 pub type RawReport = ([f32; 4], usize);
 
 /// A batch of records.
 #[derive(Debug)]
 pub struct Batch {
-    /// The number that the reply repeats.
+    /// The number of the batch, which is repeated in the reply.
     pub number: u32,
-    /// The simulated time.
+    /// The simulated time of all events in the batch.
     pub clock: Duration,
     count: usize,
     body: Vec<u8>,
 }
 
-/// Reads one batch; `None` at the end of the input. Errors are those of [`WireError`] but for `Record`.
+/// Reads one batch; `None` at the end of the input. Returns any [`WireError`] except `Record`, as records are
+/// parsed by [`Batch::records`].
 pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
     let mut header = Vec::new();
     input.by_ref().take(BATCH_HEADER_LENGTH as u64).read_to_end(&mut header)?;
@@ -127,7 +129,7 @@
     if !clock.is_finite() {
         return Err(WireError::InvalidClock(number));
     }
-    // The length is not trusted: with `take`, memory grows with the bytes that were received.
+    // The length is not trusted: with `take`, memory is allocated only for bytes that are received.
     let mut body = Vec::new();
     input.by_ref().take(length as u64).read_to_end(&mut body)?;
     if body.len() < length {
@@ -140,7 +142,7 @@
 }
 
 impl Batch {
-    /// The records in order, each with its instance.
+    /// Parses the records in order, each with the number of its instance.
     pub fn records(&self) -> impl Iterator<Item = Result<(u16, Input), WireError>> + '_ {
         let (records, tail) = self.body.split_at(self.count * EVENT_LENGTH);
         records.chunks_exact(EVENT_LENGTH).enumerate().map(move |(i, record)| {
@@ -152,7 +154,7 @@
     }
 }
 
-/// Parses a record; `tail` is the part of the batch that records refer to.
+/// Parses a record. `tail` follows the records and holds their variable-length data.
 fn input(at: Fields, tail: &[u8]) -> Result<Input, RecordError> {
     let id = || RequestId(at.u64(3));
     let plain = |event| Ok(Input::Event(event, None));
@@ -205,7 +207,8 @@
     }
 }
 
-/// The part of the tail that the field at `position` refers to, as an offset and a number of items of `size` bytes.
+/// The part of the tail that the field at `position` refers to by an offset and a number of items of `size`
+/// bytes.
 fn slice<'a>(tail: &'a [u8], at: Fields, position: usize, size: usize) -> Result<&'a [u8], RecordError> {
     let (start, count) = (at.u32(position) as usize, at.u32(position + 4) as usize);
     let end = count.checked_mul(size).and_then(|length| start.checked_add(length));
@@ -240,7 +243,7 @@
     bytes.chunks_exact(ENTRY_LENGTH).map(|entry| Fields(entry).entry()).collect()
 }
 
-/// Assigns the values of a load report to the measures that the settings' columns name.
+/// Converts a raw load report, whose values are in the order of the columns in the settings.
 pub fn named_report((values, count): RawReport, columns: &[Column]) -> LoadReport {
     let mut report = LoadReport::default();
     for (column, value) in columns.iter().zip(&values[..count]) {
@@ -277,7 +280,7 @@
     fn f64(self, at: usize) -> f64 {
         f64::from_be_bytes(self.bytes(at))
     }
-    /// An IPv4 address and a port, as one number.
+    /// A server id: an IPv4 address and a port as one number.
     fn server(self, at: usize) -> ServerId {
         ServerId(u64::from(self.u32(at)) << 16 | u64::from(self.u16(at + 4)))
     }
@@ -308,7 +311,7 @@
     }
 }
 
-/// The reply to one batch, while actions are added.
+/// Builds the reply to one batch.
 #[derive(Default)]
 pub struct Reply {
     count: u32,
@@ -317,7 +320,7 @@
 }
 
 impl Reply {
-    /// Appends an action of an instance.
+    /// Adds an action of an instance.
     pub fn push(&mut self, instance: u16, action: &Action) {
         match action {
             Action::Fail { id } => self.record(65, instance).u64(id.0),
@@ -344,13 +347,13 @@
         self.close_record();
     }
 
-    /// Reports that the decisions of an instance panicked, with the message.
+    /// Adds the panic message of an instance's balancer.
     pub fn push_fault(&mut self, instance: u16, text: &str) {
         self.text(71, instance, text);
         self.close_record();
     }
 
-    /// The complete frame, with the number of the batch.
+    /// The complete frame of the reply to the batch with this number.
     pub fn frame(mut self, number: u32) -> Vec<u8> {
         let mut frame = Vec::with_capacity(12 + self.records.len() + self.tail.len());
         frame.extend(number.to_be_bytes());
--- a/crates/simulator-adapter/tests/golden.rs
+++ b/crates/simulator-adapter/tests/golden.rs
@@ -1,17 +1,18 @@
-//! Transcripts of the adapter as a process: every batch that it reads and every reply that it writes, byte by byte, with a
-//! comment for each record, held against golden files. `GOLDEN=write cargo test -p simulator-adapter --test golden` writes the
-//! files anew. Frames are built here from numbers alone, so that no rename in the code can change them.
+//! Transcripts of the adapter as a process: each batch that it reads and each reply that it writes, byte by
+//! byte and with a comment for each record, are compared with golden files. To rewrite the files:
+//! `GOLDEN=write cargo test -p simulator-adapter --test golden`. Frames are built from numbers only, so that a
+//! rename in the code can't change them.
 //!
-//! The decisions of today never ask for a list once, never speak to other nodes, never close idle connections, never write to
-//! the log and never break; the records of these actions are held in `golden_wire.rs`.
+//! The balancer currently never requests the list once, sends messages to nodes, closes idle connections,
+//! logs or panics; `golden_wire.rs` covers the records of these actions.
 
 mod support;
 
 use std::collections::BTreeSet;
 use support::run;
 
-/// The kinds of records of a batch, by their codes.
-const INPUTS: [(u8, &str); 10] = [
+/// The names of records of a batch by their codes.
+const EVENT_NAMES: [(u8, &str); 10] = [
     (1, "start"),
     (2, "list"),
     (3, "request"),
@@ -24,8 +25,8 @@
     (10, "stop"),
 ];
 
-/// The kinds of records of a reply, by their codes.
-const OUTPUTS: [(u8, &str); 12] = [
+/// The names of records of a reply by their codes.
+const ACTION_NAMES: [(u8, &str); 12] = [
     (65, "fail"),
     (66, "probe"),
     (67, "log"),
@@ -40,8 +41,8 @@
     (76, "send"),
 ];
 
-/// Those that the decisions of today never answer with.
-const NEVER: [u8; 5] = [67, 71, 72, 73, 74];
+/// The codes of actions that the balancer currently never returns.
+const UNUSED_ACTIONS: [u8; 5] = [67, 71, 72, 73, 74];
 
 const BATCH_HEADER: usize = 20;
 const EVENT: usize = 48;
@@ -58,13 +59,13 @@
 const CANCELLED: u8 = 6;
 const NOT_SENT: u8 = 7;
 
-/// List forms by their codes.
+/// Kinds of list updates by their codes on the wire.
 const CHANGES: u8 = 0;
 const FULL: u8 = 1;
 const CACHED: u8 = 2;
 const FAILED: u8 = 3;
 
-/// Server states by their codes.
+/// Server states by their codes on the wire.
 const GONE: u8 = 0;
 const DRAINING: u8 = 1;
 const READY: u8 = 2;
@@ -73,7 +74,7 @@
     {"Name": "submit", "Target": 400.0, "GiveUp": 1000.0, "Idempotency": "guarded", "Group": "zone", "Window": 600.0},
     {"Name": "correct", "Target": 500.0, "GiveUp": 2500.0, "Idempotency": "single_shot", "Stream": true}]"#;
 
-/// Settings under which attempts are called off and repeated, and reports come with answers.
+/// Settings with cancellation and retries, and load reports in responses.
 fn answering() -> String {
     format!(
         r#"{{"NInstances": 2, "Ordinal": 0, "Zone": 0, "Localities": ["a", "b"], "HostTypes": ["m"], "Quantum": 5.0,
@@ -84,7 +85,7 @@
     )
 }
 
-/// Settings under which load is learnt from probes.
+/// Settings with load reports from probes only.
 fn probing() -> String {
     format!(
         r#"{{"NInstances": 3, "Ordinal": 1, "Zone": 1, "Quantum": 1.0, "Classes": {CLASSES},
@@ -93,7 +94,7 @@
     )
 }
 
-/// Settings under which the list has to be asked for.
+/// Settings under which the server list must be requested.
 fn asking() -> String {
     format!(
         r#"{{"Classes": {CLASSES}, "RegistryMode": "ask", "Rules": {{"MustAskIn": 800.0}}, "Permissions": {{"AttemptsCap": 1}}}}"#
@@ -115,7 +116,7 @@
     Entry { port, zone: (port % 2) as u8, kind: 0, cell: port % 3, state, weight: 1.0, started_ms: 0.0 }
 }
 
-/// A batch as it grows.
+/// Builds a batch.
 struct Batch {
     number: u32,
     clock_ms: f64,
@@ -128,26 +129,26 @@
 }
 
 impl Batch {
-    fn record(mut self, code: u8, who: u16, fields: &[&[u8]]) -> Self {
+    fn record(mut self, code: u8, instance: u16, fields: &[&[u8]]) -> Self {
         let fields = fields.concat();
         let mut record = [0; EVENT];
         record[0] = code;
-        record[1..3].copy_from_slice(&who.to_be_bytes());
+        record[1..3].copy_from_slice(&instance.to_be_bytes());
         record[3..3 + fields.len()].copy_from_slice(&fields);
         self.records.push(record);
         self
     }
-    /// Where bytes stand in the tail, once they are there.
+    /// Appends bytes to the tail. Returns the field that refers to them.
     fn at(&mut self, bytes: &[u8], count: usize) -> Vec<u8> {
         let at = self.tail.len() as u32;
         self.tail.extend(bytes);
         [at.to_be_bytes(), (count as u32).to_be_bytes()].concat()
     }
-    fn start(mut self, who: u16, seed: u64, settings: &str) -> Self {
+    fn start(mut self, instance: u16, seed: u64, settings: &str) -> Self {
         let at = self.at(settings.as_bytes(), settings.len());
-        self.record(1, who, &[&seed.to_be_bytes(), &at])
+        self.record(1, instance, &[&seed.to_be_bytes(), &at])
     }
-    fn list(mut self, who: u16, form: u8, version: u32, entries: &[Entry]) -> Self {
+    fn list(mut self, instance: u16, kind: u8, version: u32, entries: &[Entry]) -> Self {
         let mut bytes = Vec::new();
         for entry in entries {
             bytes.extend([10, 144, 17, 242]);
@@ -159,44 +160,51 @@
             bytes.extend(entry.started_ms.to_be_bytes());
         }
         let at = self.at(&bytes, entries.len());
-        self.record(2, who, &[&[form], &version.to_be_bytes(), &at])
+        self.record(2, instance, &[&[kind], &version.to_be_bytes(), &at])
     }
-    /// A request, perhaps with its expected work, and perhaps one that repeats an earlier try.
-    fn request(self, who: u16, id: u64, class: u16, cost_ms: Option<f64>, again: bool) -> Self {
-        let flags = u8::from(cost_ms.is_some()) | u8::from(again) << 1;
+    /// A request, optionally with its cost, and optionally marked as a client's retry.
+    fn request(self, instance: u16, id: u64, class: u16, cost_ms: Option<f64>, client_retry: bool) -> Self {
+        let flags = u8::from(cost_ms.is_some()) | u8::from(client_retry) << 1;
         let (tenant, key) = (3u16.to_be_bytes(), 0x91f0_3b7c_55d2_0a64u64.to_be_bytes());
         let (remaining, cost) = (1000f64.to_be_bytes(), cost_ms.unwrap_or_default().to_be_bytes());
         self.record(
             3,
-            who,
+            instance,
             &[&id.to_be_bytes(), &class.to_be_bytes(), &tenant, &key, &remaining, &cost, &[flags]],
         )
     }
-    fn started(self, who: u16, id: u64, attempt: u8) -> Self {
-        self.record(4, who, &[&id.to_be_bytes(), &[0; 8], &[attempt], &[10, 144, 17, 242, 0, 1]])
+    fn started(self, instance: u16, id: u64, attempt: u8) -> Self {
+        self.record(4, instance, &[&id.to_be_bytes(), &[0; 8], &[attempt], &[10, 144, 17, 242, 0, 1]])
     }
-    fn ended(self, who: u16, (id, attempt): (u64, u8), outcome: u8, finished: bool, report: &[f32]) -> Self {
+    fn ended(
+        self,
+        instance: u16,
+        (id, attempt): (u64, u8),
+        outcome: u8,
+        finished: bool,
+        report: &[f32],
+    ) -> Self {
         let server = [10, 144, 17, 242, 0, 1];
         let end =
             [&[attempt][..], &server, &[outcome], &18.5f64.to_be_bytes(), &[u8::from(finished)]].concat();
-        self.record(5, who, &[&id.to_be_bytes(), &end, &values(report)])
+        self.record(5, instance, &[&id.to_be_bytes(), &end, &values(report)])
     }
-    fn client_gone(self, who: u16, id: u64) -> Self {
-        self.record(6, who, &[&id.to_be_bytes()])
+    fn client_gone(self, instance: u16, id: u64) -> Self {
+        self.record(6, instance, &[&id.to_be_bytes()])
     }
-    fn timer(self, who: u16, token: u64) -> Self {
-        self.record(7, who, &[&token.to_be_bytes()])
+    fn timer(self, instance: u16, token: u64) -> Self {
+        self.record(7, instance, &[&token.to_be_bytes()])
     }
-    fn probed(self, who: u16, port: u16, outcome: u8, report: &[f32]) -> Self {
+    fn probed(self, instance: u16, port: u16, outcome: u8, report: &[f32]) -> Self {
         let server = [&[10, 144, 17, 242][..], &port.to_be_bytes()].concat();
-        self.record(8, who, &[&server, &[outcome], &1.25f64.to_be_bytes(), &values(report)])
+        self.record(8, instance, &[&server, &[outcome], &1.25f64.to_be_bytes(), &values(report)])
     }
-    fn peer(mut self, who: u16, from: u32, text: &str) -> Self {
+    fn peer(mut self, instance: u16, from: u32, text: &str) -> Self {
         let at = self.at(text.as_bytes(), text.len());
-        self.record(9, who, &[&from.to_be_bytes(), &at])
+        self.record(9, instance, &[&from.to_be_bytes(), &at])
     }
-    fn stop(self, who: u16) -> Self {
-        self.record(10, who, &[])
+    fn stop(self, instance: u16) -> Self {
+        self.record(10, instance, &[])
     }
     fn frame(&self) -> Vec<u8> {
         let mut frame = Vec::new();
@@ -210,7 +218,7 @@
     }
 }
 
-/// A load report: how many values, and up to four of them.
+/// A load report: the number of values, and up to four values.
 fn values(report: &[f32]) -> Vec<u8> {
     let mut bytes = vec![report.len() as u8];
     report.iter().for_each(|value| bytes.extend(value.to_be_bytes()));
@@ -221,7 +229,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The tail of a frame, which is text or entries of a list.
+/// Renders the tail of a frame, which is text or entries of a list.
 fn tail(bytes: &[u8]) -> String {
     match std::str::from_utf8(bytes) {
         Ok(text) if !text.contains('\0') => format!("{text:?}"),
@@ -229,8 +237,8 @@
     }
 }
 
-/// A frame with each of its records in a line of its own.
-fn shown(
+/// Renders a frame with one record per line.
+fn render_frame(
     side: &str,
     frame: &[u8],
     header: usize,
@@ -255,7 +263,7 @@
     u32::from_be_bytes(bytes[at..at + 4].try_into().expect("four bytes")) as usize
 }
 
-/// The replies within what the adapter wrote.
+/// Splits the output of the adapter into replies.
 fn replies(mut output: &[u8]) -> Vec<&[u8]> {
     let mut replies = Vec::new();
     while output.len() >= REPLY_HEADER {
@@ -263,32 +271,33 @@
         replies.push(reply);
         output = rest;
     }
-    assert!(output.is_empty(), "half a reply");
+    assert!(output.is_empty(), "incomplete reply");
     replies
 }
 
-/// The transcript of a play, and the codes that came up in it.
+/// The transcript of batches and their replies, and the record codes that occur in it.
 fn transcript(play: &[(&str, Batch)]) -> (String, BTreeSet<u8>, BTreeSet<u8>) {
     let input: Vec<_> = play.iter().flat_map(|(_, batch)| batch.frame()).collect();
     let output = run(&input);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let replies = replies(&output.stdout);
     assert_eq!(replies.len(), play.len());
-    let (mut text, mut input_codes, mut done) = (String::new(), BTreeSet::new(), BTreeSet::new());
+    let (mut text, mut input_codes, mut output_codes) = (String::new(), BTreeSet::new(), BTreeSet::new());
     for ((about, batch), reply) in play.iter().zip(replies) {
         let frame = batch.frame();
         text += &format!("# {about}\n");
-        text += &shown("in ", &frame, BATCH_HEADER, batch.records.len(), EVENT, &INPUTS);
-        text += &shown("out", reply, REPLY_HEADER, word(reply, 8), ACTION, &OUTPUTS);
+        text += &render_frame("in ", &frame, BATCH_HEADER, batch.records.len(), EVENT, &EVENT_NAMES);
+        text += &render_frame("out", reply, REPLY_HEADER, word(reply, 8), ACTION, &ACTION_NAMES);
         input_codes.extend(batch.records.iter().map(|record| record[0]));
         let actions = reply[REPLY_HEADER..].chunks(ACTION).take(word(reply, 8));
-        done.extend(actions.map(|record| record[0]));
+        output_codes.extend(actions.map(|record| record[0]));
     }
-    (text, input_codes, done)
+    (text, input_codes, output_codes)
 }
 
-/// Every kind of record on the way in, and all on the way out that the decisions of today know.
-fn whole_play() -> Vec<(&'static str, Batch)> {
+/// Batches with all kinds of events, whose replies contain all kinds of actions that the balancer currently
+/// returns.
+fn all_records() -> Vec<(&'static str, Batch)> {
     let ready = [entry(1, READY), entry(2, READY), entry(3, READY), entry(4, READY)];
     let cold = Entry { started_ms: 900.5, kind: 1, weight: 1.5, ..entry(5, READY) };
     vec![
@@ -375,46 +384,43 @@
 }
 
 #[test]
-fn a_play_of_every_kind_of_record_is_answered_as_it_was() {
-    let (text, input_codes, done) = transcript(&whole_play());
+fn replies_to_all_kinds_of_records_match_the_golden_transcript() {
+    let (text, input_codes, output_codes) = transcript(&all_records());
     golden_files::check("play.txt", &text);
-    assert_eq!(input_codes, INPUTS.iter().map(|(code, _)| *code).collect(), "each kind of input");
-    let ever = OUTPUTS.iter().map(|(code, _)| *code).filter(|code| !NEVER.contains(code));
-    assert_eq!(done, ever.collect(), "each kind of output");
+    assert_eq!(input_codes, EVENT_NAMES.iter().map(|(code, _)| *code).collect(), "all kinds of events");
+    let used = ACTION_NAMES.iter().map(|(code, _)| *code).filter(|code| !UNUSED_ACTIONS.contains(code));
+    assert_eq!(output_codes, used.collect(), "all kinds of actions in use");
 }
 
-/// What the adapter says of input that it can't read.
 #[test]
-fn bad_input_is_refused_in_the_same_words() {
+fn errors_for_invalid_input_match_the_golden_file() {
     let good = batch(1, 1000.0).start(1, 9, &answering()).list(1, FULL, 1, &[entry(1, READY)]).frame();
     let after = |batch: Batch| [good.clone(), batch.frame()].concat();
     let settings = |text: &str| batch(3, 1.0).start(1, 9, text).frame();
     let mut past = batch(6, 1.0).record(9, 1, &[&[0; 4], &3u32.to_be_bytes(), &2u32.to_be_bytes()]);
     past.tail = vec![0; 4];
     let cases: Vec<(&str, Vec<u8>)> = vec![
-        ("a header cut short", good[..7].to_vec()),
-        ("a body cut short", good[..30].to_vec()),
-        ("a clock that is no number", batch(2, f64::NAN).frame()),
-        ("more records than bytes", [&2u32.to_be_bytes()[..], &[0, 0, 1, 0], &[0; 12]].concat()),
-        ("a record of no kind", after(batch(2, 1.0).record(77, 1, &[]))),
-        ("a list of no form", after(batch(2, 1.0).list(1, 4, 1, &[]))),
-        ("a server in no state", after(batch(2, 1.0).list(1, FULL, 1, &[entry(1, 3)]))),
-        ("no outcome", after(batch(2, 1.0).probed(1, 1, 8, &[]))),
-        ("too long a report", after(batch(2, 1.0).probed(1, 1, SERVED, &[0.0; 5]))),
-        ("past the tail", past.frame()),
-        ("an event for nobody", after(batch(2, 1.0).request(7, 1, 0, None, false))),
-        ("a stop for nobody", after(batch(2, 1.0).stop(7))),
-        ("settings that are no JSON", settings("nothing")),
-        ("settings of no class", settings("{\"Classes\": []}")),
-        ("settings without a field", settings("{\"Classes\": [{\"Target\": 4}]}")),
+        ("a truncated header", good[..7].to_vec()),
+        ("a truncated body", good[..30].to_vec()),
+        ("a clock that is not a number", batch(2, f64::NAN).frame()),
+        ("more records than fit in the body", [&2u32.to_be_bytes()[..], &[0, 0, 1, 0], &[0; 12]].concat()),
+        ("an unknown event code", after(batch(2, 1.0).record(77, 1, &[]))),
+        ("an unknown list kind", after(batch(2, 1.0).list(1, 4, 1, &[]))),
+        ("an unknown server state", after(batch(2, 1.0).list(1, FULL, 1, &[entry(1, 3)]))),
+        ("an unknown outcome", after(batch(2, 1.0).probed(1, 1, 8, &[]))),
+        ("a load report with too many values", after(batch(2, 1.0).probed(1, 1, SERVED, &[0.0; 5]))),
+        ("a reference past the end of the tail", past.frame()),
+        ("an event for an instance that is not running", after(batch(2, 1.0).request(7, 1, 0, None, false))),
+        ("a stop of an instance that is not running", after(batch(2, 1.0).stop(7))),
+        ("settings that are not JSON", settings("nothing")),
+        ("settings without classes", settings("{\"Classes\": []}")),
+        ("settings with a missing field", settings("{\"Classes\": [{\"Target\": 4}]}")),
     ];
     let mut text = String::new();
     for (about, input) in cases {
         let output = run(&input);
-        let said = String::from_utf8_lossy(&output.stderr);
-        // The program had another name when the golden files were made: its name alone may differ.
-        let said = said.replace(concat!(env!("CARGO_PKG_NAME"), ": "), "larchspread-drill: ");
-        text += &format!("# {about}\n{:?}\n{said}", output.status.code());
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        text += &format!("# {about}\n{:?}\n{stderr}", output.status.code());
     }
     golden_files::check("bad_input.txt", &text);
 }
--- a/crates/simulator-adapter/tests/golden_wire.rs
+++ b/crates/simulator-adapter/tests/golden_wire.rs
@@ -1,6 +1,6 @@
-//! Each record of the simulator's wire by itself, as bytes in golden files: what a record of a batch is read as, and what each
-//! action is written as. `GOLDEN=write cargo test -p simulator-adapter --test golden_wire` writes the actions anew; the records
-//! of batches are written by hand.
+//! Compares the parsing of each event record and the encoding of each action record with golden files. To
+//! rewrite the actions: `GOLDEN=write cargo test -p simulator-adapter --test golden_wire`. The event records are
+//! written by hand.
 
 use join_up_to::settings::{Column, millis};
 use join_up_to::*;
@@ -20,7 +20,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The name of a record of a batch; `None` for events that the simulator can't send.
+/// The name of an event record; `None` for events that do not exist in the wire format.
 fn input_name(input: &Input) -> Option<&'static str> {
     Some(match input {
         Input::Start { .. } => "start",
@@ -101,7 +101,7 @@
     Input::Event(Event::List { kind, version, entries }, None)
 }
 
-/// What the record of a name is read as.
+/// The expected result of parsing the record with this name.
 fn input(name: &str) -> Input {
     let old = ServerEntry {
         id: SERVER,
@@ -159,11 +159,11 @@
         }
         "peer" => plain(Event::Peer { from: 2, data: b"hi".to_vec() }),
         "stop" => Input::Stop,
-        other => panic!("no record is called {other:?}"),
+        other => panic!("unknown record name {other:?}"),
     }
 }
 
-/// A batch of one record.
+/// A batch with one record.
 fn batch(record: &[u8], tail: &[u8]) -> Batch {
     let mut frame = Vec::new();
     frame.extend(12u32.to_be_bytes());
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn records_of_batches_are_read_as_they_were() {
+fn parsed_event_records_match_the_golden_file() {
     let golden = golden_files::read("wire/inputs.txt");
     let mut seen = Vec::new();
     for line in golden.lines().filter(|line| !line.starts_with('#')) {
@@ -189,16 +189,19 @@
         let read: Vec<_> =
             batch.records().collect::<Result<_, _>>().unwrap_or_else(|e| panic!("{name}: {e}"));
         assert_eq!(read, [(0x0103, input(name))], "{name}");
-        let called = input_name(&read[0].1).expect("a record of the wire");
-        assert!(name.starts_with(called), "{name} is a {called}");
+        let actual = input_name(&read[0].1).expect("an event of the wire format");
+        assert!(name.starts_with(actual), "{name} was parsed as {actual}");
         seen.push(name);
     }
-    assert_eq!(BTreeSet::from_iter(&seen), BTreeSet::from_iter(&INPUTS), "each record is there");
+    assert_eq!(
+        BTreeSet::from_iter(&seen),
+        BTreeSet::from_iter(&INPUTS),
+        "all event records are in the golden file"
+    );
 }
 
-/// The values of a report get their names from the settings' columns, in their order.
 #[test]
-fn values_of_reports_go_where_they_went() {
+fn values_of_load_reports_are_named_by_the_columns_in_their_order() {
     let columns = [Column::Tps, Column::Unknown, Column::MeanMs, Column::ErrPs, Column::Concurrent];
     let report = named_report(([1.0, 2.0, 3.0, 4.0], 4), &columns);
     let expected = LoadReport {
@@ -231,7 +234,7 @@
 }
 
 #[test]
-fn actions_are_written_as_they_were() {
+fn encoded_action_records_match_the_golden_file() {
     let actions = [
         Action::Send { id: ID, server: SERVER, timeout: ms(80.125) },
         Action::Refuse { id: ID, retry_after: Some(ms(500.0)) },
@@ -262,5 +265,5 @@
     text += &format!("all in one frame: {}\n", hex(&reply.frame(13)));
     golden_files::check("wire/actions.txt", &text);
     let names: BTreeSet<_> = actions.iter().map(action_name).collect();
-    assert_eq!(names.len(), 13, "each action is there: {names:?}");
+    assert_eq!(names.len(), 13, "all actions are covered: {names:?}");
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Records of the wire format, byte by byte, and the errors for invalid frames.
+//! The encoding of records byte by byte, and the errors for invalid frames.
 
 use join_up_to::settings::{Column, millis};
 use join_up_to::{
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn load_report_of_a_probe_is_named_by_the_columns() {
+fn values_of_a_probe_load_report_are_named_by_the_columns() {
     let (_, input) = one("08 0001 0a124a07 1b5b 01 3ff0000000000000 03 40400000 3f800000 3f000000", "");
     let Input::Event(Event::Probed(end), Some(raw)) = input else { panic!("{input:?}") };
     let expected = ProbeEnd {
@@ -161,9 +161,9 @@
 }
 
 #[test]
-fn start_stop_response_start_and_peer_records_are_parsed() {
-    let (who, input) = one("01 0007 0000000000000009 00000001 00000002", "ff7b7d");
-    assert_eq!((who, input), (7, Input::Start { seed: 9, settings: b"{}".to_vec() }));
+fn start_stop_started_and_peer_records_are_parsed() {
+    let (instance, input) = one("01 0007 0000000000000009 00000001 00000002", "ff7b7d");
+    assert_eq!((instance, input), (7, Input::Start { seed: 9, settings: b"{}".to_vec() }));
     assert_eq!(one("0a 0007", "").1, Input::Stop);
     let (_, input) = one("04 0001 0000000000000005 4000000000000000 02 00000000 0007", "");
     let started = Event::Started { id: RequestId(5), attempt: 2, server: ServerId(7) };
@@ -207,23 +207,23 @@
     let with = |bad: &str| batch(&[good.clone(), padded(bad, EVENT)], b"tail");
     let cases = [
         (hex("00000001 0000"), "batch header: 6 of 20 bytes"),
-        (with("0a 0001")[..60].to_vec(), "batch 12: 40 of 100 bytes"),
+        (with("0a 0001")[..60].to_vec(), "batch 12: body: 40 of 100 bytes"),
         (hex("0000000c 7fffffff 00000000 40c06e2000000000"), "batch 12: 2147483647 records do not fit"),
-        (hex("0000000c 00000000 00000000 7ff8000000000000"), "batch 12: the clock is no number"),
+        (hex("0000000c 00000000 00000000 7ff8000000000000"), "batch 12: the clock is not a finite number"),
         (with("0b 0001"), "batch 12: record 1: unknown event code 11"),
-        (with("02 0001 04"), "batch 12: record 1: unknown list form 4"),
+        (with("02 0001 04"), "batch 12: record 1: unknown list kind code 4"),
         (
             with("02 0001 01 00000001 00000000 ffffffff"),
-            "batch 12: record 1: points to 4294967295 x 23 bytes",
+            "batch 12: record 1: refers to 4294967295 x 23 bytes",
         ),
         (
             with("09 0001 00000001 00000003 00000002"),
-            "batch 12: record 1: points to 2 x 1 bytes at 3 of a tail of 4",
+            "batch 12: record 1: refers to 2 x 1 bytes at offset 3 of a tail of 4 bytes",
         ),
-        (with("08 0001 00000000 0001 08"), "batch 12: record 1: unknown outcome 8"),
+        (with("08 0001 00000000 0001 08"), "batch 12: record 1: unknown outcome code 8"),
         (
             with("08 0001 00000000 0001 01 0000000000000000 05"),
-            "batch 12: record 1: a load report of 5 values",
+            "batch 12: record 1: a load report has 5 values, the maximum is 4",
         ),
     ];
     for (frame, expected) in cases {
@@ -232,7 +232,7 @@
     }
     let entry = padded("0a124a07 1b5b 00 00 0000 03", ENTRY);
     let error = read(&batch(&[padded("02 0001 01 00000001 00000000 00000001", EVENT)], &entry));
-    assert_eq!(error.expect_err("bad state").to_string(), "batch 12: record 0: unknown server state 3");
+    assert_eq!(error.expect_err("bad state").to_string(), "batch 12: record 0: unknown server state code 3");
 }
 
 #[test]
