--- a/crates/join-up-to/tests/bad_input.rs
+++ b/crates/join-up-to/tests/bad_input.rs
@@ -1,34 +1,34 @@
-//! Nothing that a host may tell by mistake makes a node panic, and the four rules hold all the same (`World`
-//! checks them on the side).
+//! Invalid input from the host does not make a node panic, and the four rules still hold (checked by the
+//! harness).
 
-mod world;
+mod harness;
 
+use harness::*;
 use join_up_to::*;
 use std::time::Duration;
-use world::*;
 
-/// Plays a little of everything: requests with and without hints, answers, probes, failures, a changing list.
+/// Runs a mix of events: requests with and without cost, responses, probes, failures, list updates.
 fn play(settings: Settings, seed: u64) {
-    let mut world = World::seeded(settings, seed);
+    let mut harness = Harness::seeded(settings, seed);
     for round in 0..40 {
         if round % 8 == 0 {
-            let started = (round % 16 == 0).then_some(world.now);
+            let started = (round % 16 == 0).then_some(harness.now);
             let lines = (0..4).map(|n| ServerEntry { started, ..entry(n + round % 3) }).collect();
-            world.list(ListKind::Full, lines);
+            harness.list(ListKind::Full, lines);
         }
         for class in 0..5 {
             let cost = (class % 2 == 0).then_some(ms(20));
-            world.request_with(class, class, ms(300 + 100 * class as u64), cost);
+            harness.request_with(class, class, ms(300 + 100 * class as u64), cost);
         }
-        while world.end_probe(Some(round as f32 - 10.0)).is_some() {}
-        world.pass(ms(20));
-        for (i, (id, attempt)) in world.out().into_iter().enumerate() {
+        while harness.end_probe(Some(round as f32 - 10.0)).is_some() {}
+        harness.advance(ms(20));
+        for (i, (id, attempt)) in harness.attempts_in_flight().into_iter().enumerate() {
             let outcome = [Outcome::Served, Outcome::Error, Outcome::Rejected, Outcome::Reset][i % 4];
-            world.end(id, attempt, outcome, Some(f32::from(i as u8)));
+            harness.end_attempt(id, attempt, outcome, Some(f32::from(i as u8)));
         }
     }
-    world.pass(ms(1500));
-    assert!(world.open().is_empty(), "rule 1");
+    harness.advance(ms(1500));
+    assert!(harness.open_requests().is_empty(), "rule 1");
 }
 
 #[test]
@@ -37,7 +37,7 @@
     let figures = [0.0, -1.0, f64::NAN, f64::INFINITY, f64::MIN_POSITIVE, f64::MAX];
     for (i, figure) in figures.into_iter().enumerate() {
         for time in durations {
-            for base in [settings(), probing(), answering()] {
+            for base in [settings(), reports_from_probes(), reports_in_responses()] {
                 let mut settings = base;
                 settings.nodes = [0, 1, u32::MAX][i % 3];
                 settings.tenants = vec![Tenant { allowance_per_s: figure, share: figure }; 2];
@@ -67,7 +67,7 @@
 #[test]
 fn extreme_durations_of_classes_are_tolerated() {
     for time in [Duration::ZERO, Duration::from_nanos(1), Duration::MAX] {
-        let mut settings = probing();
+        let mut settings = reports_from_probes();
         for class in &mut settings.classes {
             (class.latency_target, class.deadline) = (time, time);
             if let Repeat::Keyed { window, .. } = &mut class.repeat {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn requests_get_a_response_without_classes() {
+fn requests_are_sent_although_the_settings_have_no_classes() {
     let mut balancer = Balancer::new(Settings { classes: Vec::new(), ..Settings::default() }, 1);
     let mut actions = Vec::new();
     let version = 1;
@@ -99,38 +99,40 @@
 #[test]
 fn invalid_numbers_in_reports_and_costs_are_tolerated() {
     let figures = [f32::NAN, f32::NEG_INFINITY, f32::INFINITY, -7.0, f32::MAX, f32::MIN_POSITIVE];
-    for base in [probing(), answering(), Settings { nodes: 1, ..probing() }] {
-        let mut world = World::with_servers(base, 4);
+    for base in
+        [reports_from_probes(), reports_in_responses(), Settings { nodes: 1, ..reports_from_probes() }]
+    {
+        let mut harness = Harness::with_servers(base, 4);
         for (i, cost) in
             [Duration::ZERO, Duration::from_nanos(1), Duration::MAX].into_iter().cycle().enumerate().take(90)
         {
-            world.request_with(i % 5, 0, ms(500), Some(cost));
-            while world.end_probe(Some(figures[i % 6])).is_some() {}
-            world.pass(ms(2));
-            for (id, attempt) in world.out() {
-                world.end(id, attempt, Outcome::Served, Some(figures[i % 6]));
+            harness.request_with(i % 5, 0, ms(500), Some(cost));
+            while harness.end_probe(Some(figures[i % 6])).is_some() {}
+            harness.advance(ms(2));
+            for (id, attempt) in harness.attempts_in_flight() {
+                harness.end_attempt(id, attempt, Outcome::Served, Some(figures[i % 6]));
             }
         }
-        // After all that the fleet still takes an ordinary request.
-        let (id, _) = world.request(0);
-        while world.end_probe(Some(0.0)).is_some() {}
-        world.pass(ms(30));
-        assert!(world.out().iter().any(|(out, _)| *out == id));
+        // Afterwards an ordinary request is still sent.
+        let (id, _) = harness.request(0);
+        while harness.end_probe(Some(0.0)).is_some() {}
+        harness.advance(ms(30));
+        assert!(harness.attempts_in_flight().iter().any(|(out, _)| *out == id));
     }
 }
 
 #[test]
 fn a_report_that_is_not_a_number_is_ignored() {
-    let mut world = World::with_servers(probing(), 2);
-    let (id, _) = world.request(0);
-    while world.end_probe(Some(f32::NAN)).is_some() {}
-    world.pass(ms(200));
-    assert!(world.out().contains(&(id, 0)), "sent as if there were no report");
+    let mut harness = Harness::with_servers(reports_from_probes(), 2);
+    let (id, _) = harness.request(0);
+    while harness.end_probe(Some(f32::NAN)).is_some() {}
+    harness.advance(ms(200));
+    assert!(harness.attempts_in_flight().contains(&(id, 0)), "sent as if there were no report");
 }
 
 #[test]
 fn clock_and_durations_of_a_host_may_be_extreme() {
-    let mut balancer = Balancer::new(probing(), 1);
+    let mut balancer = Balancer::new(reports_from_probes(), 1);
     let mut actions = Vec::new();
     let started = Some(Duration::MAX);
     let entries = vec![ServerEntry { started, ..entry(1) }, entry(2)];
@@ -158,41 +160,41 @@
 
 #[test]
 fn a_repeated_request_id_gets_one_response() {
-    let mut world = World::with_servers(answering(), 2);
-    let (id, actions) = world.request(0);
+    let mut harness = Harness::with_servers(reports_in_responses(), 2);
+    let (id, actions) = harness.request(0);
     assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })));
-    assert_eq!(world.handle(Event::Request(request(id.0, ms(500), None))), []);
+    assert_eq!(harness.handle(Event::Request(request(id.0, ms(500), None))), []);
 }
 
 #[test]
 fn an_empty_repeated_or_old_list_is_tolerated() {
-    let mut world = World::new(answering());
-    world.list(ListKind::Full, vec![]);
-    let (waiting, _) = world.request(0);
-    assert!(world.out().is_empty());
+    let mut harness = Harness::new(reports_in_responses());
+    harness.list(ListKind::Full, vec![]);
+    let (waiting, _) = harness.request(0);
+    assert!(harness.attempts_in_flight().is_empty());
     let gone = ServerEntry { state: ServerState::Gone, ..entry(1) };
-    // The last line about a server counts.
-    world.list(ListKind::Full, vec![entry(1), entry(2), gone, entry(2)]);
-    world.pass(ms(200));
-    assert_eq!(world.server_of(waiting, 0), ServerId(2));
-    world.list(ListKind::Changes, vec![ServerEntry { state: ServerState::Draining, ..entry(2) }, entry(3)]);
-    // A list from before that change must not bring server 2 back: `World` would see the send.
-    let version = world.version - 1;
+    // The last entry of a server applies.
+    harness.list(ListKind::Full, vec![entry(1), entry(2), gone, entry(2)]);
+    harness.advance(ms(200));
+    assert_eq!(harness.server_of(waiting, 0), ServerId(2));
+    harness.list(ListKind::Changes, vec![ServerEntry { state: ServerState::Draining, ..entry(2) }, entry(3)]);
+    // A list older than that change must not restore server 2: the harness would detect the send.
+    let version = harness.version - 1;
     for kind in [ListKind::Full, ListKind::Changes, ListKind::Cached] {
-        world.handle(Event::List { kind, version, entries: vec![entry(1), entry(2)] });
+        harness.handle(Event::List { kind, version, entries: vec![entry(1), entry(2)] });
         for _ in 0..20 {
-            let (id, _) = world.request(0);
-            world.pass(ms(1));
-            assert_eq!(world.server_of(id, 0), ServerId(3));
-            world.end(id, 0, Outcome::Served, None);
+            let (id, _) = harness.request(0);
+            harness.advance(ms(1));
+            assert_eq!(harness.server_of(id, 0), ServerId(3));
+            harness.end_attempt(id, 0, Outcome::Served, None);
         }
     }
 }
 
 #[test]
 fn outcomes_out_of_order_repeated_or_unknown_change_nothing() {
-    let mut world = World::with_servers(answering(), 3);
-    let (id, _) = world.request(1);
+    let mut harness = Harness::with_servers(reports_in_responses(), 3);
+    let (id, _) = harness.request(1);
     let end = |id, attempt, outcome, finished| {
         let elapsed = ms(3);
         Event::AttemptEnded(AttemptEnd {
@@ -205,13 +207,13 @@
             report: None,
         })
     };
-    assert_eq!(world.handle(end(id, 4, Outcome::Served, false)), []);
-    assert_eq!(world.handle(end(RequestId(999), 0, Outcome::Served, true)), []);
-    let served = world.end(id, 0, Outcome::Served, None);
+    assert_eq!(harness.handle(end(id, 4, Outcome::Served, false)), []);
+    assert_eq!(harness.handle(end(RequestId(999), 0, Outcome::Served, true)), []);
+    let served = harness.end_attempt(id, 0, Outcome::Served, None);
     assert_eq!(served, []);
     for outcome in [Outcome::Served, Outcome::Rejected, Outcome::TimedOut] {
-        assert_eq!(world.handle(end(id, 0, outcome, false)), []);
+        assert_eq!(harness.handle(end(id, 0, outcome, false)), []);
     }
-    assert_eq!(world.handle(Event::ClientGone { id }), []);
-    assert_eq!(world.handle(Event::Started { id, attempt: 9, server: ServerId(7) }), []);
+    assert_eq!(harness.handle(Event::ClientGone { id }), []);
+    assert_eq!(harness.handle(Event::Started { id, attempt: 9, server: ServerId(7) }), []);
 }
--- a/crates/join-up-to/tests/cost.rs
+++ b/crates/join-up-to/tests/cost.rs
@@ -1,13 +1,14 @@
-//! What a decision costs must not grow with the fleet as its square: at 326 servers in a deploy a node once needed four
-//! times the CPU it had, and the day was lost (incident i2cef5e). Alone in its process, for the sake of its times.
+//! The cost of a decision must not grow with the square of the number of servers: during a deployment with 326
+//! servers a node once needed four times the CPU it had, and the run failed (issue i2cef5e). This is the only test
+//! of its process, so that no other one disturbs the timing.
 
-mod world;
+mod harness;
 
+use harness::{entry, ms, reports_from_probes, reports_in_responses};
 use join_up_to::*;
 use std::time::{Duration, Instant};
-use world::{answering, entry, ms, probing};
 
-/// The time of so many requests at a node whose servers, that many, have all just started.
+/// The time for 100 requests at a node whose servers have all just started.
 fn time_of_requests(settings: Settings, servers: u64) -> Duration {
     let mut settings = settings;
     settings.rules.initial_capacity = 0.3;
@@ -37,8 +38,9 @@
 
 #[test]
 fn the_cost_of_a_deployment_grows_linearly_with_the_fleet() {
-    for settings in [probing(), answering()] {
-        // The best of some runs, as others may be using the machine. In proportion it would be 8, by the square 64.
+    for settings in [reports_from_probes(), reports_in_responses()] {
+        // The minimum of several runs, as the machine may be shared. Linear growth gives a ratio of 8,
+        // quadratic 64.
         let best =
             |servers| (0..5).map(|_| time_of_requests(settings.clone(), servers)).min().unwrap_or_default();
         let ratio = best(800).as_secs_f64() / best(100).as_secs_f64();
--- a/crates/join-up-to/tests/direct/mod.rs
+++ b/crates/join-up-to/tests/direct/mod.rs
@@ -1,4 +1,4 @@
-//! A balancer that handles single events, each at a time that the test names.
+//! Helpers for tests that pass single events to a balancer, each at an explicit time.
 
 use join_up_to::*;
 use std::time::Duration;
@@ -7,7 +7,7 @@
     Duration::from_millis(ms)
 }
 
-/// A balancer with this number of servers, all of one zone and cell, at 1 ms.
+/// A balancer with this number of ready servers, all in one zone and cell, listed at 1 ms.
 pub fn balancer_of(settings: Settings, servers: u64) -> Balancer {
     let mut balancer = Balancer::new(settings, 7);
     let entry = |id| ServerEntry {
@@ -24,7 +24,7 @@
     balancer
 }
 
-/// What it does about an event at `now` in milliseconds.
+/// Passes an event at `now` in milliseconds. Returns the actions.
 pub fn at(balancer: &mut Balancer, now: u64, event: Event) -> Vec<Action> {
     let mut actions = Vec::new();
     balancer.handle(ms(now), event, &mut actions);
--- a/crates/join-up-to/tests/golden_settings.rs
+++ b/crates/join-up-to/tests/golden_settings.rs
@@ -1,8 +1,10 @@
-//! The settings of a node as the platform's configuration writes them, held against golden files: every field, its default,
-//! every word that a field takes, and the text of each error. `GOLDEN=write cargo test -p join-up-to --test golden_settings`
-//! writes the files below `tests/golden/settings` anew, except the three `.json` files, which are written by hand.
+//! Compares the parsing of platform settings with golden files: all fields, their defaults, the permitted
+//! words of each field, and the error texts. To rewrite the files below `tests/golden/settings`, except the
+//! three `.json` files, which are written by hand: `GOLDEN=write cargo test -p join-up-to --test
+//! golden_settings`.
 //!
-//! What was read is shown in lines of fixed words, so that a rename of a type or field changes this file and no golden one.
+//! The parsed settings are rendered with fixed names, so that a rename of a type or field changes this file
+//! and no golden file.
 
 use join_up_to::settings::{Column, HostSettings, parse};
 use join_up_to::*;
@@ -14,8 +16,8 @@
 const LEAST: &str = include_str!("golden/settings/least.json");
 const EMPTY_SECTIONS: &str = include_str!("golden/settings/empty_sections.json");
 
-/// The fields that take one of several words, with all words and one that is none of them. An empty word is the field left
-/// out.
+/// The enumerated fields, with all permitted words and one that is not permitted. An empty word stands for a
+/// missing field.
 const CHOICES: [(&str, &[&str]); 6] = [
     ("/Classes/0/Idempotency", &["free", "guarded", "single_shot", "other"]),
     ("/Classes/1/Group", &["", "all", "zone", "cell", "other"]),
@@ -43,7 +45,8 @@
     }
 }
 
-/// All that was read. Each struct is taken apart whole: a new field has to be named here.
+/// Renders parsed settings. All structs are destructured without `..`, so that a new field must be added
+/// here.
 fn lines(settings: &Settings, host: &HostSettings) -> Vec<String> {
     let mut lines = Lines::default();
     let Settings {
@@ -147,7 +150,7 @@
         }
     }
     lines.put(format_args!("{at}.streamed"), streamed);
-    // Attempts of a class are never told by the platform.
+    // Platform settings contain no attempt policies.
     assert_eq!(*attempt_policy, AttemptPolicy::default());
 }
 
@@ -188,8 +191,8 @@
     parse(text.as_bytes()).map(|(settings, host)| lines(&settings, &host)).map_err(|error| error.to_string())
 }
 
-/// What settings come to, beside those that they were made from.
-fn beside(text: &str, full: &[String]) -> String {
+/// The result of parsing changed settings, as a difference to the lines of the original ones.
+fn difference(text: &str, full: &[String]) -> String {
     match read(text) {
         Err(error) => format!("  error: {error}\n"),
         Ok(lines) if lines == full => "  no change\n".into(),
@@ -201,20 +204,20 @@
     }
 }
 
-/// The places of all values within a value, as JSON pointers. Of a list of plain values, the first stands for all.
-fn places(value: &Value, at: String, all: &mut Vec<String>) {
+/// The JSON pointers of all values within a value. Of a list of plain values, only the first is included.
+fn pointers(value: &Value, at: String, all: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
             for (name, value) in fields {
                 all.push(format!("{at}/{name}"));
-                places(value, format!("{at}/{name}"), all);
+                pointers(value, format!("{at}/{name}"), all);
             }
         }
         Value::Array(entries) => {
             for (number, entry) in entries.iter().enumerate() {
                 if number == 0 || entry.is_object() {
                     all.push(format!("{at}/{number}"));
-                    places(entry, format!("{at}/{number}"), all);
+                    pointers(entry, format!("{at}/{number}"), all);
                 }
             }
         }
@@ -222,17 +225,17 @@
     }
 }
 
-fn remove(settings: &mut Value, place: &str) {
-    let (parent, name) = place.rsplit_once('/').expect("a place");
+fn remove(settings: &mut Value, pointer: &str) {
+    let (parent, name) = pointer.rsplit_once('/').expect("a pointer");
     match settings.pointer_mut(parent).expect("its parent") {
         Value::Object(fields) => drop(fields.remove(name)),
         Value::Array(entries) => drop(entries.remove(name.parse().expect("a number"))),
-        _ => panic!("{place} has no parent"),
+        _ => panic!("{pointer} has no parent"),
     }
 }
 
-/// Values of another type than the one at a place.
-fn wrong(value: &Value) -> Vec<Value> {
+/// Values whose type differs from that of `value`, or other numbers.
+fn values_of_other_types(value: &Value) -> Vec<Value> {
     let all = [
         Value::Null,
         7.into(),
@@ -250,22 +253,23 @@
     (serde_json::from_str(FULL).expect("JSON"), read(FULL).expect("settings"))
 }
 
-fn all_places() -> Vec<String> {
+fn all_pointers() -> Vec<String> {
     let mut all = Vec::new();
-    places(&full().0, String::new(), &mut all);
+    pointers(&full().0, String::new(), &mut all);
     all
 }
 
 #[test]
-fn complete_settings_are_parsed_as_before() {
+fn complete_settings_match_the_golden_files() {
     for (name, text) in [("full", FULL), ("least", LEAST), ("empty_sections", EMPTY_SECTIONS)] {
         let lines = read(text).unwrap_or_else(|e| panic!("{name}: {e}"));
         golden_files::check(&format!("settings/{name}.txt"), &(lines.join("\n") + "\n"));
     }
 }
 
-/// Fields that say nothing where they stand: the group and window of classes that are not keyed, and what is false anyhow.
-const SAY_NOTHING: [&str; 6] = [
+/// Fields without effect in `full.json`: the group and window of classes that are not keyed, and fields with
+/// their default value.
+const WITHOUT_EFFECT: [&str; 6] = [
     "/Classes/0/Group",
     "/Classes/0/Window",
     "/Classes/1/Stream",
@@ -274,35 +278,35 @@
     "/Classes/2/Stream",
 ];
 
-/// What each field is taken for where it is left out. A field that makes no change would not be read at all.
+/// A field whose removal makes no difference would not be parsed at all.
 #[test]
 fn each_missing_field_has_its_default_or_is_an_error() {
     let (settings, lines) = full();
     let mut text = String::new();
-    for place in all_places() {
+    for pointer in all_pointers() {
         let mut without = settings.clone();
-        remove(&mut without, &place);
-        let change = beside(&without.to_string(), &lines);
+        remove(&mut without, &pointer);
+        let change = difference(&without.to_string(), &lines);
         let is_read = change != "  no change\n";
-        assert_eq!(is_read, !SAY_NOTHING.contains(&place.as_str()), "{place}: {change}");
-        text += &format!("without {place}\n{change}");
+        assert_eq!(is_read, !WITHOUT_EFFECT.contains(&pointer.as_str()), "{pointer}: {change}");
+        text += &format!("without {pointer}\n{change}");
     }
     golden_files::check("settings/left_out.txt", &text);
 }
 
-/// Every value in another type. Names of Rust types that errors show are in a file of their own.
+/// Errors that contain names of Rust types are in a separate file.
 #[test]
-fn each_field_of_another_type_is_rejected_as_before() {
+fn results_for_values_of_other_types_match_the_golden_files() {
     let (settings, lines) = full();
     let (mut text, mut with_types) = (String::new(), String::new());
-    for place in all_places() {
-        let before = settings.pointer(&place).expect("a value");
-        for bad in wrong(before) {
+    for pointer in all_pointers() {
+        let before = settings.pointer(&pointer).expect("a value");
+        for bad in values_of_other_types(before) {
             let mut changed = settings.clone();
-            *changed.pointer_mut(&place).expect("a value") = bad.clone();
-            let change = beside(&changed.to_string(), &lines);
+            *changed.pointer_mut(&pointer).expect("a value") = bad.clone();
+            let change = difference(&changed.to_string(), &lines);
             let into = if golden_files::shows_a_type(&change) { &mut with_types } else { &mut text };
-            *into += &format!("{place} is {bad}\n{change}");
+            *into += &format!("{pointer} is {bad}\n{change}");
         }
     }
     golden_files::check("settings/other_types.txt", &text);
@@ -310,24 +314,24 @@
 }
 
 #[test]
-fn each_field_of_words_accepts_the_same_words_as_before() {
+fn permitted_words_of_enumerated_fields_match_the_golden_file() {
     let (settings, lines) = full();
     let mut text = String::new();
-    for (place, words) in CHOICES {
+    for (pointer, words) in CHOICES {
         for word in words {
             let mut changed = settings.clone();
             match word.is_empty() {
-                true => remove(&mut changed, place),
-                false => *changed.pointer_mut(place).expect("a value") = (*word).into(),
+                true => remove(&mut changed, pointer),
+                false => *changed.pointer_mut(pointer).expect("a value") = (*word).into(),
             }
-            text += &format!("{place} is {word:?}\n{}", beside(&changed.to_string(), &lines));
+            text += &format!("{pointer} is {word:?}\n{}", difference(&changed.to_string(), &lines));
         }
     }
     golden_files::check("settings/words.txt", &text);
 }
 
 #[test]
-fn texts_that_are_no_settings_are_rejected_as_before() {
+fn results_for_invalid_settings_match_the_golden_files() {
     let classes = r#"{"Classes": [{"Target": 400.0, "GiveUp": 1000.0, "Idempotency": "free"}]}"#;
     let texts = [
         "".to_string(),
@@ -346,7 +350,7 @@
     let (mut text, mut with_types) = (String::new(), String::new());
     let least = read(LEAST).expect("settings");
     for bad in texts {
-        let change = beside(&bad, &least);
+        let change = difference(&bad, &least);
         let into = if golden_files::shows_a_type(&change) { &mut with_types } else { &mut text };
         *into += &format!("{bad}\n{change}");
     }
@@ -354,9 +358,9 @@
     golden_files::check("settings/no_settings_that_show_rust_types.txt", &with_types);
 }
 
-/// A load report's columns by their names on the wire, and where the value of each goes.
+/// The names of columns on the wire, and the field of a load report that each sets.
 #[test]
-fn columns_have_the_same_names_and_fields_as_before() {
+fn columns_and_their_report_fields_match_the_golden_file() {
     let mut text = String::new();
     for name in
         ["concurrent", "depth", "load_share", "mean_ms", "tps", "err_ps", "Concurrent", "of_later", ""]
--- a/crates/join-up-to/tests/golden_streams.rs
+++ b/crates/join-up-to/tests/golden_streams.rs
@@ -1,25 +1,25 @@
-//! The recorded streams of `tests/recorded` once more, in fixed words: the events and actions of a node, by a hash for each stream
-//! and as text for the beginning of one stream of each of the settings. A rename of types, variants or fields changes none of
-//! these files; an action, a wait or a drawn number that changes does.
-//! `GOLDEN=write cargo test -p join-up-to --test golden_streams` writes them anew.
+//! The streams of `recorded.rs` in the texts of `stream_text`: a hash for each stream, and the text of the
+//! first lines of one stream for each of the settings. The files change if an action, a wait or a random
+//! number changes, but not if a type, variant or field is renamed. To rewrite them: `GOLDEN=write cargo test
+//! -p join-up-to --test golden_streams`.
 
 mod event_streams;
-mod world;
+mod harness;
 
 use event_streams::{SEEDS, cases, play};
+use harness::Harness;
 use join_up_to::Settings;
-use world::World;
 
-/// Lines of a stream that are kept as text.
-const SHOWN: usize = 250;
+/// The number of lines of a stream that are stored as text.
+const TEXT_LINES: usize = 250;
 
-fn with_transcript(settings: Settings, seed: u64) -> World {
-    let mut world = World::seeded(settings, seed);
-    world.transcript = Some(String::new());
-    world
+fn with_transcript(settings: Settings, seed: u64) -> Harness {
+    let mut harness = Harness::seeded(settings, seed);
+    harness.transcript = Some(String::new());
+    harness
 }
 
-/// FNV-1a.
+/// The FNV-1a hash of a text.
 fn hash(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
@@ -27,21 +27,22 @@
 }
 
 #[test]
-fn recorded_streams_are_the_same_in_fixed_words() {
+fn recorded_streams_match_the_golden_texts() {
     let mut all = String::new();
     for (name, settings) in cases() {
         for seed in 0..SEEDS {
-            let world = play(settings.clone(), seed, with_transcript);
-            let transcript = world.transcript.unwrap_or_default();
+            let harness = play(settings.clone(), seed, with_transcript);
+            let transcript = harness.transcript.unwrap_or_default();
             let lines = transcript.lines().count();
             all += &format!(
                 "{name} {seed} {} actions {lines} lines {:016x}\n",
-                world.log.len(),
+                harness.log.len(),
                 hash(&transcript)
             );
             if seed == 0 {
-                let shown: String = transcript.lines().take(SHOWN).map(|line| format!("{line}\n")).collect();
-                golden_files::check(&format!("streams/{name}.txt"), &shown);
+                let text: String =
+                    transcript.lines().take(TEXT_LINES).map(|line| format!("{line}\n")).collect();
+                golden_files::check(&format!("streams/{name}.txt"), &text);
             }
         }
     }
--- a/crates/join-up-to/tests/world/words.rs
+++ b/crates/join-up-to/tests/harness/stream_text.rs
@@ -1,5 +1,6 @@
-//! Events and actions in fixed words, which stay as they are whatever the types, variants and fields are called. Every variant
-//! and field is named: a new one has to be given its words here.
+//! Text forms of events and actions that do not depend on the names of types, variants and fields in the
+//! code, for golden files. All variants and fields are listed, so that a new one must be added here. The
+//! texts are fixed.
 
 use join_up_to::*;
 use std::time::Duration;
@@ -9,7 +10,7 @@
     format!("{}.{:03} us", time.as_nanos() / 1000, time.as_nanos() % 1000)
 }
 
-fn maybe<T>(value: Option<T>, word: impl Fn(T) -> String) -> String {
+fn optional<T>(value: Option<T>, word: impl Fn(T) -> String) -> String {
     value.map_or("none".into(), word)
 }
 
@@ -29,13 +30,13 @@
         ServerState::Draining => "draining",
         ServerState::Gone => "gone",
     };
-    let started = maybe(*started, time);
+    let started = optional(*started, time);
     format!("{} zone {zone} kind {kind} cell {cell} {state} weight {weight:?} started {started}", id.0)
 }
 
 fn request(new: &NewRequest) -> String {
     let NewRequest { id, class, tenant, key, remaining, cost, client_retry } = new;
-    let (remaining, cost) = (time(*remaining), maybe(*cost, time));
+    let (remaining, cost) = (time(*remaining), optional(*cost, time));
     format!(
         "{} class {class} tenant {tenant} key {key:x} remaining {remaining} cost {cost} again {client_retry}",
         id.0
@@ -59,11 +60,11 @@
     let Some(report) = report else { return "none".into() };
     let LoadReport { in_flight, queue, utilisation, latency_ms, throughput, errors } = report;
     let values = [in_flight, queue, utilisation, latency_ms, throughput, errors];
-    let values = values.map(|value| maybe(*value, |value| format!("{value:?}")));
+    let values = values.map(|value| optional(*value, |value| format!("{value:?}")));
     format!("[{}]", values.join(" "))
 }
 
-/// An event in words.
+/// The text of an event.
 pub fn event(event: &Event) -> String {
     match event {
         Event::List { kind, version, entries } => {
@@ -108,14 +109,14 @@
     }
 }
 
-/// An action in words.
+/// The text of an action.
 pub fn action(action: &Action) -> String {
     match action {
         Action::Send { id, server, timeout } => {
             format!("send {} to {} within {}", id.0, server.0, time(*timeout))
         }
         Action::Refuse { id, retry_after } => {
-            format!("refuse {} retry after {}", id.0, maybe(*retry_after, time))
+            format!("refuse {} retry after {}", id.0, optional(*retry_after, time))
         }
         Action::Fail { id } => format!("fail {}", id.0),
         Action::Cancel { id, attempt } => format!("cancel {} attempt {attempt}", id.0),
@@ -124,7 +125,7 @@
         Action::CloseIdle { server } => format!("close idle {}", server.0),
         Action::Subscribe { on } => format!("subscribe {on}"),
         Action::FetchList => "fetch list".into(),
-        Action::Tell { to, data } => format!("tell {} {data:?}", maybe(*to, |to| to.to_string())),
+        Action::Tell { to, data } => format!("tell {} {data:?}", optional(*to, |to| to.to_string())),
         Action::Log { text } => format!("log {text:?}"),
     }
 }
--- a/crates/join-up-to/tests/memory.rs
+++ b/crates/join-up-to/tests/memory.rs
@@ -1,11 +1,11 @@
-//! Nothing grows with requests that have ended or servers that have left. Alone in its process, so that the
-//! process's memory is the balancer's.
+//! Memory does not grow with ended requests and removed servers. The only test of its process, so that the
+//! memory of the process is that of the balancer.
 
-mod world;
+mod harness;
 
+use harness::{entry, ms, reports_from_probes};
 use join_up_to::*;
 use std::time::Duration;
-use world::{entry, ms, probing};
 
 /// Resident memory in KiB, as Linux reports it.
 fn resident() -> Option<u64> {
@@ -14,7 +14,8 @@
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Plays requests to an ever changing fleet; carries out sends and probes, and drops the rest.
+/// Runs requests while the server list changes continuously. Executes sends and probes, and ignores other
+/// actions.
 fn play(balancer: &mut Balancer, requests: std::ops::Range<u64>) {
     let mut actions = Vec::new();
     for number in requests {
@@ -54,11 +55,11 @@
 
 #[test]
 fn memory_does_not_grow_with_ended_requests_and_removed_servers() {
-    let mut balancer = Balancer::new(probing(), 1);
+    let mut balancer = Balancer::new(reports_from_probes(), 1);
     play(&mut balancer, 1..20_000);
     let Some(before) = resident() else { return eprintln!("no /proc here: not checked") };
     play(&mut balancer, 20_000..150_000);
     let grown = resident().unwrap_or(before).saturating_sub(before);
-    // One remembered request or server of a hundred bytes each would be 13 MB.
+    // A leak of 100 bytes per request would be 13 MB.
     assert!(grown < 2048, "{grown} KiB more after 130,000 requests");
 }
--- a/crates/join-up-to/tests/properties.rs
+++ b/crates/join-up-to/tests/properties.rs
@@ -1,13 +1,15 @@
-//! Random legal histories: the four rules hold in each, and the same history gives the same actions.
+//! Property tests with random valid event histories: the four rules hold, and equal histories give equal
+//! actions.
 
-mod world;
+mod harness;
 
+use harness::*;
 use join_up_to::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed};
-use world::*;
 
-/// One step of a history. The numbers choose among what is there at that point.
+/// A step of a history. Its indexes select modulo the number of attempts or requests that exist at that
+/// point.
 #[derive(Clone, Debug)]
 enum Step {
     Request { class: usize, remaining: u64, cost: Option<u64> },
@@ -35,29 +37,29 @@
 }
 
 fn play(settings: Settings, seed: u64, steps: &[Step]) -> Vec<Action> {
-    let mut world = World::seeded(settings, seed);
-    world.list(ListKind::Cached, (0..4).map(entry).collect());
+    let mut harness = Harness::seeded(settings, seed);
+    harness.list(ListKind::Cached, (0..4).map(entry).collect());
     for step in steps {
         match step {
             Step::Request { class, remaining, cost } => {
-                world.request_with(*class, 0, ms(*remaining), cost.map(ms));
+                harness.request_with(*class, 0, ms(*remaining), cost.map(ms));
             }
             Step::End { which, outcome, load } => {
-                let out = world.out();
+                let out = harness.attempts_in_flight();
                 if !out.is_empty() {
                     let (id, attempt) = out[which % out.len()];
-                    world.end(id, attempt, Outcome::ALL[*outcome], load.map(f32::from));
+                    harness.end_attempt(id, attempt, Outcome::ALL[*outcome], load.map(f32::from));
                 }
             }
-            Step::Probe { load } => drop(world.end_probe(load.map(f32::from))),
+            Step::Probe { load } => drop(harness.end_probe(load.map(f32::from))),
             Step::Leave { which } => {
-                let open = world.open();
+                let open = harness.open_requests();
                 if !open.is_empty() {
-                    world.client_leaves(open[which % open.len()]);
+                    harness.client_disconnects(open[which % open.len()]);
                 }
             }
             Step::List { full, lines } => {
-                let now = world.now;
+                let now = harness.now;
                 let lines = lines.iter().map(|(number, state, restarted)| {
                     let state = match state {
                         0 => ServerState::Gone,
@@ -69,16 +71,20 @@
                 });
                 let kind = if *full { ListKind::Full } else { ListKind::Changes };
                 let lines = lines.filter(|e| !full || e.state != ServerState::Gone).collect();
-                world.list(kind, lines);
+                harness.list(kind, lines);
             }
-            Step::Fail => drop(world.list(ListKind::Failed, Vec::new())),
-            Step::Pass { time } => world.pass(ms(*time)),
+            Step::Fail => drop(harness.list(ListKind::Failed, Vec::new())),
+            Step::Pass { time } => harness.advance(ms(*time)),
         }
     }
-    world.pass(ms(1600));
-    assert!(world.open().is_empty(), "rule 1: {:?} left without an answer", world.open());
-    assert!(world.out().is_empty());
-    world.log
+    harness.advance(ms(1600));
+    assert!(
+        harness.open_requests().is_empty(),
+        "rule 1: {:?} left without final response",
+        harness.open_requests()
+    );
+    assert!(harness.attempts_in_flight().is_empty());
+    harness.log
 }
 
 fn config() -> Config {
@@ -96,7 +102,7 @@
 
     #[test]
     fn the_rules_hold_with_reports_from_probes(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
-        let mut settings = probing();
+        let mut settings = reports_from_probes();
         settings.rules.initial_capacity = 0.2;
         settings.rules.slow_start = ms(5000);
         settings.rules.drain_grace = ms(0);
@@ -104,8 +110,8 @@
     }
 
     #[test]
-    fn the_rules_hold_with_reports_from_answers(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
-        let mut settings = answering();
+    fn the_rules_hold_with_reports_in_responses(seed: u64, steps in prop::collection::vec(step(), 1..120)) {
+        let mut settings = reports_in_responses();
         settings.limits.parallel_attempts = false;
         settings.rules.drain_grace = ms(0);
         settings.list_on_request = true;
@@ -122,47 +128,52 @@
     }
 }
 
-/// Rule 4, by an account of its own. This node is the only one with traffic, so the whole allowance of a cold
-/// server is its to keep: multiple x present capacity x span, with one request of slack.
+/// Checks rule 4 independently. This node is the only one with traffic, so it may use the whole allowance of
+/// a server in slow start: overload factor x current capacity x overload time, plus one request of slack.
 fn check_slow_start(seed: u64, arrivals: &[(usize, u64)]) -> Result<(), TestCaseError> {
     const COLD: ServerId = ServerId(9);
-    let work = ms(20); // so a warm server's capacity is 50 requests a second
-    let mut settings = answering();
+    let work = ms(20); // a server past slow start has a capacity of 50 requests per second
+    let mut settings = reports_in_responses();
     settings.rules.initial_capacity = 0.05;
     settings.rules.slow_start = ms(20_000);
     settings.rules.overload_factor = 4.0;
     settings.rules.overload_time = ms(1500);
-    let mut world = World::seeded(settings, seed);
-    world.list(ListKind::Full, (0..3).map(entry).collect());
+    let mut harness = Harness::seeded(settings, seed);
+    harness.list(ListKind::Full, (0..3).map(entry).collect());
     let mut free_at = std::collections::BTreeMap::new();
     let (mut seen, mut cold, mut began) = (0, Vec::new(), None);
     for (step, (requests, pause)) in arrivals.iter().enumerate() {
         if step == arrivals.len() / 3 {
-            began = Some(world.now);
-            world.list(ListKind::Changes, vec![ServerEntry { started: began, ..entry(COLD.0) }]);
+            began = Some(harness.now);
+            harness.list(ListKind::Changes, vec![ServerEntry { started: began, ..entry(COLD.0) }]);
         }
-        (0..*requests).for_each(|_| drop(world.request(0)));
+        (0..*requests).for_each(|_| drop(harness.request(0)));
         for _ in 0..*pause {
-            world.pass(ms(1));
-            // Each server serves one request after the other.
-            for (id, attempt) in world.out() {
-                let server = world.server_of(id, attempt);
-                let free = free_at.entry(server).or_insert(world.now);
-                if *free <= world.now && !world.answered(id) {
-                    *free = world.now + work;
-                    world.end(id, attempt, Outcome::Served, Some(0.0));
+            harness.advance(ms(1));
+            // Each server processes one request at a time.
+            for (id, attempt) in harness.attempts_in_flight() {
+                let server = harness.server_of(id, attempt);
+                let free = free_at.entry(server).or_insert(harness.now);
+                if *free <= harness.now && !harness.has_response(id) {
+                    *free = harness.now + work;
+                    harness.end_attempt(id, attempt, Outcome::Served, Some(0.0));
                 }
             }
         }
         let to_cold = |a: &&Action| matches!(a, Action::Send { server: COLD, .. });
-        let sends = world.log[seen..].iter().filter(to_cold).count();
-        cold.extend(std::iter::repeat_n(world.now, sends));
-        seen = world.log.len();
+        let sends = harness.log[seen..].iter().filter(to_cold).count();
+        cold.extend(std::iter::repeat_n(harness.now, sends));
+        seen = harness.log.len();
         if let Some(began) = began {
-            let warmth = 0.05 + 0.95 * (world.now - began).as_secs_f64() / 20.0;
-            let span = cold.iter().filter(|at| **at + ms(1500) >= world.now).count() as f64;
+            let warmth = 0.05 + 0.95 * (harness.now - began).as_secs_f64() / 20.0;
+            let span = cold.iter().filter(|at| **at + ms(1500) >= harness.now).count() as f64;
             let allowed = 4.0 * warmth * 50.0 * 1.5 + 1.0;
-            prop_assert!(span <= allowed, "rule 4: {} sent within a span, {} allowed", span, allowed);
+            prop_assert!(
+                span <= allowed,
+                "rule 4: {} sent within the overload time, {} allowed",
+                span,
+                allowed
+            );
         }
     }
     Ok(())
--- a/crates/join-up-to/tests/recorded.rs
+++ b/crates/join-up-to/tests/recorded.rs
@@ -1,26 +1,26 @@
-//! Platform settings give the same actions as they always did: streams of events drawn from fixed seeds, whose actions
-//! were recorded before classes had attempt policies of their own, are played again. A change of the ordinary path that is meant
-//! to change actions records them anew, and says so:
-//! `cargo test -p join-up-to --test recorded -- --ignored record`.
+//! Guards against unintended changes of the actions for classes without an attempt policy: the streams of
+//! `event_streams` must give the same actions as when they were recorded, which was before attempt policies
+//! existed. To record them again after an intended change: `cargo test -p join-up-to --test recorded --
+//! --ignored record`.
 //!
-//! A line of `recorded/streams.txt` holds the name of the settings, the seed, the number of actions and a hash of all events
-//! and actions in the order in which they came. The hash is of their debug text, so that it changes with the name of a type,
-//! a variant or a field as well. `golden/streams.txt` holds the same streams by a hash of fixed words: where that one stays as
-//! it was (`cargo test -p join-up-to --test golden_streams`), a rename may record these anew.
+//! A line of `recorded/streams.txt` has the name of the settings, the seed, the number of actions, and a hash
+//! of all events and actions in order. The hash is of their debug text, so it also changes when a type,
+//! variant or field is renamed. The hashes in `golden/streams.txt` do not depend on these names: after a
+//! rename the streams may be recorded again if `cargo test -p join-up-to --test golden_streams` still passes.
 
 mod event_streams;
-mod world;
+mod harness;
 
 use event_streams::{SEEDS, cases, play};
-use world::World;
+use harness::Harness;
 
 const RECORDED: &str = include_str!("recorded/streams.txt");
 
 fn lines() -> String {
     let streams = cases().into_iter().flat_map(|(name, settings)| {
         (0..SEEDS).map(move |seed| {
-            let world = play(settings.clone(), seed, World::seeded);
-            let (stream, actions) = (world.stream, world.log.len());
+            let harness = play(settings.clone(), seed, Harness::seeded);
+            let (stream, actions) = (harness.stream, harness.log.len());
             format!("{name} {seed} {actions} {stream:016x}\n")
         })
     });
@@ -37,7 +37,7 @@
     assert!(RECORDED.lines().count() == 80, "80 streams are recorded");
 }
 
-/// Records the streams anew. Ignored: it is a tool for a change that means to change the actions.
+/// Rewrites the recorded streams. Ignored, as it is a tool for intended changes of the actions.
 #[test]
 #[ignore = "rewrites the recorded streams"]
 fn record() {
--- a/crates/join-up-to/tests/shutdown.rs
+++ b/crates/join-up-to/tests/shutdown.rs
@@ -1,11 +1,11 @@
-//! The node ends, and attempts that never left: what is owed then.
+//! Final responses during shutdown, after attempts that were never sent, and while servers drain.
 
 mod direct;
 
 use direct::{at, balancer_of, ms};
 use join_up_to::*;
 
-/// A balancer with so many servers and one class of this sort, whose time is far longer than a node has to end.
+/// A balancer with one class with this `repeat`, whose deadline is far longer than the shutdown.
 fn balancer(repeat: Repeat, servers: u64) -> Balancer {
     let mut settings = Settings::default();
     settings.limits.cancel = true;
@@ -43,7 +43,7 @@
     actions.iter().any(|action| matches!(action, Action::Send { .. }))
 }
 
-/// When the last timer of these is due.
+/// When the last timer set by these actions is due, in milliseconds.
 fn due(actions: &[Action], now: u64) -> u64 {
     let after = actions.iter().filter_map(|action| match action {
         Action::SetTimer { after, .. } => Some(*after),
@@ -52,7 +52,8 @@
     now + after.map(|after| after.as_millis() as u64).max().expect("a timer")
 }
 
-/// All is answered when the time is over, by what may have become of it, and what comes then is refused at once.
+/// At the end of the shutdown each request is rejected, or failed if it may have been executed and a retry is
+/// not safe. Requests that arrive after that are rejected at once.
 #[test]
 fn a_node_that_shuts_down_responds_to_all_requests_in_time() {
     for (repeat, out, failed) in [
@@ -66,7 +67,7 @@
         let timers = at(&mut balancer, 100, Event::Ending { within: ms(3500) });
         let by = due(&timers, 100);
         assert_eq!(by, 3600);
-        // A request that arrives meanwhile has no more time than that.
+        // A request that arrives during the shutdown has no later deadline.
         let second = at(&mut balancer, 200, request(2));
         assert!(due(&second, 200) <= by, "{second:?}");
         let answers = at(&mut balancer, by, Event::Timer { token: 1 });
@@ -79,7 +80,8 @@
     }
 }
 
-/// What certainly never left goes to the same server again where there is no other, as often as attempts are allowed.
+/// A request that was certainly not sent may go to the same server again, up to the maximum number of
+/// attempts.
 #[test]
 fn a_request_that_was_never_sent_may_go_to_the_only_server_again() {
     let mut balancer = balancer(Repeat::Unsafe, 1);
@@ -88,13 +90,13 @@
     assert!(is_sent(&at(&mut balancer, 30, ended(1, 1, Outcome::NotSent))));
     let last = at(&mut balancer, 40, ended(1, 2, Outcome::NotSent));
     assert!(last.iter().any(|a| matches!(a, Action::Refuse { .. })), "{last:?}");
-    // What may have left does not.
+    // After a connection failure it may not go to the same server.
     assert!(is_sent(&at(&mut balancer, 50, request(2))));
     assert!(!is_sent(&at(&mut balancer, 60, ended(2, 0, Outcome::ConnectFailed))));
 }
 
-/// The group of a keyed request that may have run drains while it is out: it fails at once when its attempt breaks, with no
-/// promise, and goes to no other group.
+/// All servers of a keyed request's group drain while its attempt is in flight. If the connection is lost,
+/// the request may have been executed: it fails at once and is not sent to another group.
 #[test]
 fn a_keyed_request_whose_group_has_drained_fails_at_once() {
     let mut balancer = balancer(Repeat::Keyed { scope: Scope::Zone, window: ms(5000) }, 1);
--- a/crates/join-up-to/tests/uploads.rs
+++ b/crates/join-up-to/tests/uploads.rs
@@ -1,5 +1,5 @@
-//! Requests whose bodies are sent on as they come: one attempt, whatever becomes of it, and a time that begins with the
-//! last byte.
+//! Requests whose bodies are forwarded while they arrive: they are repeated only if that is still possible,
+//! and their time starts when the body is complete.
 
 mod direct;
 
@@ -7,7 +7,7 @@
 use join_up_to::*;
 use std::time::Duration;
 
-/// A balancer with three servers, a class of this sort, and hedging permitted.
+/// A balancer with three servers, one class with this `repeat`, and hedging permitted.
 fn balancer(repeat: Repeat) -> Balancer {
     let mut settings = Settings::default();
     settings.limits.cancel = true;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_time_of_an_upload_begins_with_its_last_byte() {
+fn the_time_of_an_upload_starts_when_its_body_is_complete() {
     let mut balancer = balancer(Repeat::Unsafe);
     let (_, timeout) = sent_to(&at(&mut balancer, 10, upload(9))).expect("a send");
     assert!(timeout > ms(5000) && timeout <= ms(5400), "{timeout:?}");
@@ -62,13 +62,13 @@
     assert_eq!(at(&mut balancer, 4899, Event::Timer { token: 9 }), []);
     let over = at(&mut balancer, 4900, Event::Timer { token: 9 });
     assert!(over.contains(&Action::Fail { id: RequestId(9) }), "{over:?}");
-    // An event that is repeated or unknown changes nothing.
+    // A repeated event and one for an unknown request have no effect.
     assert_eq!(at(&mut balancer, 4901, Event::Uploaded { id: RequestId(9), remaining: ms(1000) }), []);
     assert_eq!(at(&mut balancer, 4902, Event::Uploaded { id: RequestId(8), remaining: ms(1000) }), []);
 }
 
 #[test]
-fn a_consumed_body_is_not_sent_again_and_its_request_is_rejected_only_if_it_never_ran() {
+fn a_consumed_body_is_not_sent_again_and_its_request_is_rejected_only_if_a_retry_is_safe() {
     let keyed = Repeat::Keyed { scope: Scope::Zone, window: ms(600) };
     for (repeat, outcome, rejected) in [
         (Repeat::Safe, Outcome::ConnectFailed, true),
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_body_that_is_not_consumed_is_sent_again_where_it_certainly_never_ran() {
+fn an_upload_that_is_not_consumed_is_sent_again_if_it_was_certainly_not_executed() {
     for repeat in [Repeat::Safe, Repeat::Unsafe] {
         for outcome in [Outcome::ConnectFailed, Outcome::Rejected, Outcome::NotSent] {
             let mut balancer = balancer(repeat);
@@ -100,9 +100,9 @@
             let again = at(&mut balancer, 20, ended(outcome, first));
             let (second, timeout) = sent_to(&again).unwrap_or_else(|| panic!("{outcome:?}: {again:?}"));
             assert_ne!(second, first);
-            assert!(timeout > ms(5000), "the body has its time still: {timeout:?}");
+            assert!(timeout > ms(5000), "the time for the body is included: {timeout:?}");
         }
-        // Of one that may have run that is not known: a box reads the head before the body.
+        // After a reset it may have been executed, as a server reads the head before the body.
         let mut balancer = balancer(repeat);
         let (first, _) = sent_to(&at(&mut balancer, 10, upload(9))).expect("a send");
         assert_eq!(sent_to(&at(&mut balancer, 20, ended(Outcome::Reset, first))), None);
