--- a/crates/admission-control/tests/backends.rs
+++ b/crates/admission-control/tests/backends.rs
@@ -1,4 +1,4 @@
-//! The capacities of the backends of a cluster, by their weights and responses.
+//! Capacities of the backends of a cluster, computed from their weights and responses.
 
 use admission_control::backends::{Backends, Endpoint, LimitSettings};
 use admission_control::limit::LimitBounds;
@@ -19,10 +19,11 @@
 }
 
 fn relative_capacity(backends: &Backends, id: u64) -> f64 {
-    backends.status(ServerId(id)).expect("it is listed").capacity.relative
+    backends.status(ServerId(id)).expect("the backend is listed").capacity.relative
 }
 
-/// Ends attempts at each backend in turn, after its latency. Returns the time in seconds.
+/// Sends and ends `count` attempts at each backend in turn, each with the backend's outcome and latency.
+/// Returns the time after that in seconds.
 fn end_attempts(backends: &mut Backends, from_s: f64, count: u32, ends: &[(u64, Outcome, f64)]) -> f64 {
     let mut now = from_s;
     for _ in 0..count {
@@ -43,24 +44,24 @@
     let took = [0.0200, 0.0205, 0.0195].map(|t| (Outcome::Served, t));
     let took: Vec<_> = (1..).zip(took).map(|(id, (outcome, t))| (id, outcome, t)).collect();
     end_attempts(&mut backends, 0.0, 2000, &took);
-    assert!(backends.take_capacity_updates().is_empty(), "noise of a twentieth is not published");
+    assert!(backends.take_capacity_updates().is_empty(), "changes of 5 % are not published");
 }
 
 #[test]
-fn weights_hold_until_latencies_contradict_them() {
+fn relative_capacities_equal_the_weights_unless_latencies_contradict_them() {
     let mut backends = backends(&[endpoint(1, 1.0, 0), endpoint(2, 1000.0, 0)]);
     let (small, large) = (relative_capacity(&backends, 1), relative_capacity(&backends, 2));
     assert!((large / small - 1000.0).abs() < 1.0, "{small} {large}");
     let max_in_flight =
         |backends: &Backends, id| backends.status(ServerId(id)).expect("listed").capacity.max_in_flight;
     assert!(max_in_flight(&backends, 1) >= 2 && max_in_flight(&backends, 2) > max_in_flight(&backends, 1));
-    // Equal latencies do not contradict a weight: it may mean how many it serves at once.
+    // Equal latencies do not contradict a weight, which may stand for the number of concurrent requests.
     end_attempts(&mut backends, 0.0, 2000, &[(1, Outcome::Served, 0.02), (2, Outcome::Served, 0.02)]);
     assert!((relative_capacity(&backends, 2) / relative_capacity(&backends, 1) - 1000.0).abs() < 1.0);
 }
 
 #[test]
-fn a_backend_slower_than_its_weight_gets_less_and_so_does_a_new_one_of_its_kind() {
+fn a_backend_slower_than_its_weight_gets_less_capacity_and_so_does_a_new_one_of_its_kind() {
     let mut listed = vec![endpoint(1, 1.0, 0), endpoint(2, 1.0, 0), endpoint(3, 1.0, 1)];
     let mut backends = backends(&listed);
     let served = Outcome::Served;
@@ -76,19 +77,19 @@
     backends.set_endpoints(Duration::from_secs_f64(now), &listed);
     assert!(
         (relative_capacity(&backends, 4) / relative_capacity(&backends, 3) - 1.0).abs() < 0.3,
-        "as others of its kind"
+        "like the other backend of its kind"
     );
 }
 
 #[test]
-fn a_backend_that_responds_with_errors_at_once_gets_less_load() {
+fn a_backend_that_responds_quickly_with_errors_gets_less_capacity() {
     let mut backends = backends(&[endpoint(1, 1.0, 0), endpoint(2, 1.0, 0), endpoint(3, 1.0, 0)]);
     let took = [(1, Outcome::Served, 0.02), (2, Outcome::Served, 0.02), (3, Outcome::Error, 0.0001)];
     end_attempts(&mut backends, 0.0, 500, &took);
     assert!(relative_capacity(&backends, 3) < 0.05, "{}", relative_capacity(&backends, 3));
     let took = [(1, Outcome::Served, 0.02), (2, Outcome::Served, 0.02), (3, Outcome::Served, 0.02)];
     end_attempts(&mut backends, 10.0, 500, &took);
-    assert!(relative_capacity(&backends, 3) > 0.8, "and gets its part again once it serves");
+    assert!(relative_capacity(&backends, 3) > 0.8, "its capacity recovers once it serves requests");
 }
 
 #[test]
@@ -100,7 +101,7 @@
     assert_eq!(
         (backends.next_refresh(), relative_capacity(&backends, 1)),
         (None, 1.0),
-        "a backend of the first list is not new"
+        "a backend without `added_at` is not new"
     );
     let at = Duration::from_secs(100);
     backends.set_endpoints(at, &[old, Endpoint { added_at: Some(at), ..endpoint(2, 1.0, 0) }]);
--- a/crates/admission-control/tests/brownout.rs
+++ b/crates/admission-control/tests/brownout.rs
@@ -30,11 +30,12 @@
 }
 
 #[test]
-fn load_that_varies_between_the_thresholds_of_a_step_changes_nothing() {
+fn load_between_the_thresholds_of_a_step_does_not_change_the_level() {
     let mut levels = levels();
     let mut changes = 0;
     for t in 0..1000u64 {
-        // Below the second threshold and above the first release threshold, after a moment above the first threshold.
+        // Between the first release threshold and the second threshold, after 1.5 s above the first
+        // threshold.
         let unserved = if t < 15 { 0.1 } else { 0.02 + 0.17 * (t % 2) as f64 };
         changes += u32::from(levels.update(Duration::from_millis(100 * t), unserved));
     }
--- a/crates/admission-control/tests/fair_queue.rs
+++ b/crates/admission-control/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! The queue serves tenants by share and requests by priority weight.
+//! The queue serves tenants by share, and the requests of a tenant by priority weight per cost.
 
 use admission_control::fair_queue::{FairQueue, QueuedRequest};
 use join_up_to::RequestId;
@@ -19,7 +19,8 @@
     Some(RequestId(id))
 }
 
-/// Serves that much backend time while all tenants always have a request queued. Returns what each got.
+/// Serves requests for `backend_time` seconds while all tenants always have a request queued. Returns the
+/// fraction of the time that each got.
 fn serve(shares: &[f64], costs: &[f64], backend_time: f64) -> Vec<f64> {
     let mut queue = FairQueue::default();
     shares.iter().enumerate().for_each(|(tenant, share)| queue.set_share(tenant, *share));
@@ -29,23 +30,23 @@
         queue.push(request(id, tenant, costs[tenant], 1.0));
     };
     (0..shares.len()).for_each(|tenant| push(&mut queue, tenant));
-    let (mut got, mut sum) = (vec![0.0; shares.len()], 0.0);
+    let (mut received, mut sum) = (vec![0.0; shares.len()], 0.0);
     while sum < backend_time {
         let served = queue.pop().expect("a request is queued");
-        got[served.tenant] += served.cost;
+        received[served.tenant] += served.cost;
         sum += served.cost;
         push(&mut queue, served.tenant);
     }
-    got.iter().map(|got| got / sum).collect()
+    received.iter().map(|received| received / sum).collect()
 }
 
 #[test]
 fn tenants_get_backend_time_by_share_whatever_their_requests_cost() {
-    let got = serve(&[0.5, 0.3, 0.2], &[0.002, 0.9, 0.04], 2000.0);
-    for (got, share) in got.iter().zip([0.5, 0.3, 0.2]) {
-        assert!((got - share).abs() < 0.002, "{got} of {share}");
+    let received = serve(&[0.5, 0.3, 0.2], &[0.002, 0.9, 0.04], 2000.0);
+    for (received, share) in received.iter().zip([0.5, 0.3, 0.2]) {
+        assert!((received - share).abs() < 0.002, "{received} of {share}");
     }
-    // A share of 0 gets next to nothing, and does not delay the others.
+    // A tenant with a share of 0 is hardly served, and does not delay the others.
     assert!(serve(&[1.0, 0.0], &[0.01, 0.01], 1000.0)[1] < 1e-3);
 }
 
@@ -61,8 +62,8 @@
     queue.push(request(200_001, 4999, 0.01, 1.0));
     let turns: Vec<_> = (0..202).filter_map(|_| queue.pop()).map(|w| w.tenant).collect();
     let at: Vec<_> = turns.iter().enumerate().filter(|(_, t)| **t == 4999).map(|(at, _)| at).collect();
-    assert!(at[0] <= 101, "its share is back within a turn of the others: {at:?}");
-    assert!(at[1] - at[0] >= 90, "and it has one turn as they have: {at:?}");
+    assert!(at[0] <= 101, "its share is available within one turn of the others: {at:?}");
+    assert!(at[1] - at[0] >= 90, "it does not get two turns in succession: {at:?}");
 }
 
 #[test]
@@ -72,16 +73,20 @@
     for (id, cost, weight) in [(1, 0.1, 1.0), (2, 0.1, 5.0), (3, 1.0, 20.0), (4, 0.1, 5.0)] {
         queue.push(request(id, 0, cost, weight));
     }
-    assert_eq!(queue.displaced_by(&request(9, 0, 0.1, 2.0)), id(1), "10 a second is the least");
-    assert_eq!(queue.displaced_by(&request(9, 0, 0.1, 0.5)), id(9), "unless the new one is");
-    assert_eq!(queue.displaced_by(&request(9, 0, 0.1, 1.0)), id(9), "or as little");
+    assert_eq!(
+        queue.displaced_by(&request(9, 0, 0.1, 2.0)),
+        id(1),
+        "a weight of 10 per second is the lowest"
+    );
+    assert_eq!(queue.displaced_by(&request(9, 0, 0.1, 0.5)), id(9), "the new request has a lower one");
+    assert_eq!(queue.displaced_by(&request(9, 0, 0.1, 1.0)), id(9), "the new request has an equal one");
     let order: Vec<_> = std::iter::from_fn(|| queue.pop()).map(|w| w.id.0).collect();
     assert_eq!(order, [2, 4, 3, 1]);
     assert_eq!((queue.len(), queue.cost()), (0, 0.0));
 }
 
 #[test]
-fn the_largest_backlog_for_its_share_is_displaced_and_a_guaranteed_request_never() {
+fn the_tenant_with_the_largest_backlog_for_its_share_is_displaced_but_not_its_guaranteed_requests() {
     let mut queue = FairQueue::default();
     queue.set_share(0, 0.9);
     queue.set_share(1, 0.1);
@@ -92,7 +97,7 @@
     let guaranteed = QueuedRequest { guaranteed: true, ..request(99, 1, 0.1, 1.0) };
     assert_eq!(queue.displaced_by(&guaranteed), id(14));
     queue.push(guaranteed);
-    assert_eq!(queue.pop().map(|w| w.id), id(99), "and is served first");
+    assert_eq!(queue.pop().map(|w| w.id), id(99), "a guaranteed request is served first");
     (0..15).for_each(|id| assert!(queue.remove(RequestId(id)).is_some()));
     queue.push(QueuedRequest { guaranteed: true, ..request(100, 1, 0.1, 1.0) });
     assert_eq!(queue.displaced_by(&QueuedRequest { guaranteed: true, ..request(101, 1, 0.1, 1.0) }), None);
--- a/crates/admission-control/tests/gate.rs
+++ b/crates/admission-control/tests/gate.rs
@@ -1,4 +1,5 @@
-//! The gate by itself: each request is decisions once, whatever happens; retries, duplicates, guaranteed rates, new settings.
+//! Tests of the gate without a balancer: queueing, retries, duplicates, guaranteed rates, brownout, changes
+//! of settings, and that each request is decided exactly once.
 
 use admission_control::backends::LimitSettings;
 use admission_control::brownout::{BrownoutAction, BrownoutStep};
@@ -30,7 +31,7 @@
     TenantSettings { name: name.into(), share, guaranteed_rate }
 }
 
-/// One backend with a fixed limit.
+/// Settings with a fixed limit per backend and a maximum queue time of 100 ms.
 fn settings(limit: u32) -> GateSettings {
     let limit = f64::from(limit);
     let bounds = LimitBounds { initial: limit, min: 1.0, max: limit, is_adaptive: false, nodes: 1.0 };
@@ -61,13 +62,13 @@
     QueueDecision { id: RequestId(id), rejection: None }
 }
 
-/// Whether these are the rejection of one request for that reason.
+/// Whether the only decision is the rejection of this request for this reason.
 fn is_rejected(decisions: &[QueueDecision], id: u64, reason: RejectionReason) -> bool {
     let [decision] = decisions else { return false };
     decision.id == RequestId(id) && decision.rejection.is_some_and(|rejection| rejection.reason == reason)
 }
 
-/// Serves a request with that latency.
+/// Serves an admitted request, which ends at `now` after this latency.
 fn serve(gate: &mut Gate, now: Duration, id: u64, latency: Duration) {
     gate.attempt_sent(now - latency, ServerId(1));
     gate.attempt_ended(now, RequestId(id), ServerId(1), Outcome::Served, latency);
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn beyond_the_capacity_requests_are_queued_in_order_and_for_their_maximum_time() {
+fn requests_beyond_the_capacity_are_queued_in_order_for_at_most_their_maximum_time() {
     let mut gate = gate(settings(2));
     assert_eq!(
         [1, 2].map(|id| gate.arrive(ms(0), arrival(id))),
@@ -97,9 +98,9 @@
 }
 
 #[test]
-fn no_more_is_queued_than_will_be_served_in_time() {
+fn only_as_many_requests_are_queued_as_can_be_served_in_time() {
     let mut gate = gate(settings(2));
-    // 20 ms each, as is thought while nothing is known: ten in 100 ms.
+    // The default cost is 20 ms, so two at a time serve ten requests in 100 ms.
     let decisions: Vec<_> = (1..=20).map(|id| gate.arrive(ms(0), arrival(id))).collect();
     let count = |of: fn(&AdmissionDecision) -> bool| decisions.iter().filter(|v| of(v)).count();
     assert_eq!(count(|v| *v == AdmissionDecision::Admit), 2);
@@ -111,12 +112,12 @@
         8
     );
     // A higher priority weight for the same cost displaces a lower one, which is rejected at once.
-    let worthy = Arrival { class: 1, ..arrival(21) };
-    assert_eq!(gate.arrive(ms(1), worthy), AdmissionDecision::Queue);
+    let high_priority = Arrival { class: 1, ..arrival(21) };
+    assert_eq!(gate.arrive(ms(1), high_priority), AdmissionDecision::Queue);
     let decisions = gate.take_decisions();
     assert!(is_rejected(&decisions, 12, RejectionReason::Displaced), "{decisions:?}");
     serve(&mut gate, ms(5), 1, ms(5));
-    assert_eq!(gate.take_decisions(), [admitted(21)], "and it is first");
+    assert_eq!(gate.take_decisions(), [admitted(21)], "it is admitted first");
 }
 
 #[test]
@@ -138,15 +139,15 @@
     let print = |id| Arrival { fingerprint: Some(RequestFingerprint(77)), ..arrival(id) };
     assert_eq!(gate.arrive(ms(0), arrival(1)), AdmissionDecision::Admit);
     assert_eq!(gate.arrive(ms(0), print(2)), AdmissionDecision::Queue);
-    let twin = gate.arrive(ms(1), print(3));
+    let duplicate = gate.arrive(ms(1), print(3));
     assert!(
-        matches!(twin, AdmissionDecision::Reject(rejection) if rejection.reason == RejectionReason::Duplicate),
-        "{twin:?}"
+        matches!(duplicate, AdmissionDecision::Reject(rejection) if rejection.reason == RejectionReason::Duplicate),
+        "{duplicate:?}"
     );
     gate.tick(ms(150));
-    assert_eq!(gate.take_decisions().len(), 1, "the first has waited long enough");
+    assert_eq!(gate.take_decisions().len(), 1, "the maximum queue time of the first has passed");
     for id in 4..40 {
-        // It retries again and again: no advantage, and no more pressure than one request makes.
+        // Repeated retries give no advantage, and count as work only once.
         gate.arrive(ms(150 + 10 * id), print(id));
         gate.take_decisions();
     }
@@ -156,27 +157,28 @@
     for id in 100..110 {
         others += u32::from(matches!(gate.arrive(ms(600), arrival(id)), AdmissionDecision::Reject(_)));
     }
-    assert!(others < 10, "others still find a place in the queue");
+    assert!(others < 10, "other requests can still be queued");
 }
 
 #[test]
-fn a_guaranteed_rate_comes_before_all_shares_and_is_used_up() {
-    let mut of = settings(1);
-    of.tenants = vec![tenant("a", Some(0.9), 0.0), tenant("b", Some(0.0), 2.0)];
-    let mut gate = gate(of);
+fn requests_within_a_guaranteed_rate_are_served_before_all_shares() {
+    let mut settings = settings(1);
+    settings.tenants = vec![tenant("a", Some(0.9), 0.0), tenant("b", Some(0.0), 2.0)];
+    let mut gate = gate(settings);
     assert_eq!(gate.arrive(ms(0), arrival(1)), AdmissionDecision::Admit);
     for id in 2..=6 {
         assert_eq!(gate.arrive(ms(0), arrival(id)), AdmissionDecision::Queue);
     }
     let of_b = |id| Arrival { tenant: 1, ..arrival(id) };
-    // Two are saved up; the third is beyond the allowance, and its share is nothing.
+    // The token bucket holds two requests. The third exceeds the guaranteed rate, and the tenant has a share
+    // of 0.
     let decisions = [7, 8, 9].map(|id| gate.arrive(ms(0), of_b(id)));
     assert_eq!(decisions[..2], [AdmissionDecision::Queue, AdmissionDecision::Queue]);
     assert!(matches!(decisions[2], AdmissionDecision::Reject(_)), "{:?}", decisions[2]);
     let displaced: Vec<_> = gate.take_decisions().into_iter().map(|decision| decision.id.0).collect();
     assert!(
         displaced.iter().all(|id| (2..=6).contains(id)),
-        "a displaced request is not guaranteed: {displaced:?}"
+        "only requests that are not guaranteed are displaced: {displaced:?}"
     );
     serve(&mut gate, ms(1), 1, ms(1));
     serve(&mut gate, ms(2), 7, ms(1));
@@ -185,11 +187,11 @@
 }
 
 #[test]
-fn rejections_under_high_pressure_are_spread_further() {
-    let retry_times = |many: u64| {
+fn retry_times_are_spread_over_a_longer_time_under_higher_overload() {
+    let retry_times = |arrivals: u64| {
         let mut gate = gate(settings(1));
         let mut seconds = BTreeSet::new();
-        for id in 1..=many {
+        for id in 1..=arrivals {
             if let AdmissionDecision::Reject(rejection) = gate.arrive(ms(id / 100), arrival(id)) {
                 seconds.insert(rejection.retry_after.as_secs());
             }
@@ -197,20 +199,20 @@
         seconds
     };
     assert!(retry_times(7).iter().all(|s| *s < 3), "{:?}", retry_times(7));
-    let pressed = retry_times(2000);
-    assert!(pressed.contains(&1) && pressed.contains(&7), "{pressed:?}");
+    let overloaded = retry_times(2000);
+    assert!(overloaded.contains(&1) && overloaded.contains(&7), "{overloaded:?}");
 }
 
 #[test]
 fn a_shed_class_is_rejected_at_once_and_admitted_again_when_there_is_capacity() {
-    let mut of = settings(1);
+    let mut settings = settings(1);
     let step = BrownoutStep {
         threshold: 0.3,
         release_threshold: 0.1,
         hold_time: ms(500),
         action: BrownoutAction::ShedClasses(vec![0]),
     };
-    of.brownout = vec![
+    settings.brownout = vec![
         step,
         BrownoutStep {
             threshold: 0.9,
@@ -219,7 +221,7 @@
             action: BrownoutAction::ServeFallback,
         },
     ];
-    let mut gate = gate(of);
+    let mut gate = gate(settings);
     let (mut id, mut shed) = (0, 0);
     for now in 0..2000 {
         id += 1;
@@ -235,26 +237,26 @@
     assert!(shed > 1000, "{shed}");
     assert_eq!(gate.status().brownout_level, 2);
     assert!(matches!(gate.arrive(ms(2000), arrival(9999)), AdmissionDecision::Reject(r) if r.fallback));
-    // The backend is idle again and little arrives, all of it of the class that is shed.
+    // The backend is idle again, and the few arriving requests are all of the shed class.
     gate.attempt_ended(ms(2000), RequestId(1), ServerId(1), Outcome::Served, ms(20));
     gate.request_finished(ms(2000), RequestId(1));
-    let mut went = None;
+    let mut first_admitted = None;
     for n in 0..100 {
         let now = ms(2000 + 100 * n);
         if gate.arrive(now, arrival(10_000 + n)) == AdmissionDecision::Admit {
-            went.get_or_insert(n);
+            first_admitted.get_or_insert(n);
             gate.request_finished(now, RequestId(10_000 + n));
         }
         gate.take_decisions();
     }
-    assert!(went.is_some_and(|n| n < 90), "{went:?}");
+    assert!(first_admitted.is_some_and(|n| n < 90), "{first_admitted:?}");
 }
 
 #[test]
-fn new_shares_apply_from_the_change_of_settings_on_and_no_request_is_lost() {
-    let mut of = settings(1);
-    of.tenants = vec![tenant("a", Some(0.5), 0.0), tenant("b", Some(0.5), 0.0)];
-    let mut gate = gate(of.clone());
+fn changed_shares_apply_to_queued_requests_and_no_request_is_lost() {
+    let mut settings = settings(1);
+    settings.tenants = vec![tenant("a", Some(0.5), 0.0), tenant("b", Some(0.5), 0.0)];
+    let mut gate = gate(settings.clone());
     assert_eq!(gate.arrive(ms(0), arrival(1)), AdmissionDecision::Admit);
     for id in 2..=5 {
         assert_eq!(
@@ -262,26 +264,27 @@
             AdmissionDecision::Queue
         );
     }
-    // `b` is first in the file now, has nearly all, and `a` is gone; its queued requests are served last.
-    of.tenants = vec![tenant("b", Some(0.99), 0.0), tenant("c", Some(0.01), 0.0)];
-    of.classes.reverse();
-    gate.reconfigure(ms(1), of);
+    // `b` becomes the first tenant with nearly the whole share, and `a` is removed: its requests are served
+    // last.
+    settings.tenants = vec![tenant("b", Some(0.99), 0.0), tenant("c", Some(0.01), 0.0)];
+    settings.classes.reverse();
+    gate.reconfigure(ms(1), settings);
     let mut order = Vec::new();
-    let mut going = 1;
+    let mut in_flight = 1;
     for now in 2..10 {
-        serve(&mut gate, ms(now), going, ms(1));
+        serve(&mut gate, ms(now), in_flight, ms(1));
         let Some(QueueDecision { id: RequestId(id), rejection: None }) =
             gate.take_decisions().first().copied()
         else {
             break;
         };
         order.push(id);
-        going = id;
+        in_flight = id;
     }
     assert_eq!(
         order,
         [2, 3, 5, 4],
-        "odd ones are of `b`; the first turn was that of `a`, whose tag is far off after it"
+        "odd ids are of `b`; `a` is served first and then has a high virtual time"
     );
 }
 
@@ -310,34 +313,34 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
-    /// For any order of events: each request is decisions once, none is queued beyond its deadline or while there is
-    /// capacity, each published capacity is a positive number, and nothing is left at the end.
+    /// For any order of events: each request is decided once, none is queued beyond its deadline or while
+    /// there is capacity, each published capacity is a positive number, and no request remains at the end.
     #[test]
     fn each_request_is_decided_once(events in prop::collection::vec(event(), 1..300)) {
         let mut gate = gate(settings(3));
         let (mut now, mut id) = (ms(1), 0);
-        let (mut going, mut waiting): (Vec<u64>, Vec<(u64, Duration)>) = (Vec::new(), Vec::new());
+        let (mut admitted, mut queued_ids): (Vec<u64>, Vec<(u64, Duration)>) = (Vec::new(), Vec::new());
         for event in events {
             match event {
                 Event::Arrive { class, tenant, remaining, print } => {
                     id += 1;
                     let remaining = ms(remaining);
                     match gate.arrive(now, Arrival { id: RequestId(id), class, tenant, remaining, fingerprint: print.map(RequestFingerprint) }) {
-                        AdmissionDecision::Admit => going.push(id),
-                        AdmissionDecision::Queue => waiting.push((id, now + remaining)),
+                        AdmissionDecision::Admit => admitted.push(id),
+                        AdmissionDecision::Queue => queued_ids.push((id, now + remaining)),
                         AdmissionDecision::Reject(rejection) => prop_assert!(rejection.retry_after <= ms(8000)),
                     }
                 }
-                Event::Finish { which, outcome } if !going.is_empty() => {
-                    let id = going.swap_remove(which % going.len());
+                Event::Finish { which, outcome } if !admitted.is_empty() => {
+                    let id = admitted.swap_remove(which % admitted.len());
                     gate.attempt_sent(now, ServerId(1));
                     now += ms(3);
                     gate.attempt_ended(now, RequestId(id), ServerId(1), Outcome::ALL[outcome], ms(3));
                     gate.request_finished(now, RequestId(id));
                 }
-                Event::Disconnect(which) if !waiting.is_empty() => {
-                    let at = which % waiting.len();
-                    let (id, _) = waiting.swap_remove(at);
+                Event::Disconnect(which) if !queued_ids.is_empty() => {
+                    let at = which % queued_ids.len();
+                    let (id, _) = queued_ids.swap_remove(at);
                     gate.request_finished(now, RequestId(id));
                 }
                 Event::Pass(time) => {
@@ -349,36 +352,36 @@
                     gate.set_endpoints(now, &endpoints);
                 }
                 Event::Replace { limit, is_adaptive, tenants } => {
-                    let mut of = settings(limit);
-                    of.limits.bounds.iter_mut().for_each(|b| b.is_adaptive = is_adaptive);
-                    of.tenants = (0..tenants).map(|n| tenant(&format!("t{n}"), (n > 0).then_some(0.3), n as f64)).collect();
-                    gate.reconfigure(now, of);
+                    let mut settings = settings(limit);
+                    settings.limits.bounds.iter_mut().for_each(|b| b.is_adaptive = is_adaptive);
+                    settings.tenants = (0..tenants).map(|n| tenant(&format!("t{n}"), (n > 0).then_some(0.3), n as f64)).collect();
+                    gate.reconfigure(now, settings);
                 }
                 _ => {}
             }
             for QueueDecision { id: RequestId(id), rejection } in gate.take_decisions() {
-                let at = waiting.iter().position(|(known, _)| *known == id);
-                prop_assert!(at.is_some(), "{id} is decisions and does not wait");
-                let (_, until) = waiting.swap_remove(at.unwrap_or_default());
-                prop_assert!(rejection.is_some() || now <= until, "{id} goes on too late");
+                let at = queued_ids.iter().position(|(known, _)| *known == id);
+                prop_assert!(at.is_some(), "{id} is decided and was not queued");
+                let (_, until) = queued_ids.swap_remove(at.unwrap_or_default());
+                prop_assert!(rejection.is_some() || now <= until, "{id} is admitted after its deadline");
                 if rejection.is_none() {
-                    going.push(id);
+                    admitted.push(id);
                 }
             }
             for capacity in gate.take_capacity_updates() {
                 prop_assert!(capacity.max_in_flight >= 1 && capacity.relative.is_finite() && capacity.relative > 0.0, "{capacity:?}");
             }
             let GateStatus { in_flight, capacity, queued, .. } = gate.status();
-            prop_assert_eq!((in_flight as usize, queued), (going.len(), waiting.len()));
+            prop_assert_eq!((in_flight as usize, queued), (admitted.len(), queued_ids.len()));
             prop_assert!(queued == 0 || in_flight >= capacity, "{} queued with {} of {}", queued, in_flight, capacity);
             prop_assert!((0.0..=1.0).contains(&gate.unserved_share(now)));
         }
-        for id in going {
+        for id in admitted {
             gate.request_finished(now, RequestId(id));
         }
         gate.tick(now + ms(5000));
         let last = gate.take_decisions();
-        prop_assert_eq!(last.len(), waiting.len());
+        prop_assert_eq!(last.len(), queued_ids.len());
         last.iter().filter(|decision| decision.rejection.is_none()).for_each(|decision| gate.request_finished(now + ms(5000), decision.id));
         prop_assert_eq!(gate.status().queued, 0);
     }
--- a/crates/admission-control/tests/retry_after.rs
+++ b/crates/admission-control/tests/retry_after.rs
@@ -1,10 +1,10 @@
-//! Rejected clients retry evenly over the span.
+//! Retry times of rejected clients are spread evenly.
 
 use admission_control::retry_after::RetryAfterSpread;
 use std::time::Duration;
 
 #[test]
-fn rejected_clients_retry_evenly_over_the_span() {
+fn retry_times_are_spread_evenly_over_the_range() {
     let mut spread = RetryAfterSpread::default();
     let mut seconds = [0; 8];
     for _ in 0..8000 {
@@ -14,7 +14,7 @@
     }
     let (least, most) = (seconds[1..].iter().min(), seconds[1..].iter().max());
     assert!(least.is_some_and(|n| *n > 1100) && most.is_some_and(|n| *n < 1200), "{seconds:?}");
-    assert_eq!(spread.next(Duration::ZERO, 3.0), Duration::ZERO, "without a minimum there is no wait");
+    assert_eq!(spread.next(Duration::ZERO, 3.0), Duration::ZERO, "a minimum of 0 gives no wait");
     for odd in [f64::NAN, f64::INFINITY, -1.0] {
         assert!(spread.next(Duration::from_secs(1), odd) <= Duration::from_secs(8));
     }
--- a/crates/admission-control/tests/retry_storm.rs
+++ b/crates/admission-control/tests/retry_storm.rs
@@ -1,17 +1,17 @@
-//! Additional attempts over all clusters stay within their budget.
+//! Additional attempts over all clusters of a node stay within the budget.
 
 use admission_control::retry_storm::{AttemptKind, RetryBudget, RetryStormGuard};
 use std::time::Duration;
 
 #[test]
-fn additional_attempts_stop_at_their_share_and_resume_afterwards() {
+fn additional_attempts_stop_at_the_budget_and_are_allowed_again_later() {
     let mut guard = RetryStormGuard::new(RetryBudget { share: 0.2, per_s: 1.0 });
     let (mut made, mut first) = (0, 0);
     for i in 0..10_000u64 {
         let now = Duration::from_millis(10 * i);
         first += 1;
         guard.record_attempt(now, AttemptKind::First);
-        // Everything fails and would be retried.
+        // All attempts fail and are retried if the budget allows it.
         if !guard.is_exceeded(now) {
             made += 1;
             guard.record_attempt(now, AttemptKind::Additional);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn where_most_requests_are_rejected_no_budget_is_left() {
+fn rejections_use_up_the_budget() {
     for (rejected, exceeded) in [(1, false), (5, true)] {
         let mut guard = RetryStormGuard::new(RetryBudget { share: 0.2, per_s: 1.0 });
         for i in 0..2000u64 {
@@ -34,7 +34,7 @@
         assert_eq!(
             guard.is_exceeded(Duration::from_secs(20)),
             exceeded,
-            "{rejected} rejected for each that is sent"
+            "{rejected} rejections per first attempt"
         );
     }
 }
