--- a/crates/admission-control/src/gate/pressure.rs
+++ b/crates/admission-control/src/gate/pressure.rs
@@ -22,9 +22,9 @@
 impl Pressure {
     pub(super) fn new(now: Duration) -> Self {
         Pressure {
-            arrived: Rate::over(WINDOW_S),
-            rejected: Rate::over(WINDOW_S),
-            spare: Rate::over(WINDOW_S),
+            arrived: Rate::new(WINDOW_S),
+            rejected: Rate::new(WINDOW_S),
+            spare: Rate::new(WINDOW_S),
             spare_until: now,
         }
     }
--- a/crates/admission-control/src/retry_storm.rs
+++ b/crates/admission-control/src/retry_storm.rs
@@ -44,8 +44,8 @@
     pub fn new(budget: RetryBudget) -> Self {
         RetryStormGuard {
             budget,
-            first_attempts: Rate::over(WINDOW_S),
-            additional_attempts: Rate::over(WINDOW_S),
+            first_attempts: Rate::new(WINDOW_S),
+            additional_attempts: Rate::new(WINDOW_S),
             is_exceeded: false,
         }
     }
--- a/crates/join-up-to/src/throttle.rs
+++ b/crates/join-up-to/src/throttle.rs
@@ -30,7 +30,7 @@
     /// A throttle for servers that collapse after an overload of this duration.
     pub fn new(overload_time: Duration) -> Self {
         let window_s = (overload_time.as_secs_f64() * WINDOW_FRACTION).max(1e-3);
-        Throttle { window_s, attempts: Rate::over(window_s), margin: Rate::over(window_s) }
+        Throttle { window_s, attempts: Rate::new(window_s), margin: Rate::new(window_s) }
     }
 
     /// Records the end of an attempt. `time_left` is the fraction of its time that was left, 0 after a
