--- a/crates/join-up-to/src/balance/dispatch.rs
+++ b/crates/join-up-to/src/balance/dispatch.rs
@@ -95,7 +95,7 @@
                 // servers are so slow that most requests would be hedged.
                 let cost = request.cost.map_or(self.response_time, |cost| cost.as_secs_f64());
                 let delay = timeout.saturating_sub(Duration::from_secs_f64(1.5 * cost));
-                let is_rare = delay.as_secs_f64() >= 1.5 * cost || self.own_traffic.busy() < 0.5;
+                let is_rare = delay.as_secs_f64() >= 1.5 * cost || self.own_traffic.busy_fraction() < 0.5;
                 let is_first = request.attempts.is_empty();
                 (is_first && self.settings.limits.parallel_attempts && is_rare).then_some(delay)
             }
--- a/crates/join-up-to/src/balance/requests.rs
+++ b/crates/join-up-to/src/balance/requests.rs
@@ -58,7 +58,7 @@
     /// Whether a request would be late even at an idle server, given the current slowdown.
     fn cannot_meet_deadline(&mut self, cost: Option<Duration>, deadline: Duration) -> bool {
         // While most servers are idle an attempt is still worthwhile, as costs are not exact.
-        let longest = (deadline - self.now) * if self.own_traffic.busy() < 0.5 { 2 } else { 1 };
+        let longest = (deadline - self.now) * if self.own_traffic.busy_fraction() < 0.5 { 2 } else { 1 };
         let cannot_meet = cost.is_some_and(|cost| cost.as_secs_f64() * self.slowdown > longest.as_secs_f64());
         if cannot_meet {
             // Without attempts a recovery would go unnoticed, so the slowdown decays with each rejection.
@@ -133,7 +133,7 @@
                 || server.is_unresponsive(self.now, 2.0 * self.response_time)
         };
         let hedge = match self.classes[request.class].attempt_policy.hedging {
-            Hedging::Automatic => last.is_some_and(is_lost) || self.own_traffic.busy() < 0.5,
+            Hedging::Automatic => last.is_some_and(is_lost) || self.own_traffic.busy_fraction() < 0.5,
             _ => request.is_in_flight() && self.classes.hedges_left(request.class) >= 1.0,
         };
         (request.hedge_at, request.may_hedge) = (None, hedge && !self.restrictions.no_hedging);
--- a/crates/join-up-to/src/join.rs
+++ b/crates/join-up-to/src/join.rs
@@ -43,12 +43,12 @@
     sends: f64,
     idle_reports: f64,
     /// The fraction of reports that showed a busy server.
-    busy: f64,
+    busy_fraction: f64,
 }
 
 impl Default for Traffic {
     fn default() -> Self {
-        Traffic { sends: 1.0, idle_reports: 1.0, busy: 0.5 }
+        Traffic { sends: 1.0, idle_reports: 1.0, busy_fraction: 0.5 }
     }
 }
 
@@ -61,20 +61,21 @@
     /// Counts a load report of a server whose estimate was `before` when it arrived.
     pub fn record_report(&mut self, activity: ServerActivity, before: Estimate) {
         let is_idle = activity == ServerActivity::Idle;
-        self.busy += (if is_idle { 0.0 } else { 1.0 } - self.busy) * SMOOTHING / 8.0;
+        self.busy_fraction += (if is_idle { 0.0 } else { 1.0 } - self.busy_fraction) * SMOOTHING / 8.0;
         if is_idle {
             self.idle_reports += if before.value() > 0 { 1.0 } else { 0.0 };
         }
     }
     /// The fraction of reports that showed a busy server, from 0 to 1.
-    pub fn busy(&self) -> f64 {
-        self.busy
+    pub fn busy_fraction(&self) -> f64 {
+        self.busy_fraction
     }
     /// The cap m of Theorem 6 of the paper, for exponential job sizes; at least 1. The paper's lambda / delta
     /// is the number of sends per idle report, its lambda the fraction of reports that showed a busy server.
     pub fn cap(&self) -> u32 {
         let sends_per_idle_report = self.sends / self.idle_reports.max(1e-6);
-        let half = 0.5 + sends_per_idle_report * (1.0 - self.busy) / self.busy.max(SMOOTHING);
+        let half =
+            0.5 + sends_per_idle_report * (1.0 - self.busy_fraction) / self.busy_fraction.max(SMOOTHING);
         let best = ((half * half + 2.0 * sends_per_idle_report).sqrt() - half).ceil();
         best.min(sends_per_idle_report.floor()).max(1.0) as u32
     }
