--- a/crates/admission-control/src/backends/state.rs
+++ b/crates/admission-control/src/backends/state.rs
@@ -109,8 +109,8 @@
         let change = *self.limit.recent_changes().last()?;
         self.change_count += 1;
         // A limit is lowered for queueing only if the backend is saturated, so this is its maximum rate.
-        if change.cause == Cause::Waiting && change.rate > 0.0 {
-            self.saturated_rate.add_window(change.rate);
+        if change.cause == Cause::Waiting && change.responses_per_s > 0.0 {
+            self.saturated_rate.add_window(change.responses_per_s);
         }
         Some(change)
     }
--- a/crates/admission-control/src/limit/mod.rs
+++ b/crates/admission-control/src/limit/mod.rs
@@ -100,9 +100,9 @@
     /// The cause, by the last window.
     pub cause: Cause,
     /// The latency in that window as a multiple of the baseline latency.
-    pub ratio: f64,
+    pub latency_ratio: f64,
     /// The responses per second in that window.
-    pub rate: f64,
+    pub responses_per_s: f64,
 }
 
 /// The adaptive concurrency limit of a backend, with the measurements that it is computed from.
@@ -291,8 +291,8 @@
             from,
             to,
             cause,
-            ratio: summary.latency_ratio,
-            rate: summary.responses_per_s,
+            latency_ratio: summary.latency_ratio,
+            responses_per_s: summary.responses_per_s,
         });
         true
     }
--- a/crates/overload-simulation/tests/golden.rs
+++ b/crates/overload-simulation/tests/golden.rs
@@ -181,7 +181,7 @@
 }
 
 fn change_words(change: &LimitChange) -> String {
-    let LimitChange { at, from, to, cause, ratio, rate } = change;
+    let LimitChange { at, from, to, cause, latency_ratio, responses_per_s } = change;
     let cause = match cause {
         Cause::Room => "room",
         Cause::Waiting => "waiting",
@@ -190,7 +190,10 @@
         Cause::Failed => "failed",
         Cause::NotLoad => "not load",
     };
-    format!("at {} ns from {from:?} to {to:?} for {cause} ratio {ratio:?} rate {rate:?}", at.as_nanos())
+    format!(
+        "at {} ns from {from:?} to {to:?} for {cause} ratio {latency_ratio:?} rate {responses_per_s:?}",
+        at.as_nanos()
+    )
 }
 
 #[test]
--- a/crates/standalone-proxy/src/decision_loop/admission_gate.rs
+++ b/crates/standalone-proxy/src/decision_loop/admission_gate.rs
@@ -99,7 +99,7 @@
         for (server, change) in self.gate.take_limit_changes() {
             debug!(
                 "limit of {server:?}: {:.1} to {:.1} ({:?}; latency {:.2} times the usual, {:.0} answers a second)",
-                change.from, change.to, change.cause, change.ratio, change.rate
+                change.from, change.to, change.cause, change.latency_ratio, change.responses_per_s
             );
         }
         let capacities = self.gate.take_capacity_updates().into_iter();
