--- a/crates/admission-control/src/gate/mod.rs
+++ b/crates/admission-control/src/gate/mod.rs
@@ -359,7 +359,7 @@
     }
 
     /// The additional attempts that the balancer must not make at the current brownout level.
-    pub fn restraint(&self) -> AttemptRestrictions {
+    pub fn attempt_restrictions(&self) -> AttemptRestrictions {
         AttemptRestrictions {
             no_hedging: self.is_active(&BrownoutAction::DisableHedging),
             no_retries_after_execution: self.is_active(&BrownoutAction::DisableRetries),
--- a/crates/overload-simulation/src/simulation/nodes.rs
+++ b/crates/overload-simulation/src/simulation/nodes.rs
@@ -62,7 +62,7 @@
         let node = &mut self.nodes[number];
         let Some(gate) = &mut node.gate else { return false };
         let (decisions, capacities, restrictions) =
-            (gate.take_decisions(), gate.take_capacity_updates(), gate.restraint());
+            (gate.take_decisions(), gate.take_capacity_updates(), gate.attempt_restrictions());
         let changes = gate.take_limit_changes().into_iter();
         let changes =
             changes.map(|(server, change)| NodeLimitChange { node: number, backend: server.0, change });
--- a/crates/standalone-proxy/src/decision_loop/admission_gate.rs
+++ b/crates/standalone-proxy/src/decision_loop/admission_gate.rs
@@ -111,7 +111,7 @@
             })
             .collect();
         let no_retries = self.retry_storm.borrow_mut().is_exceeded(now);
-        let restrictions = AttemptRestrictions { no_retries, ..self.gate.restraint() };
+        let restrictions = AttemptRestrictions { no_retries, ..self.gate.attempt_restrictions() };
         if restrictions != self.notified_restrictions {
             self.notified_restrictions = restrictions;
             events.push(Event::Restrict(restrictions));
