--- a/crates/control-protocol/src/agent.rs
+++ b/crates/control-protocol/src/agent.rs
@@ -1,6 +1,4 @@
 //! Messages between an agent and a coordinator, over a long-lived connection that the agent opens.
-//!
-//! Variants and fields that have been renamed keep their old names on the wire by `#[serde(rename)]`.
 
 use crate::backend::Backend;
 use crate::backend_list_version::BackendListVersion;
@@ -12,18 +10,18 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// A coordinator in the agreed view.
+/// A coordinator that is a member of the agreed view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoreMember {
-    /// The identity of the member; stays the same for as long as its disk does.
+    /// The identifier of the member, which it keeps for as long as it keeps its disk.
     pub id: u64,
-    /// The address at which it accepts connections of other programs of the fleet.
+    /// The address at which it accepts connections from agents and other coordinators.
     pub address: SocketAddrV4,
     /// The zone of its machine.
     pub zone: String,
 }
 
-/// A message of an agent to a coordinator. Renamed variants and fields keep their old names on the wire.
+/// A message from an agent to a coordinator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromAgent {
     /// The first message of a connection.
@@ -32,43 +30,45 @@
         version: u16,
         /// The name of the node.
         node: String,
-        /// The address of the machine.
+        /// The address of the node's machine.
         ip: std::net::Ipv4Addr,
-        /// The zone of the machine.
+        /// The zone of the node's machine.
         zone: String,
-        /// The sequence of the newest configuration that the agent has received; 0 for none.
+        /// The sequence number of the newest configuration that the agent has received; 0 for none.
         #[serde(rename = "have")]
         configuration_sequence: ConfigurationSequence,
     },
-    /// Requests the configuration with this sequence or a newer one.
+    /// Requests the configuration with this sequence number or a newer one.
     #[serde(rename = "Fetch")]
     FetchConfiguration {
-        /// The lowest acceptable sequence.
+        /// The lowest acceptable sequence number.
         sequence: ConfigurationSequence,
         /// Identifies the request; unique within the agent's process.
         #[serde(rename = "question")]
         request_id: u64,
     },
-    /// The proxy serves under this configuration.
+    /// States that the proxy has this configuration in force.
     #[serde(rename = "InForce")]
     ConfigurationApplied {
-        /// The sequence of the configuration.
+        /// The sequence number of the configuration.
         sequence: ConfigurationSequence,
     },
-    /// Requests quota of the tenants' limits. Only the quota leader responds.
+    /// Requests quota from the tenants' limits. Only the quota leader responds.
     #[serde(rename = "Demands")]
     QuotaRequest(QuotaRequest),
-    /// Another coordinator has sent the agent a list of this version, which is newer than what this coordinator last sent.
-    /// Keeps the versions of coordinators that cannot reach each other from falling behind.
+    /// States that another coordinator has sent the agent a list of this version, which is newer than the
+    /// last list of this coordinator. Keeps the versions of coordinators that cannot reach each other from
+    /// falling behind.
     BackendsSeen {
         /// The version of the newer list.
         version: BackendListVersion,
     },
-    /// Requests the complete list of backends; the agent has none.
+    /// Requests the complete list of backends. Sent if the agent has no list to compare, or if too many
+    /// backends differ.
     FetchBackends,
-    /// Requests the digest of the coordinator's list, to compare it with a list that another coordinator has sent.
+    /// Requests the digest of the coordinator's list, to compare it with a list from another coordinator.
     FetchBackendsDigest,
-    /// Requests the content of a range of keys, as the digests of the two lists differ.
+    /// Requests the content of a range of keys, after the digests of the two lists have differed.
     CompareBackends {
         /// The version of the list.
         version: BackendListVersion,
@@ -83,17 +83,19 @@
         /// The keys of the backends ([`Backend::key`]).
         keys: Vec<u64>,
     },
-    /// Changes of the node's index of prompt blocks. Only sent to the head of the chain.
+    /// Changes of the node's index of prompt blocks. Sent only to the head of the chain, which audits the
+    /// index.
     IndexChanges {
-        /// Whether the complete index is sent again, beginning with this message.
+        /// Whether this message is the first of those that send the complete index again.
         restart: bool,
         /// The changes.
         changes: Vec<IndexChange>,
     },
-    /// The node shuts down gracefully: its proxy has ended and admits nothing more. The last message of a connection.
+    /// The node shuts down gracefully: its proxy has ended and admits no more requests. The last message of a
+    /// connection.
     Leaving {
-        /// Whether the proxy was in contact with the quota leader until its end, so that the leader knows of all that it
-        /// has used.
+        /// Whether the proxy was in contact with the quota leader until its end, so that the leader knows all
+        /// of its use.
         #[serde(rename = "settled")]
         quota_use_reported: bool,
     },
@@ -101,16 +103,17 @@
     Heartbeat,
 }
 
-/// A message of a coordinator to an agent. Renamed variants and fields keep their old names on the wire.
+/// A message from a coordinator to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToAgent {
-    /// The agreed view of the core. The first message of a connection, and sent after each change.
+    /// The view that the coordinators have agreed on. The first message of a connection; sent again after
+    /// each change.
     View {
         /// The number of the view; higher is newer.
         number: u64,
-        /// The members; the first one is the head of the chain.
+        /// The members. The first one is the head of the chain.
         members: Vec<CoreMember>,
-        /// The number of nodes that carry traffic, as far as this coordinator knows.
+        /// The number of nodes that this coordinator knows to carry traffic.
         nodes: u32,
         /// Whether this coordinator has recently been in contact with a majority of the voters.
         #[serde(rename = "in_touch")]
@@ -119,29 +122,30 @@
     /// Announces the newest committed configuration.
     #[serde(rename = "Available")]
     ConfigurationAvailable {
-        /// The sequence of the configuration; higher is newer.
+        /// The sequence number of the configuration; higher is newer.
         sequence: ConfigurationSequence,
     },
-    /// States that the next configuration on this connection was the newest one at some moment after the request.
+    /// States that the next configuration on this connection was the newest one at a moment after the
+    /// request.
     #[serde(rename = "Newest")]
     NewestConfiguration {
         /// The [`FromAgent::FetchConfiguration`] that this responds to.
         #[serde(rename = "question")]
         request_id: u64,
-        /// The sequence that a majority has confirmed to be the newest after the request arrived.
+        /// The sequence number that a majority has confirmed to be the newest after the request arrived.
         sequence: ConfigurationSequence,
     },
-    /// The requested configuration; follows [`ToAgent::NewestConfiguration`].
+    /// The requested configuration. Follows [`ToAgent::NewestConfiguration`].
     Configuration {
-        /// The sequence of the configuration.
+        /// The sequence number of the configuration.
         sequence: ConfigurationSequence,
-        /// The operator's document.
+        /// The operator's JSON document.
         #[serde(with = "serde_bytes")]
         document: Vec<u8>,
     },
-    /// The complete list of backends; responds to [`FromAgent::FetchBackends`].
+    /// The complete list of backends. Responds to [`FromAgent::FetchBackends`].
     Backends(BackendList),
-    /// The differences of a newer list from the previous one. Sent on every connection.
+    /// The differences between the previous list and a newer one. Sent on every connection.
     BackendsChanged {
         /// The version of the previous list.
         base: BackendListVersion,
@@ -150,46 +154,46 @@
         /// The differences.
         changes: BackendChanges,
     },
-    /// The last list was read again and is unchanged.
+    /// The platform's list was read again and is unchanged.
     BackendsConfirmed {
-        /// The version of the read that confirmed it.
+        /// The version of the new read.
         version: BackendListVersion,
     },
-    /// The digest of the coordinator's list, which the agent compares with that of its own. Sent when a connection opens,
-    /// every few seconds, and as the response to [`FromAgent::FetchBackendsDigest`].
+    /// The digest of the coordinator's list, which the agent compares with that of its own list. Sent when a
+    /// connection opens, every few seconds, and in response to [`FromAgent::FetchBackendsDigest`].
     BackendsDigest {
         /// The version of the list.
         version: BackendListVersion,
-        /// The digest of the complete list, as [`crate::list_digest_set`] computes it.
+        /// The digest of the complete list, as computed by [`crate::list_digest`].
         digest: RangeDigest,
     },
-    /// The content of a range of the coordinator's list; responds to [`FromAgent::CompareBackends`].
+    /// The content of a range of the coordinator's list. Responds to [`FromAgent::CompareBackends`].
     BackendsRange {
         /// The version of the list.
         version: BackendListVersion,
         /// The range of keys.
         range: KeyRange,
-        /// The entries or digests of the range.
+        /// The entries of the range, or the digests of its parts.
         content: RangeContent,
     },
-    /// The entries of the coordinator's list that [`FromAgent::RequestBackends`] named. A requested backend that is missing
-    /// here is not on the list.
+    /// The entries of the coordinator's list that were requested by [`FromAgent::RequestBackends`]. A
+    /// requested backend without an entry here is not on the list.
     #[serde(rename = "BackendsMended")]
     BackendsRepaired {
         /// The version of the list.
         version: BackendListVersion,
         /// The requested keys.
         keys: Vec<u64>,
-        /// The entries.
+        /// The entries of the requested backends.
         #[serde(with = "crate::backend_table")]
         backends: Vec<Backend>,
     },
-    /// Requests the node's complete index of prompt blocks, of which the auditor knows nothing.
+    /// Requests the node's complete index of prompt blocks, as the auditor does not have it.
     #[serde(rename = "IndexWanted")]
     IndexRequested,
-    /// Corrections of the node's index that follow from an audit.
+    /// Corrections of the node's index after an audit.
     IndexCorrections(Vec<IndexChange>),
-    /// Quota of the tenants' limits; responds to [`FromAgent::QuotaRequest`].
+    /// Grants of quota from the tenants' limits. Responds to [`FromAgent::QuotaRequest`].
     #[serde(rename = "Allotments")]
     QuotaResponse(QuotaResponse),
     /// Keeps the connection alive while the coordinator has nothing else to send.
--- a/crates/control-protocol/src/backend.rs
+++ b/crates/control-protocol/src/backend.rs
@@ -1,4 +1,4 @@
-//! A backend as the platform publishes it.
+//! A backend as the platform lists it.
 
 use rustc_hash::FxHasher;
 use serde::{Deserialize, Serialize};
@@ -9,34 +9,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendState {
-    /// It accepts new requests.
+    /// The backend accepts new requests.
     Ready,
-    /// It only finishes the requests in flight.
+    /// The backend only finishes its requests in flight.
     Draining,
 }
 
 /// An entry of the list of backends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Backend {
-    /// The identity of this start of the backend's process.
+    /// The identifier of the backend's process. A restarted process has another one.
     pub instance_id: String,
-    /// The name of its service.
+    /// The name of the backend's service.
     pub service: String,
-    /// The address at which it accepts requests.
+    /// The address at which the backend accepts requests.
     pub address: SocketAddrV4,
-    /// The zone of its machine.
+    /// The zone of the backend's machine.
     pub zone: String,
-    /// The generation of its software.
+    /// The generation of the backend's software.
     pub generation: String,
-    /// The number of requests that it processes at the same time.
+    /// The number of requests that the backend processes concurrently.
     pub slots: u32,
-    /// Whether it accepts new requests.
+    /// Whether the backend accepts new requests.
     pub state: BackendState,
-    /// The rest of its warm-up after its start, in milliseconds. The name is the platform's.
+    /// The time until the backend has warmed up after its start, in milliseconds. The name is the platform's.
     pub cold_remaining_ms: u64,
 }
 
-/// The hash of an instance id; the same in every process.
+/// The hash of an instance id. All processes compute the same value.
 pub fn instance_key(instance_id: &str) -> u64 {
     let mut hasher = FxHasher::default();
     instance_id.hash(&mut hasher);
@@ -44,12 +44,13 @@
 }
 
 impl Backend {
-    /// The hash of its identity; the same in every process.
+    /// The hash of the instance id. All processes compute the same value.
     pub fn key(&self) -> u64 {
         instance_key(&self.instance_id)
     }
 
-    /// The hash of all fields except the remaining warm-up, which changes with time; the same in every process.
+    /// The hash of all fields except the remaining warm-up, which changes with time. All processes compute
+    /// the same value.
     pub fn content_hash(&self) -> u64 {
         let Backend { instance_id, service, address, zone, generation, slots, state, .. } = self;
         let mut hasher = FxHasher::default();
--- a/crates/control-protocol/src/backend_list_version.rs
+++ b/crates/control-protocol/src/backend_list_version.rs
@@ -1,19 +1,19 @@
-//! The order of lists of backends.
+//! The version of a list of backends.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Orders the reads of the platform's list of backends: a higher version was read later. The lowest bits identify the reader.
-/// On the wire it is a number.
+/// Orders the reads of the platform's list of backends: a higher version was read later. The lowest bits
+/// identify the coordinator that read it. Serialized as a number.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct BackendListVersion(pub u64);
 
 impl BackendListVersion {
-    /// No list yet.
+    /// The version while there is no list.
     pub const NONE: Self = BackendListVersion(0);
 
-    /// Its number; 0 for none.
+    /// The version as a number; 0 for none.
     pub const fn number(self) -> u64 {
         self.0
     }
@@ -25,7 +25,7 @@
     }
 }
 
-// Log lines show versions as numbers, also those that print optional ones.
+// `{:?}` prints the number alone, as log lines also print optional versions.
 impl fmt::Debug for BackendListVersion {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Debug::fmt(&self.0, formatter)
--- a/crates/control-protocol/src/backend_table.rs
+++ b/crates/control-protocol/src/backend_table.rs
@@ -1,5 +1,6 @@
-//! Serialization of a list of backends as a table: strings that many backends share (service, zone, generation) are stored
-//! once, and each backend is a row of plain values. A row takes some 35 bytes where a map with named fields took some 150.
+//! Serialization of a list of backends as a table: strings that many backends share (service, zone,
+//! generation) are stored once, and each backend is a row of values without field names. A row takes about 35
+//! bytes; a map with named fields took about 150.
 
 use crate::backend::{Backend, BackendState};
 use serde::de::Error;
@@ -7,31 +8,32 @@
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The serialized form of a list of backends. `strings` keeps its old name on the wire.
+/// The serialized form of a list of backends.
 #[derive(Serialize, Deserialize)]
 struct Table {
-    /// The strings that rows refer to by their index.
+    /// The distinct strings, which rows refer to by index.
     #[serde(rename = "texts")]
     strings: Vec<String>,
-    /// One row for each backend.
+    /// One row per backend.
     rows: Vec<Row>,
 }
 
-/// A backend; serialized as an array of its values in this order.
+/// A backend, serialized as an array of its values in this order.
 #[derive(Serialize, Deserialize)]
 struct Row(
     /// The instance id.
     String,
     /// The indices of the service, the zone and the generation in the string table.
     [u32; 3],
-    /// The address and the port.
+    /// The IPv4 address.
     u32,
+    /// The port.
     u16,
     /// The number of slots.
     u32,
-    /// Whether it is draining.
+    /// Whether the backend is draining.
     bool,
-    /// The rest of its warm-up, in milliseconds.
+    /// The time until the backend has warmed up, in milliseconds.
     u64,
 );
 
@@ -43,7 +45,7 @@
 }
 
 impl<'b> StringTable<'b> {
-    /// The index of a string, which is added if it is new.
+    /// Returns the index of a string, after adding the string if it is new.
     fn intern(&mut self, string: &'b str) -> u32 {
         let next = self.strings.len() as u32;
         let index = *self.indices.entry(string).or_insert(next);
@@ -58,7 +60,7 @@
 ///
 /// # Errors
 ///
-/// Those of the serializer.
+/// Errors of the serializer.
 pub fn serialize<S: Serializer>(backends: &[Backend], serializer: S) -> Result<S::Ok, S::Error> {
     let mut strings = StringTable::default();
     let rows = backends.iter().map(|backend| row(&mut strings, backend)).collect();
@@ -82,15 +84,15 @@
 ///
 /// # Errors
 ///
-/// Those of the deserializer, and a row whose string index is out of range.
+/// Errors of the deserializer, and a row with a string index that is out of range.
 pub fn deserialize<'d, D: Deserializer<'d>>(deserializer: D) -> Result<Vec<Backend>, D::Error> {
     let Table { strings, rows } = Table::deserialize(deserializer)?;
     let backends = rows.into_iter().map(|row| backend(&strings, row));
     let backends: Option<Vec<Backend>> = backends.collect();
-    backends.ok_or_else(|| D::Error::custom("a row refers to a text that is not there"))
+    backends.ok_or_else(|| D::Error::custom("row with a string index out of range in a table of backends"))
 }
 
-/// The backend of a row; `None` where a string index is out of range.
+/// The backend of a row; `None` if a string index is out of range.
 fn backend(strings: &[String], row: Row) -> Option<Backend> {
     let Row(instance_id, [service, zone, generation], ip, port, slots, draining, cold_remaining_ms) = row;
     let string = |index: u32| strings.get(index as usize).cloned();
--- a/crates/control-protocol/src/configuration_sequence.rs
+++ b/crates/control-protocol/src/configuration_sequence.rs
@@ -1,18 +1,19 @@
-//! The order of configurations.
+//! The sequence number of a configuration.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The place of a configuration in the order in which coordinators committed them, from 1. On the wire it is a number.
+/// The position of a configuration in the order in which coordinators committed them, from 1. Serialized as a
+/// number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ConfigurationSequence(pub u64);
 
 impl ConfigurationSequence {
-    /// No configuration yet.
+    /// The sequence number while there is no configuration.
     pub const NONE: Self = ConfigurationSequence(0);
 
-    /// Its number; 0 for none.
+    /// The sequence number as an integer; 0 for none.
     pub const fn number(self) -> u64 {
         self.0
     }
@@ -24,7 +25,7 @@
     }
 }
 
-// Log lines show sequences as numbers, also those that print optional ones.
+// `{:?}` prints the number alone, as log lines also print optional sequence numbers.
 impl fmt::Debug for ConfigurationSequence {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Debug::fmt(&self.0, formatter)
--- a/crates/control-protocol/src/frame.rs
+++ b/crates/control-protocol/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: a length (four bytes, big-endian) and that many bytes of CBOR (RFC 8949).
+//! Frames: a length (four bytes, big-endian), and as many bytes of CBOR (RFC 8949).
 
 use bytes::{Buf, BytesMut};
 use quick_error::quick_error;
@@ -6,25 +6,29 @@
 use serde::de::DeserializeOwned;
 use std::io;
 
-/// The largest accepted frame, in bytes without the length. Guards against a peer of another protocol.
+/// The largest accepted frame, in bytes without the length. Guards against a peer that uses another protocol,
+/// whose first bytes would be read as a length.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
+/// The size of the length at the beginning of a frame.
 const LENGTH_BYTES: usize = 4;
 
 quick_error! {
-    /// A frame could not be written or read.
+    /// Why a frame could not be encoded or decoded.
     #[derive(Debug)]
     pub enum FrameError {
-        /// The frame is longer than [`MAX_FRAME_BYTES`].
-        TooLong(length: usize) { display("a frame of {length} bytes, {MAX_FRAME_BYTES} at most") }
+        /// The frame is longer than [`MAX_FRAME_BYTES`]. Holds its length in bytes.
+        TooLong(length: usize) {
+            display("frame of {length} bytes exceeds the maximum of {MAX_FRAME_BYTES} bytes")
+        }
         /// The message has no CBOR encoding.
         Encode(error: ciborium::ser::Error<io::Error>) {
-            display("a frame that can't be read: {error}")
+            display("message not encoded: {error}")
             from()
             source(error)
         }
         /// The frame does not hold a message of the expected type.
         Decode(error: ciborium::de::Error<io::Error>) {
-            display("a frame that can't be read: {error}")
+            display("frame not decoded: {error}")
             from()
             source(error)
         }
@@ -47,12 +51,13 @@
     Ok(frame)
 }
 
-/// Decodes the first message of the bytes received so far and removes its frame from them; `None` while the frame is
-/// incomplete.
+/// Decodes the first message of the bytes received so far and removes its frame from them; `None` while the
+/// frame is incomplete.
 ///
 /// # Errors
 ///
-/// [`FrameError::TooLong`] or [`FrameError::Decode`]. The connection cannot be used any further.
+/// [`FrameError::TooLong`] or [`FrameError::Decode`]. The connection must then be closed, as the position of
+/// the next frame is unknown.
 pub fn decode<M: DeserializeOwned>(received: &mut BytesMut) -> Result<Option<M>, FrameError> {
     let Some(length) = received.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
--- a/crates/control-protocol/src/index.rs
+++ b/crates/control-protocol/src/index.rs
@@ -1,9 +1,8 @@
-//! Changes of the fleet's index of prompt blocks.
+//! Changes of the index of prompt blocks that backends have cached.
 
 use serde::{Deserialize, Serialize};
 
-/// The state of one block in a backend's prefix cache, as a node believes it to be or an audit has found it. `block` keeps
-/// its old name on the wire.
+/// The state of one block in a backend's prefix cache, as a node assumes it or an audit has found it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IndexChange {
     /// The key of the backend's instance ([`crate::instance_key`]).
@@ -11,7 +10,7 @@
     /// The key of the block.
     #[serde(rename = "part")]
     pub block: u64,
-    /// The number of its tokens; `None` if the block is not cached.
+    /// The number of tokens in the block; `None` if the block is not cached.
     pub tokens: Option<u32>,
 }
 
--- a/crates/control-protocol/src/lib.rs
+++ b/crates/control-protocol/src/lib.rs
@@ -1,4 +1,6 @@
-//! Typed messages between the programs of the system, and their frames. No I/O, no clock.
+//! Typed messages between coordinators, agents and proxies, and their encoding as frames. No I/O, no clock.
+//!
+//! Renamed variants and fields keep their previous names on the wire by `#[serde(rename)]`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -23,5 +25,5 @@
 pub use proxy::{FromProxy, QUOTA_REQUEST_INTERVAL_MS, ToProxy};
 pub use quota::{QuotaDemand, QuotaGrant, QuotaRequest, QuotaResponse};
 
-/// The version of these messages. A peer of another version is rejected at its hello.
+/// The version of the protocol. A peer with another version is rejected at its hello.
 pub const VERSION: u16 = 2;
--- a/crates/control-protocol/tests/backend_changes.rs
+++ b/crates/control-protocol/tests/backend_changes.rs
@@ -1,4 +1,4 @@
-//! Differences between lists of backends.
+//! Differences between two lists of backends.
 
 use control_protocol::{Backend, BackendChanges, BackendState};
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_different_remaining_warm_up_is_no_change() {
+fn a_different_remaining_warm_up_is_not_a_change() {
     let before = list(&BTreeMap::from([(1, true)]));
     let mut after = before.clone();
     after[0].cold_remaining_ms = 7;
--- a/crates/control-protocol/tests/backend_table.rs
+++ b/crates/control-protocol/tests/backend_table.rs
@@ -1,4 +1,4 @@
-//! Serialization of lists of backends.
+//! Serialization of lists of backends as tables.
 
 use bytes::BytesMut;
 use control_protocol::{Backend, BackendList, BackendListVersion, BackendState, ToAgent, decode, encode};
@@ -23,7 +23,7 @@
 }
 
 quickcheck! {
-    fn a_list_survives_a_round_trip(entries: Vec<(u8, bool, u32)>) -> bool {
+    fn a_list_is_unchanged_by_encoding_and_decoding(entries: Vec<(u8, bool, u32)>) -> bool {
         let message = message(entries);
         let frame = encode(&message).expect("a frame");
         decode(&mut BytesMut::from(frame.as_slice())).expect("a message") == Some(message)
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_backend_takes_less_than_45_bytes() {
+fn a_backend_is_encoded_in_less_than_45_bytes() {
     let frame = encode(&message(vec![(1, true, 64); 1000])).expect("a frame");
     println!("{} bytes for 1,000 backends", frame.len());
     assert!(frame.len() < 45_000);
--- a/crates/control-protocol/tests/golden/compare.rs
+++ b/crates/control-protocol/tests/golden/compare.rs
@@ -1,16 +1,16 @@
-//! Golden files: texts that were approved, held to the byte against what the code gives now.
+//! Golden files: approved texts, which the output of the code must equal byte for byte.
 //!
-//! A file is written only on purpose: `GOLDEN=write cargo test -p PACKAGE --test TEST`. Without that, a file that is missing
-//! or differs fails the test with the place of the first difference. Golden files lie in `tests/golden` of the package whose
-//! test includes this module; tests of other packages include it by its path.
-#![allow(dead_code)] // each test file uses its own part of this
+//! Files are only written by `GOLDEN=write cargo test -p PACKAGE --test TEST`. Otherwise, a missing or
+//! different file fails the test, which prints the first difference. Golden files are in `tests/golden` of
+//! the package whose test includes this module; tests of other packages include it by its path.
+#![allow(dead_code)] // not every test file that includes this uses all of it
 
 use std::path::{Path, PathBuf};
 
-/// The environment variable that, with the value `write`, has golden files written.
+/// The environment variable that has golden files written if its value is `write`.
 const VARIABLE: &str = "GOLDEN";
 
-/// Where a golden file lies.
+/// The path of a golden file.
 pub fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
@@ -19,32 +19,33 @@
 #[track_caller]
 pub fn read(name: &str) -> String {
     let path = path(name);
-    let advice = format!("{VARIABLE}=write writes golden files, on purpose alone");
+    let advice = format!("{VARIABLE}=write writes golden files");
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error} ({advice})", path.display()))
 }
 
-/// Holds what the code gives against a golden file, or writes the file where that is asked for.
+/// Asserts that a text equals a golden file, or writes the file if the environment variable requests it.
 #[track_caller]
-pub fn hold(name: &str, given: &str) {
+pub fn hold(name: &str, actual: &str) {
     if std::env::var_os(VARIABLE).is_some_and(|value| value == "write") {
         let path = path(name);
-        std::fs::create_dir_all(path.parent().expect("a folder")).expect("the folder of golden files");
-        std::fs::write(&path, given).expect("the golden file is written");
+        let directory = path.parent().expect("a parent directory");
+        std::fs::create_dir_all(directory).expect("the directory of golden files");
+        std::fs::write(&path, actual).expect("the golden file is written");
         return;
     }
     let approved = read(name);
-    if approved != given {
-        panic!("{}:{}\nall that is given:\n{given}", path(name).display(), difference(&approved, given));
+    if approved != actual {
+        panic!("{}:{}\ncomplete actual text:\n{actual}", path(name).display(), difference(&approved, actual));
     }
 }
 
-/// The line and the column of the first difference, and both lines there.
-fn difference(approved: &str, given: &str) -> String {
-    let both = approved.bytes().zip(given.bytes());
-    let at = both.take_while(|(one, other)| one == other).count();
-    let before = &approved.as_bytes()[..at];
+/// The line and the column of the first difference, and that line of both texts.
+fn difference(approved: &str, actual: &str) -> String {
+    let pairs = approved.bytes().zip(actual.bytes());
+    let equal = pairs.take_while(|(one, other)| one == other).count();
+    let before = &approved.as_bytes()[..equal];
     let line = before.iter().filter(|byte| **byte == b'\n').count();
-    let column = at - before.iter().rposition(|byte| *byte == b'\n').map_or(0, |end| end + 1);
-    let text = |whole: &str| whole.split('\n').nth(line).unwrap_or("(nothing)").to_owned();
-    format!("{}:{}\napproved: {}\ngiven:    {}", line + 1, column + 1, text(approved), text(given))
+    let column = equal - before.iter().rposition(|byte| *byte == b'\n').map_or(0, |end| end + 1);
+    let line_of = |text: &str| text.split('\n').nth(line).unwrap_or("(no such line)").to_owned();
+    format!("{}:{}\napproved: {}\nactual:   {}", line + 1, column + 1, line_of(approved), line_of(actual))
 }
--- a/crates/control-protocol/tests/golden/exposition.rs
+++ b/crates/control-protocol/tests/golden/exposition.rs
@@ -1,15 +1,16 @@
-//! The text in which a role tells its figures, made fit for a golden file.
+//! Normalizes the exposition of metrics for golden files.
 
-/// What stands in the place of each value.
-const VALUE: &str = "(value)";
+/// Replaces each value.
+const VALUE_PLACEHOLDER: &str = "(value)";
 
-/// The text with each value replaced by a word, and the lines of each family in order: labels come in any order.
+/// The exposition with each value replaced by a placeholder, and the samples of each metric family sorted, as
+/// their order is not fixed.
 pub fn without_values(exposition: &str) -> String {
     let mut families: Vec<(Vec<String>, Vec<String>)> = Vec::new();
-    let mut after_figures = true;
+    let mut after_sample = true;
     for line in exposition.lines() {
         if line.starts_with('#') {
-            if after_figures {
+            if after_sample {
                 families.push((Vec::new(), Vec::new()));
             }
             let (comments, _) = families.last_mut().expect("a family");
@@ -17,15 +18,15 @@
         } else {
             let (name, value) = line.rsplit_once(' ').expect("a name and a value");
             assert!(value.parse::<f64>().is_ok(), "no value: {line}");
-            let (_, figures) = families.last_mut().expect("comments before figures");
-            figures.push(format!("{name} {VALUE}"));
+            let (_, samples) = families.last_mut().expect("comments before samples");
+            samples.push(format!("{name} {VALUE_PLACEHOLDER}"));
         }
-        after_figures = !line.starts_with('#');
+        after_sample = !line.starts_with('#');
     }
     let mut text = String::new();
-    for (comments, mut figures) in families {
-        figures.sort();
-        for line in comments.into_iter().chain(figures) {
+    for (comments, mut samples) in families {
+        samples.sort();
+        for line in comments.into_iter().chain(samples) {
             text.push_str(&line);
             text.push('\n');
         }
--- a/crates/control-protocol/tests/golden/frames.rs
+++ b/crates/control-protocol/tests/golden/frames.rs
@@ -1,6 +1,6 @@
-//! Golden files of frames. Each frame has a title, its readable text in the diagnostic notation of CBOR, and its hexadecimal
-//! digits, which are decoded into the program's type and encoded again.
-#![allow(dead_code)] // each test file uses its own part of this
+//! Golden files of frames. Each frame has a title, its diagnostic notation, and its bytes in hexadecimal,
+//! which are decoded into the message's type and encoded again.
+#![allow(dead_code)] // not every test file that includes this uses all of it
 
 use crate::compare;
 use bytes::BytesMut;
@@ -10,28 +10,30 @@
 use std::collections::BTreeSet;
 use std::fmt::{Debug, Write};
 
-/// The bytes of the length that a frame begins with.
+/// The size of the length at the beginning of a frame.
 const LENGTH_BYTES: usize = 4;
-/// The bytes on a line of hexadecimal digits.
-const BYTES_A_LINE: usize = 48;
+/// The number of bytes on each line of hexadecimal digits.
+const BYTES_PER_LINE: usize = 48;
 
 /// Sample messages of one type and the golden file of their frames.
 pub struct Messages<'m, M> {
-    /// The golden file.
+    /// The name of the golden file.
     pub file: &'m str,
-    /// What the messages are, for the first line of the file.
+    /// A description of the messages, for the first line of the file.
     pub about: &'m str,
-    /// Titles and messages.
+    /// The messages with their titles.
     pub samples: Vec<(&'m str, M)>,
-    /// The name on the wire of a message's variant. An exhaustive match: one more variant does not compile without it.
+    /// The name of a message's variant on the wire. Must be an exhaustive match, so that a new variant does
+    /// not compile without a name.
     pub variant: fn(&M) -> &'static str,
-    /// The names of all variants.
+    /// The names of all variants on the wire.
     pub variants: &'m [&'m str],
 }
 
 impl<M: Serialize + DeserializeOwned + PartialEq + Debug> Messages<'_, M> {
-    /// Asserts that every variant is among the samples under its name on the wire, that the frame of each sample is the approved
-    /// one, and that this frame is decoded into the sample and encoded again into the same bytes.
+    /// Asserts that the samples contain every variant under its name on the wire, that the frame of each
+    /// sample equals the approved one, and that this frame is decoded into the sample and encoded into the
+    /// same bytes again.
     pub fn hold(&self) {
         let mut seen = BTreeSet::new();
         let mut frames = Vec::new();
@@ -58,7 +60,7 @@
     }
 }
 
-/// Asserts that frames of older programs, which lack some fields, are still decoded into these messages.
+/// Asserts that frames of older versions, which lack some fields, are still decoded into these messages.
 pub fn hold_old<M: DeserializeOwned + PartialEq + Debug>(
     file: &str,
     about: &str,
@@ -74,16 +76,15 @@
     }
 }
 
-/// The message of a frame, which must have no bytes behind it.
+/// The message of a frame, which must not be followed by other bytes.
 pub fn decoded<M: DeserializeOwned>(frame: &[u8]) -> M {
-    let mut read = BytesMut::from(frame);
-    let message =
-        control_protocol::decode(&mut read).expect("a frame that can be read").expect("a complete frame");
-    assert!(read.is_empty(), "{} bytes remain", read.len());
+    let mut buffer = BytesMut::from(frame);
+    let message = control_protocol::decode(&mut buffer).expect("a valid frame").expect("a complete frame");
+    assert!(buffer.is_empty(), "{} bytes remain", buffer.len());
     message
 }
 
-/// The frame of a message without a field, wherever it stands in it.
+/// The frame of a message from which a field is removed, at every level.
 pub fn without(message: &impl Serialize, field: &str) -> Vec<u8> {
     let mut value = value(&control_protocol::encode(message).expect("a frame"));
     assert!(remove(&mut value, field) > 0, "there is no field {field}");
@@ -94,7 +95,7 @@
     frame
 }
 
-/// Removes a field, and counts how often.
+/// Removes a field at every level. Returns how often it occurred.
 fn remove(value: &mut Value, field: &str) -> usize {
     match value {
         Value::Map(entries) => {
@@ -127,12 +128,12 @@
     frames
 }
 
-/// The text of a golden file.
+/// The text of a golden file with these frames.
 fn text(about: &str, frames: &[(&str, Vec<u8>)]) -> String {
     let mut text = format!("# {about}\n");
     for (title, frame) in frames {
         write!(text, "\n## {title}\n= {}\n", diagnostic(&value(frame))).expect("to a text");
-        for line in frame.chunks(BYTES_A_LINE) {
+        for line in frame.chunks(BYTES_PER_LINE) {
             let digits: String = line.iter().map(|byte| format!("{byte:02x}")).collect();
             writeln!(text, "{digits}").expect("to a text");
         }
@@ -146,25 +147,25 @@
     ciborium::from_reader(body).expect("CBOR")
 }
 
-/// How a variant is named on the wire: by a text alone, or by the key of a map with one entry.
+/// The name of a variant on the wire: a text, or the key of a map with a single entry.
 fn name_on_wire(frame: &[u8]) -> String {
     match value(frame) {
         Value::Text(name) => name,
         Value::Map(entries) => match entries.as_slice() {
             [(Value::Text(name), _)] => name.clone(),
-            _ => panic!("no map of one entry: {entries:?}"),
+            _ => panic!("not a map with one entry: {entries:?}"),
         },
-        other => panic!("no variant: {other:?}"),
+        other => panic!("not a variant: {other:?}"),
     }
 }
 
-/// Diagnostic notation of CBOR (RFC 8949, section 8), as far as messages use CBOR.
+/// The diagnostic notation of CBOR (RFC 8949, section 8), for the types of values that messages contain.
 fn diagnostic(value: &Value) -> String {
     let joined = |parts: Vec<String>| parts.join(", ");
     match value {
         Value::Integer(number) => i128::from(*number).to_string(),
         Value::Float(number) => format!("{number:?}"),
-        Value::Bool(truth) => truth.to_string(),
+        Value::Bool(boolean) => boolean.to_string(),
         Value::Null => "null".to_owned(),
         Value::Text(text) => format!("{text:?}"),
         Value::Bytes(bytes) => {
@@ -176,6 +177,6 @@
             let entry = |(key, value): &(Value, Value)| format!("{}: {}", diagnostic(key), diagnostic(value));
             format!("{{{}}}", joined(entries.iter().map(entry).collect()))
         }
-        other => panic!("no part of a message: {other:?}"),
+        other => panic!("not a type of value in a message: {other:?}"),
     }
 }
--- a/crates/control-protocol/tests/golden_frames.rs
+++ b/crates/control-protocol/tests/golden_frames.rs
@@ -1,8 +1,8 @@
-//! The frames of all messages between the programs of the fleet are compared with golden files: agents with coordinators, and
-//! proxies with agents. So are constants and hashes that all programs share.
+//! Golden files for the frames of all messages between agents and coordinators, and between proxies and
+//! agents; and for the constants and hashes that all processes must agree on.
 //!
-//! The golden files in `tests/golden` are written on purpose alone: `GOLDEN=write cargo test -p control-protocol --test golden_frames`.
-//! Without that, a file that is missing or differs fails the test with the place of the first difference.
+//! The golden files in `tests/golden` are only written by `GOLDEN=write cargo test -p control-protocol --test
+//! golden_frames`. Otherwise, a missing or different file fails the test, which prints the first difference.
 
 #[path = "golden/compare.rs"]
 mod compare;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Two backends that share strings, and one with empty strings.
+/// Two backends that share strings, and one whose strings are empty.
 fn backends() -> Vec<Backend> {
     let backend = |instance_id: &str, address: &str, state: BackendState| Backend {
         instance_id: instance_id.into(),
@@ -384,9 +384,10 @@
     .hold();
 }
 
-/// A demand of an older node lacks the rejected cost, and a grant of an older quota leader lacks the pressure.
+/// A demand from a node of an older version lacks the rejected cost, and a grant from a quota leader of an
+/// older version lacks the pressure.
 #[test]
-fn missing_fields_of_older_programs_get_defaults() {
+fn fields_that_older_versions_do_not_send_get_defaults() {
     let mut request = quota_request();
     let demands = without(&FromAgent::QuotaRequest(request.clone()), "turned_away");
     let demands_of_proxy = without(&FromProxy::QuotaRequest(request.clone()), "turned_away");
@@ -407,22 +408,22 @@
     hold_old("older_to_proxy.txt", about, &[(title, grants_to_proxy, ToProxy::QuotaResponse(response))]);
 }
 
-/// An incomplete frame is not decoded, and decoding one frame leaves the next one in the buffer.
+/// An incomplete frame is not decoded, and decoding a frame leaves the following one in the buffer.
 #[test]
 fn a_stream_is_decoded_one_complete_frame_at_a_time() {
     let messages = [ToProxy::Nodes { nodes: 350 }, ToProxy::Heartbeat];
     let [first, second] = messages.map(|message| control_protocol::encode(&message).expect("a frame"));
-    let mut read = bytes::BytesMut::from(&first[..first.len() - 1]);
-    assert_eq!(control_protocol::decode::<ToProxy>(&mut read).expect("an incomplete frame"), None);
-    read.extend_from_slice(&first[first.len() - 1..]);
-    read.extend_from_slice(&second);
-    let message = control_protocol::decode::<ToProxy>(&mut read).expect("a frame").expect("a complete one");
+    let mut buffer = bytes::BytesMut::from(&first[..first.len() - 1]);
+    assert_eq!(control_protocol::decode::<ToProxy>(&mut buffer).expect("an incomplete frame"), None);
+    buffer.extend_from_slice(&first[first.len() - 1..]);
+    buffer.extend_from_slice(&second);
+    let message = control_protocol::decode::<ToProxy>(&mut buffer).expect("a frame").expect("a complete one");
     assert_eq!(message, decoded(&first));
-    assert_eq!(read[..], second[..]);
+    assert_eq!(buffer[..], second[..]);
 }
 
-/// Constants that both ends rely on, and hashes that every process computes by itself: those of instances, of the entries of
-/// backends, and of lists. The remaining warm-up of a backend is not part of them.
+/// Constants that both ends rely on, and hashes that every process computes by itself: of instance ids,
+/// backends and lists. The remaining warm-up of a backend must not change its hashes.
 #[test]
 fn shared_constants_and_hashes_are_unchanged() {
     let mut text = String::from("# Numbers and hashes that all programs of the fleet agree upon\n\n");
