--- a/crates/control-link/src/frame_reader.rs
+++ b/crates/control-link/src/frame_reader.rs
@@ -1,4 +1,4 @@
-//! The half of a connection that reads frames.
+//! The reading half of a connection.
 
 use super::frame_writer::CloseSignal;
 use super::{LinkError, LinkStep};
@@ -8,9 +8,9 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::tcp::OwnedReadHalf;
 
-/// Free space of the buffer before each read, in bytes.
+/// The free space that the buffer has at least before each read, in bytes.
 const READ_BYTES: usize = 8 << 10;
-/// A buffer that grew beyond this for a large frame is freed once it is empty.
+/// An empty buffer of a larger capacity is freed, as it has only grown for a large frame.
 const MAX_RETAINED_BYTES: usize = 64 << 10;
 
 /// Reads the frames of a connection.
@@ -31,8 +31,12 @@
         self.peer
     }
 
-    /// The next message. Nothing is lost when the future is dropped before it is done. Fails when either side
-    /// closes the connection, and when the bytes are not such a message.
+    /// Returns the next message. Cancel safe: no bytes are lost if the future is dropped before it completes.
+    ///
+    /// # Errors
+    ///
+    /// [`LinkError::Closed`] if either side has closed the connection, [`LinkError::Frame`] if the bytes are
+    /// not a message of this type, and [`LinkError::Io`].
     pub async fn next<M: DeserializeOwned>(&mut self) -> Result<M, LinkError> {
         loop {
             let decoded = control_protocol::decode(&mut self.buffer);
--- a/crates/control-link/src/frame_writer.rs
+++ b/crates/control-link/src/frame_writer.rs
@@ -1,4 +1,4 @@
-//! The half of a connection that writes frames, from a bounded queue.
+//! The writing half of a connection, with its bounded send queue.
 
 use super::{LinkError, LinkStep};
 use bytes::{Bytes, BytesMut};
@@ -10,22 +10,24 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::sync::{Notify, watch};
 
-/// Frames that are queued for one peer at most.
+/// The most frames that are queued for one peer.
 pub const MAX_QUEUED_FRAMES: usize = 256;
-/// Bytes that are queued for one peer at most; a single frame may be larger.
+/// The most bytes that are queued for one peer, except that a single frame may be larger.
 pub const MAX_QUEUED_BYTES: usize = 4 << 20;
-/// Small frames are joined up to this length for one write.
+/// Small frames are joined into one write up to this length, in bytes.
 const MAX_JOINED_BYTES: usize = 16 << 10;
 
-/// Writes the frames of a connection. Clones share the queue; the connection is closed when the last of them is dropped.
+/// Writes the frames of a connection. Clones share the send queue; the connection is closed when the last
+/// clone is dropped.
 #[derive(Clone, Debug)]
 pub struct FrameWriter {
     shared: Arc<Shared>,
-    // The writing task has a reference to `shared` as well, so the last clone is recognized by this one.
+    // Closes the connection with the last clone. `shared` can't do so, as the writing task has a reference to
+    // it.
     _close_on_drop: Arc<CloseOnDrop>,
 }
 
-/// Is notified when a connection is closed.
+/// Waits for the end of a connection.
 #[derive(Clone, Debug)]
 pub struct CloseSignal {
     closed: watch::Receiver<bool>,
@@ -35,7 +37,7 @@
 struct Shared {
     peer: SocketAddr,
     queue: Mutex<Queue>,
-    filled: Notify,
+    frame_queued: Notify,
     closed: watch::Sender<bool>,
 }
 
@@ -57,7 +59,7 @@
 impl FrameWriter {
     pub(super) fn start(writer: OwnedWriteHalf, peer: SocketAddr) -> Self {
         let (closed, _) = watch::channel(false);
-        let shared = Arc::new(Shared { peer, queue: Mutex::default(), filled: Notify::new(), closed });
+        let shared = Arc::new(Shared { peer, queue: Mutex::default(), frame_queued: Notify::new(), closed });
         tokio::spawn(run_writer(writer, shared.clone()));
         FrameWriter { _close_on_drop: Arc::new(CloseOnDrop(shared.clone())), shared }
     }
@@ -67,14 +69,23 @@
         self.shared.peer
     }
 
-    /// Queues a message. A full queue closes the connection.
+    /// Queues a message. If the queue is full, the connection is closed.
+    ///
+    /// # Errors
+    ///
+    /// [`LinkError::Frame`] if the message can't be encoded; otherwise as [`FrameWriter::send_frame`].
     pub fn send<M: Serialize>(&self, message: &M) -> Result<(), LinkError> {
         let frame = control_protocol::encode(message);
         let frame = frame.map_err(|error| LinkError::Frame(LinkStep::Write, self.shared.peer, error))?;
         self.send_frame(frame.into())
     }
 
-    /// Queues a frame that was made by [`control_protocol::encode`], so that one may go to many peers.
+    /// Queues a frame from [`control_protocol::encode`], so that a message to many peers is encoded only
+    /// once.
+    ///
+    /// # Errors
+    ///
+    /// [`LinkError::Closed`] if the connection is closed, [`LinkError::QueueFull`] if the queue is full.
     pub fn send_frame(&self, frame: Bytes) -> Result<(), LinkError> {
         if self.is_closed() {
             return Err(LinkError::Closed(self.shared.peer));
@@ -83,11 +94,11 @@
             self.close();
             return Err(LinkError::QueueFull(self.shared.peer));
         }
-        self.shared.filled.notify_one();
+        self.shared.frame_queued.notify_one();
         Ok(())
     }
 
-    /// Closes the connection, and drops the queued frames.
+    /// Closes the connection. Frames that are still queued are not sent.
     pub fn close(&self) {
         self.shared.close();
     }
@@ -97,7 +108,7 @@
         *self.shared.closed.borrow()
     }
 
-    /// A signal for the end of the connection.
+    /// Returns a signal that waits for the end of the connection.
     pub fn close_signal(&self) -> CloseSignal {
         CloseSignal { closed: self.shared.closed.subscribe() }
     }
@@ -106,7 +117,7 @@
 impl CloseSignal {
     /// Waits until the connection is closed.
     pub async fn wait(&mut self) {
-        // An error means that the sender is dropped, and the connection with it.
+        // An error means that the sender was dropped, and the connection with it.
         let _ = self.closed.wait_for(|closed| *closed).await;
     }
 }
@@ -133,7 +144,8 @@
         true
     }
 
-    /// The next bytes to write: one frame, or several small ones joined.
+    /// Removes the next bytes to write: one frame, or several small ones joined. `None` if the queue is
+    /// empty.
     fn next(&mut self) -> Option<Bytes> {
         let first = self.frames.pop_front()?;
         self.bytes -= first.len();
@@ -162,13 +174,13 @@
     shared.close();
 }
 
-/// Writes what is queued, until an error.
+/// Writes the queued frames until an error occurs.
 async fn write_queue(writer: &mut OwnedWriteHalf, shared: &Shared) -> std::io::Result<()> {
     loop {
         let next = shared.queue().next();
         match next {
             Some(bytes) => writer.write_all(&bytes).await?,
-            None => shared.filled.notified().await,
+            None => shared.frame_queued.notified().await,
         }
     }
 }
--- a/crates/control-link/src/lib.rs
+++ b/crates/control-link/src/lib.rs
@@ -1,7 +1,8 @@
-//! Long-lived connections that carry frames of [`control_protocol`], for coordinators and agents alike.
+//! Long-lived connections that carry frames of [`control_protocol`]. Used by coordinators and agents.
 //!
-//! [`connect`] opens a connection and [`listen`] accepts them; [`split`] makes an [`FrameReader`] and an [`FrameWriter`] half of
-//! one. The connection of a peer that doesn't read is closed once its queue is full, so that it never blocks a sender.
+//! [`connect`] opens a connection and [`listen`] binds a listener; [`split`] divides a connection into a
+//! [`FrameReader`] and a [`FrameWriter`]. If a peer doesn't read, its connection is closed once the send
+//! queue is full, so that it never blocks a sender.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -18,7 +19,7 @@
 use std::net::SocketAddr;
 use tokio::net::TcpStream;
 
-/// What was done with a connection or port when an error occurred.
+/// The step in which an error occurred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkStep {
     /// Opening a connection.
@@ -43,21 +44,21 @@
 }
 
 quick_error! {
-    /// Why a connection failed, with the step and the peer.
+    /// Why a connection or a listener failed, with the step and the peer or the own address.
     #[derive(Debug)]
     pub enum LinkError {
-        /// A call of the system failed.
+        /// A system call failed.
         Io(step: LinkStep, peer: SocketAddr, error: std::io::Error) {
             display("{step} {peer}: {error}")
             source(error)
         }
-        /// A step took too long.
-        TimedOut(step: LinkStep, peer: SocketAddr) { display("{step} {peer}: no answer in time") }
+        /// A step timed out.
+        TimedOut(step: LinkStep, peer: SocketAddr) { display("{step} {peer}: timed out") }
         /// The peer or this side has closed the connection.
-        Closed(peer: SocketAddr) { display("connection with {peer} is closed") }
-        /// The peer doesn't read: its queue is full.
-        QueueFull(peer: SocketAddr) { display("{peer} does not read: its queue is full") }
-        /// Bytes that are not a frame, or a message that can't be encoded.
+        Closed(peer: SocketAddr) { display("connection to {peer} is closed") }
+        /// The send queue is full, as the peer doesn't read.
+        QueueFull(peer: SocketAddr) { display("send queue to {peer} is full: the peer does not read") }
+        /// Received bytes that are not a frame, or a message that could not be encoded.
         Frame(step: LinkStep, peer: SocketAddr, error: control_protocol::FrameError) {
             display("{step} {peer}: {error}")
             source(error)
@@ -65,8 +66,8 @@
     }
 }
 
-/// Makes the two halves of a connection. Frames are written by a task of the current runtime, which ends when the connection
-/// is closed by either half, by the peer, or because the queue is full.
+/// Divides a connection into its two halves. Frames are written by a task on the current Tokio runtime, which
+/// ends when the connection is closed: by either half, by the peer, or because the send queue is full.
 pub fn split(stream: TcpStream, peer: SocketAddr) -> (FrameReader, FrameWriter) {
     let (reader, writer) = stream.into_split();
     let frames = FrameWriter::start(writer, peer);
--- a/crates/control-link/tests/link.rs
+++ b/crates/control-link/tests/link.rs
@@ -1,9 +1,11 @@
-//! Connections over loopback: frames arrive complete and in order, and the connection of a peer that doesn't read is closed.
+//! Links over loopback: frames arrive complete and in order, and the connection to a peer that doesn't read
+//! is closed.
 
 use control_link::LinkError;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use tokio::net::TcpStream;
 
+/// Both ends of a connection, and the address of the end that opened it.
 async fn pair() -> (TcpStream, TcpStream, SocketAddr) {
     let listener = control_link::listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)).expect("listen");
     let SocketAddr::V4(address) = listener.local_addr().expect("address") else { panic!("no IPv4") };
@@ -14,7 +16,7 @@
 }
 
 #[tokio::test]
-async fn messages_of_all_sizes_arrive_in_order_both_ways() {
+async fn messages_of_all_sizes_arrive_in_order_in_both_directions() {
     let (opened, accepted, peer) = pair().await;
     let (mut here, to_there) = control_link::split(opened, peer);
     let (mut there, to_here) = control_link::split(accepted, peer);
@@ -30,26 +32,26 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_does_not_read_is_disconnected_and_blocks_nobody() {
+async fn a_peer_that_does_not_read_is_disconnected_and_does_not_block_the_sender() {
     let (opened, accepted, peer) = pair().await;
     let (mut here, to_there) = control_link::split(opened, peer);
     let message = "x".repeat(1 << 20);
-    let mut refusal = None;
+    let mut failure = None;
     for _ in 0..1000 {
         if let Err(error) = to_there.send(&message) {
-            refusal = Some(error);
+            failure = Some(error);
             break;
         }
         tokio::task::yield_now().await;
     }
-    assert!(matches!(refusal, Some(LinkError::QueueFull(_))), "{refusal:?}");
+    assert!(matches!(failure, Some(LinkError::QueueFull(_))), "{failure:?}");
     assert!(matches!(to_there.send(&message), Err(LinkError::Closed(_))));
     assert!(matches!(here.next::<u64>().await, Err(LinkError::Closed(_))));
     drop(accepted);
 }
 
 #[tokio::test]
-async fn both_ends_notice_a_connection_that_one_closes() {
+async fn a_connection_that_one_end_closes_is_closed_at_the_other() {
     let (opened, accepted, peer) = pair().await;
     let (mut here, to_there) = control_link::split(opened, peer);
     let (there, to_here) = control_link::split(accepted, peer);
