--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -1,4 +1,4 @@
-//! Validation of an operator's document: as JSON, by the schema, and by the rules between its parts.
+//! Validation of an operator's document: its JSON syntax, the schema, and the rules that relate its parts.
 
 use crate::error::ConfigurationError;
 use crate::model::Configuration;
@@ -7,7 +7,8 @@
 use serde_json::Value;
 use std::sync::LazyLock;
 
-/// The most errors that are reported of one document. Guards against a report that is longer than the document.
+/// The most errors that are reported for one document, so that the report doesn't become longer than the
+/// document.
 pub const MAX_ERRORS: usize = 50;
 
 /// The JSON schema of documents.
@@ -19,16 +20,17 @@
     jsonschema::validator_for(&schema).expect("the schema file in the source is a JSON schema")
 });
 
-/// Compiles the schema in advance, so that the first check takes no longer than later ones.
+/// Compiles the schema ahead of the first check, which then takes no longer than later ones.
 pub fn compile_schema() {
     LazyLock::force(&VALIDATOR);
 }
 
-/// Reads and validates a document.
+/// Parses and validates a document.
 ///
 /// # Errors
 ///
-/// At least one error and at most [`MAX_ERRORS`]; none of them contains a value of the document that may be a key.
+/// At least one error and at most [`MAX_ERRORS`]. None contains a value of the document that may be an API
+/// key.
 pub fn check(bytes: &[u8]) -> Result<Configuration, Vec<ConfigurationError>> {
     let document: Value = serde_json::from_slice(bytes).map_err(|error| vec![syntax_error(bytes, error)])?;
     let errors: Vec<ConfigurationError> =
@@ -36,9 +38,9 @@
     if !errors.is_empty() {
         return Err(errors);
     }
-    let read = serde_json::from_value(document);
+    let parsed = serde_json::from_value(document);
     let configuration: Configuration =
-        read.map_err(|error| vec![ConfigurationError::invalid("/", error.to_string())])?;
+        parsed.map_err(|error| vec![ConfigurationError::invalid("/", error.to_string())])?;
     let mut errors = rules::violations(&configuration);
     if errors.is_empty() {
         return Ok(configuration);
--- a/crates/configuration/src/lenient.rs
+++ b/crates/configuration/src/lenient.rs
@@ -1,12 +1,13 @@
-//! Deserialization of values that the schema accepts in several forms: `null` for an absent value, `5.0` for an integer.
+//! Deserialization of values that the schema accepts in several forms: `null` for an absent value, and `5.0`
+//! for an integer.
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer};
 
-/// The largest integer that every JSON parser represents exactly (RFC 8259, section 6).
-const LARGEST_EXACT: f64 = 9_007_199_254_740_991.0;
+/// The largest integer that all JSON parsers represent exactly: 2^53 - 1 (RFC 8259, section 6).
+const MAX_EXACT_INTEGER: f64 = 9_007_199_254_740_991.0;
 
-/// A value; the default of its type for `null`.
+/// Deserializes a value; `null` gives the default of its type.
 pub(crate) fn or_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -22,36 +23,37 @@
     Float(f64),
 }
 
-fn exact<E: Error>(number: Number) -> Result<u64, E> {
+fn to_integer<E: Error>(number: Number) -> Result<u64, E> {
     match number {
         Number::Integer(integer) => Ok(integer),
-        Number::Float(float) if float.fract() == 0.0 && (0.0..=LARGEST_EXACT).contains(&float) => {
+        Number::Float(float) if float.fract() == 0.0 && (0.0..=MAX_EXACT_INTEGER).contains(&float) => {
             Ok(float as u64)
         }
         Number::Float(float) => Err(E::custom(format!("{float} is not a whole number from 0"))),
     }
 }
 
-fn narrow<T: TryFrom<u64>, E: Error>(number: Number) -> Result<T, E> {
-    let integer = exact(number)?;
+/// Converts a number into an integer type. Fails if it has a fraction or exceeds the range of the type.
+fn to_integer_type<T: TryFrom<u64>, E: Error>(number: Number) -> Result<T, E> {
+    let integer = to_integer(number)?;
     T::try_from(integer).map_err(|_| E::custom(format!("{integer} is too large")))
 }
 
-/// An integer in either form.
+/// Deserializes an integer that may be written with a decimal point.
 pub(crate) fn integer<'de, D: Deserializer<'de>, T: TryFrom<u64>>(deserializer: D) -> Result<T, D::Error> {
-    narrow(Number::deserialize(deserializer)?)
+    to_integer_type(Number::deserialize(deserializer)?)
 }
 
-/// An integer in either form; `None` where it is absent or `null`.
+/// Deserializes an integer that may be written with a decimal point; `None` for `null`.
 pub(crate) fn integer_or_none<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
     T: TryFrom<u64>,
 {
-    Option::<Number>::deserialize(deserializer)?.map(narrow).transpose()
+    Option::<Number>::deserialize(deserializer)?.map(to_integer_type).transpose()
 }
 
-/// An integer in either form; the default of its type where it is absent or `null`.
+/// Deserializes an integer that may be written with a decimal point; `null` gives the default of its type.
 pub(crate) fn integer_or_default<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,4 +1,5 @@
-//! An operator's configuration: its model, its validation, and the table by which requests are matched.
+//! An operator's configuration: its model, its validation, and the routing table by which requests are
+//! matched.
 //!
 //! No I/O, no clock.
 #![forbid(unsafe_code)]
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -1,4 +1,5 @@
-//! The model of a configuration. Field names are those of the operator's JSON, unless `#[serde(rename)]` says otherwise.
+//! The model of a configuration. Field names are those of the operator's JSON document, unless changed by
+//! `#[serde(rename)]`.
 
 use crate::lenient::{integer, integer_or_default, integer_or_none, or_default};
 use serde::{Deserialize, Deserializer, Serialize};
@@ -6,45 +7,46 @@
 /// A complete configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// The version; higher is newer.
+    /// The version of the document; higher is newer. At least 1.
     #[serde(deserialize_with = "integer")]
     pub generation: u64,
-    /// The routes.
+    /// The routes, in any order.
     #[serde(default, deserialize_with = "or_default")]
     pub routes: Vec<Route>,
     /// The services.
     #[serde(default, deserialize_with = "or_default")]
     pub services: Vec<Service>,
-    /// Limits on what clients send.
+    /// Limits on the requests and connections of clients.
     #[serde(default, deserialize_with = "or_default")]
     pub limits: Limits,
-    /// The tenants; empty where requests need no keys.
+    /// The tenants. If there are none, requests need no API keys.
     #[serde(default, deserialize_with = "or_default")]
     pub tenants: Vec<Tenant>,
 }
 
-/// Whether a route's requests may run more than once.
+/// Whether a route's requests may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteType {
-    /// They are idempotent and may run more than once.
+    /// Requests are idempotent and may be executed more than once.
     Safe,
-    /// A request may run at most once.
+    /// A request may be executed at most once.
     NonIdempotent,
-    /// The response is a stream of events; a request may run at most once unless its stream may be resumed.
+    /// The response is an event stream. A request may be executed at most once, unless its stream may be
+    /// resumed.
     Streaming,
 }
 
-/// A route: the requests of a host whose path begins with a prefix.
+/// A route: the requests to a host whose path begins with a prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: String,
-    /// The `Host` of its requests.
+    /// The host that requests name in their `Host` header, in any case.
     pub hostname: String,
-    /// The beginning of their paths; begins and ends with a slash.
+    /// The prefix of the paths of requests. Begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether its requests may run more than once.
+    /// Whether requests may be executed more than once.
     pub route_type: RouteType,
     /// The time-out of a request, in milliseconds.
     #[serde(deserialize_with = "integer")]
@@ -55,25 +57,25 @@
     /// The priority; 0 is the highest.
     #[serde(default, deserialize_with = "integer_or_default")]
     pub priority: u8,
-    /// The service, where it is a single one.
+    /// The service, if there is a single one.
     #[serde(default)]
     pub service: Option<String>,
-    /// The services and their weights, where there are several.
+    /// The services with their weights, if the traffic is split between several.
     #[serde(default, deserialize_with = "or_default")]
     pub traffic_split: Vec<WeightedService>,
-    /// The most attempts of one request.
+    /// The most attempts for one request, including the first; 1 if absent.
     #[serde(default = "one", deserialize_with = "integer_or_one")]
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     #[serde(default, deserialize_with = "or_default")]
     pub public: bool,
-    /// Whether requests of one session should go to the same backend (affinity).
+    /// Whether the requests of a session should go to the same backend.
     #[serde(default, deserialize_with = "or_default")]
     pub session_affinity: bool,
-    /// Whether a stream may be resumed at another backend.
+    /// Whether an interrupted stream may be resumed at another backend.
     #[serde(default, deserialize_with = "or_default")]
     pub stream_resume: bool,
-    /// The latency target for the gap between two events of a stream, in milliseconds. Keeps its name in the document.
+    /// The target for the time between two events of a stream, in milliseconds.
     #[serde(rename = "gap_aim_ms", default, deserialize_with = "integer_or_none")]
     pub gap_target_ms: Option<u64>,
 }
@@ -91,7 +93,7 @@
 pub struct WeightedService {
     /// The service.
     pub service: String,
-    /// The weight, relative to the other services' of the split.
+    /// The weight relative to those of the other services of the split.
     #[serde(deserialize_with = "integer")]
     pub weight: u64,
 }
@@ -99,47 +101,47 @@
 /// A service: a group of equivalent backends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: String,
     /// The path of a backend's health check.
     #[serde(default, deserialize_with = "or_default")]
     pub health_check_path: String,
-    /// The most connections that a backend accepts from all nodes together.
+    /// The most connections that a backend accepts from all nodes together; `None` for no limit.
     #[serde(default, deserialize_with = "integer_or_none")]
     pub max_connections: Option<u64>,
-    /// The engine, where the service is a language model.
+    /// The inference engine, if the service is a language model.
     #[serde(default)]
     pub engine: Option<Engine>,
-    /// The path at which its backends serve digests of their prefix caches; absent where they serve none.
+    /// The path at which the backends serve digests of their prefix caches; `None` if they serve none.
     #[serde(default)]
     pub holdings_path: Option<String>,
 }
 
-/// The engine of a language model's backends.
+/// The inference engine of a language model's backends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// The number of requests that run at the same time.
+    /// The number of requests that a backend processes concurrently.
     #[serde(default, deserialize_with = "integer_or_default")]
     pub slots: u32,
-    /// The capacity of its KV cache, in tokens.
+    /// The capacity of a backend's KV cache, in tokens.
     #[serde(default, deserialize_with = "integer_or_default")]
     pub kv_capacity_tokens: u64,
-    /// The number of tokens in an event of a stream.
+    /// The number of tokens in each event of a stream.
     #[serde(default, deserialize_with = "integer_or_none")]
     pub stride: Option<u32>,
 }
 
-/// Limits on what clients send.
+/// Limits on the requests and connections of clients.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// The largest head of a request, in bytes.
+    /// The largest request head (request line and headers), in bytes.
     #[serde(deserialize_with = "integer")]
     pub max_header_bytes: u64,
-    /// The largest body of a request, in bytes.
+    /// The largest request body, in bytes.
     #[serde(deserialize_with = "integer")]
     pub max_body_bytes: u64,
-    /// The time-out for the arrival of a head, in milliseconds.
+    /// The time-out for receiving a request head, in milliseconds.
     #[serde(deserialize_with = "integer")]
     pub header_timeout_ms: u64,
     /// The time-out of an idle connection, in milliseconds.
@@ -158,13 +160,13 @@
     }
 }
 
-/// The unit of a tenant's limit.
+/// The unit that a tenant's limit counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unit {
-    /// Tokens.
+    /// The limit counts tokens.
     Tokens,
-    /// Requests; also for any other name in the document.
+    /// The limit counts requests. Also used for any other name in the document.
     #[default]
     #[serde(other)]
     Requests,
@@ -173,24 +175,24 @@
 /// A tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant.
     pub name: String,
-    /// Its keys.
+    /// The tenant's API keys.
     #[serde(default, deserialize_with = "or_default")]
     pub api_keys: Vec<String>,
-    /// The priority, which precedes the route's; 0 is the highest.
+    /// The tenant's priority, which is compared before that of the route; 0 is the highest.
     #[serde(default, deserialize_with = "integer_or_default")]
     pub priority: u8,
-    /// The unit of its limit.
+    /// The unit of the tenant's limit.
     #[serde(default, deserialize_with = "or_default")]
     pub unit: Unit,
-    /// The number of tokens of a request that does not state it.
+    /// The number of tokens that are assumed for a request which does not state it.
     #[serde(default)]
     pub plain_tokens: Option<f64>,
     /// The rate limit per second of all nodes together; 0 or absent for none.
     #[serde(default)]
     pub rate_per_s: Option<f64>,
-    /// The burst beyond the rate.
+    /// The burst that is admitted beyond the rate, in the tenant's unit.
     #[serde(default)]
     pub burst: Option<f64>,
 }
--- a/crates/configuration/src/rules.rs
+++ b/crates/configuration/src/rules.rs
@@ -1,10 +1,10 @@
-//! The rules between the parts of a configuration that a schema cannot express.
+//! The rules on relations between parts of a configuration, which a schema cannot express.
 
 use crate::error::ConfigurationError;
 use crate::model::{Configuration, Route, Service, Tenant};
 use std::collections::{HashMap, HashSet};
 
-/// All violations of the rules, in the order of the document.
+/// All violations of the rules: of the routes, then the services, then the tenants.
 pub(crate) fn violations(configuration: &Configuration) -> Vec<ConfigurationError> {
     let mut violations = Violations(Vec::new());
     violations.check_routes(configuration);
@@ -13,7 +13,7 @@
     violations.0
 }
 
-/// The violations found so far.
+/// The violations that were found so far.
 struct Violations(Vec<ConfigurationError>);
 
 impl Violations {
--- a/crates/configuration/src/table.rs
+++ b/crates/configuration/src/table.rs
@@ -1,24 +1,26 @@
-//! Matching of requests against a configuration.
+//! The routing table: matches requests with the routes, tenants and services of a configuration.
 
 use crate::model::{Configuration, Route, Service, Tenant};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The match of a request.
+/// The result of matching a request with the routes.
 #[derive(Clone, Debug)]
 pub struct RouteMatch {
-    /// The route.
+    /// The matching route.
     pub route: Arc<Route>,
 }
 
-/// A configuration in the form by which requests are matched. Built once for each version.
+/// A configuration with indexes for matching requests. Built once for each configuration.
 #[derive(Debug)]
 pub struct RouteTable {
-    /// The version.
+    /// The generation of the configuration.
     pub generation: u64,
-    /// The configuration itself.
+    /// The configuration that the table was built from.
     pub configuration: Arc<Configuration>,
+    /// Routes by host in lower case, those with the longest prefix first.
     hosts: HashMap<String, Vec<Arc<Route>>>,
+    /// Tenants by API key.
     tenants: HashMap<String, Arc<Tenant>>,
     services: HashMap<String, Arc<Service>>,
 }
@@ -47,25 +49,25 @@
         RouteTable { generation, configuration: Arc::new(configuration), hosts, tenants, services }
     }
 
-    /// The route of a request: of the routes of its host, the one with the longest prefix of its path. `path` is without the
-    /// query.
+    /// Finds the route of a request: of its host's routes, the one with the longest prefix that its path
+    /// begins with. `path` must not include the query. `None` if no route matches.
     pub fn route(&self, host: &str, path: &str) -> Option<RouteMatch> {
         let routes = self.hosts.get(&host.to_ascii_lowercase())?;
         let route = routes.iter().find(|route| path.starts_with(&route.path_prefix))?;
         Some(RouteMatch { route: route.clone() })
     }
 
-    /// The tenant with this key.
+    /// The tenant with this API key.
     pub fn tenant(&self, key: &str) -> Option<&Arc<Tenant>> {
         self.tenants.get(key)
     }
 
-    /// A service by name.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
 
-    /// Whether requests need keys.
+    /// Whether requests need API keys, except on public routes.
     pub fn requires_keys(&self) -> bool {
         !self.configuration.tenants.is_empty()
     }
--- a/crates/configuration/tests/check.rs
+++ b/crates/configuration/tests/check.rs
@@ -1,4 +1,5 @@
-//! Validation of documents: valid ones are accepted, and each error is reported with its location, in little time.
+//! Validation of documents: valid ones are accepted, errors are reported with their locations, and large
+//! documents are checked quickly.
 
 use configuration::{ConfigurationError, MAX_ERRORS, RouteType, Unit, check, compile_schema};
 use serde_json::{Value, json};
@@ -35,6 +36,7 @@
     check(document.to_string().as_bytes()).expect_err("an error")
 }
 
+/// The text of the only error of a valid document with a change.
 fn only_error(change: impl FnOnce(&mut Value)) -> String {
     let mut changed = document();
     change(&mut changed);
@@ -44,7 +46,7 @@
 }
 
 #[test]
-fn a_valid_document_is_accepted_with_fields_of_later_versions() {
+fn a_valid_document_with_unknown_fields_is_accepted() {
     let mut document = document();
     document["later"] = json!({"a": 1});
     document["routes"][0]["later"] = json!([1]);
@@ -59,8 +61,8 @@
 
 #[test]
 fn null_is_equivalent_to_an_absent_value() {
-    let least = json!({"generation": 1});
-    assert!(check(least.to_string().as_bytes()).is_ok());
+    let minimal = json!({"generation": 1});
+    assert!(check(minimal.to_string().as_bytes()).is_ok());
     let mut document = document();
     let route = &mut document["routes"][0];
     for field in ["traffic_split", "target_latency_ms", "priority", "max_attempts", "public", "gap_aim_ms"] {
@@ -111,8 +113,8 @@
     let message = only_error(|d| d["tenants"][1]["name"] = json!("t-1"));
     assert_eq!(message, "/tenants/1/name: the same name as /tenants/0");
     let message = only_error(|d| {
-        let again = d["services"][0].clone();
-        d["services"].as_array_mut().expect("services").push(again);
+        let duplicate = d["services"][0].clone();
+        d["services"].as_array_mut().expect("services").push(duplicate);
     });
     assert_eq!(message, "/services/2/name: the same name as /services/0");
     let message = only_error(|d| d["routes"][0]["path_prefix"] = json!("/a"));
@@ -131,7 +133,7 @@
 }
 
 #[test]
-fn a_truncated_document_is_one_error_with_line_and_column() {
+fn a_truncated_document_gives_one_error_with_line_and_column() {
     let text = serde_json::to_string_pretty(&document()).expect("JSON");
     for length in [1, 20, text.len() / 2, text.len() - 1] {
         let errors = check(&text.as_bytes()[..length]).expect_err("truncated");
@@ -145,7 +147,7 @@
 }
 
 #[test]
-fn errors_are_single_lines_without_keys() {
+fn errors_are_single_lines_without_api_keys() {
     let mut document = document();
     document["tenants"][0]["api_keys"] = json!("secret-key");
     document["tenants"][1]["api_keys"] = json!([{"secret-key": 1}]);
@@ -170,21 +172,21 @@
         "route_type": "safe", "timeout_ms": 4000, "service": "s-1", "max_attempts": 1})
 }
 
-/// The longest check of a thousand routes in a build without optimization.
-const MAX_TIME_FOR_A_THOUSAND: Duration = Duration::from_millis(500);
+/// The longest time for checking a thousand routes, in a build without optimization.
+const MAX_CHECK_TIME: Duration = Duration::from_millis(500);
 
 #[test]
-fn a_thousand_routes_are_checked_in_little_time() {
+fn a_thousand_routes_are_checked_within_the_time_limit() {
     compile_schema();
     let mut document = document();
     document["routes"] = (0..1000).map(document_route).collect();
     let bytes = document.to_string().into_bytes();
-    let least = (0..3).map(|_| {
+    let times = (0..3).map(|_| {
         let started_at = Instant::now();
         assert!(check(&bytes).is_ok());
         started_at.elapsed()
     });
-    let least = least.min().expect("three runs");
-    println!("1000 routes, {} bytes: {least:?}", bytes.len());
-    assert!(least < MAX_TIME_FOR_A_THOUSAND, "{least:?}");
+    let fastest = times.min().expect("three runs");
+    println!("1000 routes, {} bytes: {fastest:?}", bytes.len());
+    assert!(fastest < MAX_CHECK_TIME, "{fastest:?}");
 }
