--- a/crates/marlwinch/tests/system_tools.rs
+++ b/crates/marlwinch/tests/system_tools.rs
@@ -92,7 +92,7 @@
     let told = String::from_utf8(out).expect("text");
     let expected = [
         format!("{}: settings of n", good.display()),
-        format!("{}: internal_port_range: has 1 port, 2 are used", bad.display()),
+        format!("{}: internal_port_range: has 1 port, but 2 are required", bad.display()),
         format!("{}: generation 7, 0 routes, 1 services, 0 tenants", good_too.display()),
         format!("{}: /services/1/name: the same name as /services/0", bad_too.display()),
         format!("{}: /services/2/name: the same name as /services/1", bad_too.display()),
--- a/crates/node-settings/src/error.rs
+++ b/crates/node-settings/src/error.rs
@@ -1,14 +1,14 @@
-//! The errors of loading a settings file. Operators see their texts.
+//! Errors from loading a settings file. Operators see their texts.
 
 use crate::settings::PATH_VARIABLE;
 use quick_error::quick_error;
 use std::fmt::{self, Display, Formatter};
 use std::path::PathBuf;
 
-/// The first error in the text of a settings file. The parser's errors are kept as text, in one line.
+/// The first error in a settings file. An error of the parser is kept as a single line of text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidSettings {
-    /// The path of keys to the invalid value, such as `limits.cores`; `.` for the whole file.
+    /// The path of the invalid value in the file, such as `limits.cores`; `.` for the complete file.
     pub location: String,
     /// Why the value is invalid.
     pub reason: String,
@@ -26,14 +26,14 @@
     /// Why a settings file was not loaded.
     #[derive(Debug)]
     pub enum SettingsError {
-        /// The environment has no path of a file.
+        /// The environment variable with the path of the file is not set.
         PathNotSet { display("{PATH_VARIABLE} is not set") }
         /// The file could not be read.
         Unreadable(path: PathBuf, error: std::io::Error) {
             display("{}: {error}", path.display())
             source(error)
         }
-        /// The content of the file is invalid.
+        /// The content of the file is not valid.
         Invalid(path: PathBuf, error: InvalidSettings) {
             display("{}: {error}", path.display())
             source(error)
--- a/crates/node-settings/src/fingerprint.rs
+++ b/crates/node-settings/src/fingerprint.rs
@@ -1,9 +1,10 @@
-//! Whether a file has changed, by its metadata alone.
+//! Detection of changes to a file by its metadata.
 
 use std::path::Path;
 use std::time::SystemTime;
 
-/// Identifies a state of a file without reading it: a file that was written again has another one.
+/// The modification time and the length of a file. If a file is written again, its fingerprint is expected to
+/// differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileFingerprint {
     modified: Option<SystemTime>,
@@ -11,7 +12,7 @@
 }
 
 impl FileFingerprint {
-    /// The fingerprint of a file; `None` while there is no file.
+    /// The present fingerprint of a file; `None` if there is no such file.
     pub fn of(path: &Path) -> Option<Self> {
         let metadata = std::fs::metadata(path).ok()?;
         Some(FileFingerprint { modified: metadata.modified().ok(), length: metadata.len() })
--- a/crates/node-settings/src/lib.rs
+++ b/crates/node-settings/src/lib.rs
@@ -1,6 +1,6 @@
-//! The settings file of a process of the system: its model, its validation, and a watcher for changes.
+//! The settings file of a process: its model, its validation, and a watcher that detects changes.
 //!
-//! The environment variable [`PATH_VARIABLE`] has the path of the file. Unknown fields are ignored.
+//! The environment variable [`PATH_VARIABLE`] holds the path of the file. Unknown fields are ignored.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/node-settings/src/loading.rs
+++ b/crates/node-settings/src/loading.rs
@@ -6,11 +6,11 @@
 use serde_yaml_ng::{Mapping, Value};
 use std::path::Path;
 
-/// The location of an error that concerns the whole file.
+/// The location of errors that concern the complete file.
 const WHOLE_FILE: &str = ".";
 
 impl Settings {
-    /// Loads the file whose path is in the environment variable [`PATH_VARIABLE`].
+    /// Loads the file at the path that the environment variable [`PATH_VARIABLE`] holds.
     pub fn from_environment() -> Result<Self, SettingsError> {
         let path = std::env::var_os(PATH_VARIABLE).ok_or(SettingsError::PathNotSet)?;
         Settings::load(Path::new(&path))
@@ -23,7 +23,8 @@
         Settings::parse(&text).map_err(|error| SettingsError::Invalid(path.into(), error))
     }
 
-    /// Parses and validates the text of a file. A key without a value counts as absent.
+    /// Parses and validates the text of a file. A key without a value, or with an empty mapping, counts as
+    /// absent.
     pub fn parse(text: &str) -> Result<Self, InvalidSettings> {
         let mut document: Value =
             serde_yaml_ng::from_str(text).map_err(|error| invalid_file(error.to_string()))?;
@@ -43,7 +44,8 @@
     InvalidSettings { location: WHOLE_FILE.to_string(), reason }
 }
 
-/// Removes keys with no value or an empty mapping, at all levels: a platform may write such keys, known or unknown.
+/// Removes keys without a value or with an empty mapping, at all levels: a platform may write such keys,
+/// whether they are known here or not.
 fn remove_empty_values(value: &mut Value) {
     if let Value::Mapping(mapping) = value {
         mapping.values_mut().for_each(remove_empty_values);
--- a/crates/node-settings/src/settings.rs
+++ b/crates/node-settings/src/settings.rs
@@ -1,22 +1,23 @@
-//! The model of a settings file. The names of types and fields are in the file or in errors that operators see.
+//! The model of a settings file. The names of types and fields appear in the file, or in errors that
+//! operators see.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
 
-/// The environment variable with the path of the settings file.
+/// The environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "MARLWINCH_NODE_FILE";
 
 /// The settings of one process.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Settings {
-    /// The name of the machine, unique in the fleet.
+    /// The name of the node, unique in the fleet.
     pub node_name: String,
-    /// The class of the machine, such as `frontend` or `core`.
+    /// The class of the machine, such as `frontend` or `core`; empty if not set.
     #[serde(default)]
     pub machine_class: String,
-    /// The address of the machine.
+    /// The IPv4 address of the machine.
     pub ip: Ipv4Addr,
     /// The zone of the machine.
     #[serde(default)]
@@ -24,18 +25,20 @@
     /// The region of the machine.
     #[serde(default)]
     pub region: String,
-    /// Every zone with its region.
+    /// The region of every zone, by the zone's name.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
     /// The addresses at which the process listens.
     #[serde(default)]
     pub listen: Listen,
-    /// The first and the last port of the range for the fleet's internal protocol, on every machine.
+    /// The first and the last port of the range for connections between coordinators, agents and proxies. The
+    /// same on every machine.
     pub internal_port_range: [u16; 2],
-    /// The operator addresses of a few coordinators, as of the time when the file was written.
+    /// The operator interfaces of some coordinators, as known when the file was written.
     #[serde(default)]
     pub seed_nodes: Vec<SocketAddrV4>,
-    /// Whether the whole system starts for the first time, with empty disks, so that coordinators may form a first chain.
+    /// Whether the fleet starts for the first time, with empty disks, so that the coordinators may form the
+    /// first chain.
     #[serde(default)]
     pub bootstrap: bool,
     /// Whether a failure of this machine counts towards [`FaultTolerance::machines`].
@@ -44,19 +47,19 @@
     /// The resource limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// The directory for persistent state; `None` on machines without a disk.
+    /// The absolute path of the directory for persistent state; `None` on machines without a disk.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
-    /// The heartbeat interval, in milliseconds.
+    /// The heartbeat interval, in milliseconds; `None` if it is not set.
     #[serde(default)]
     pub heartbeat_ms: Option<u64>,
-    /// The failures that are tolerated at once.
+    /// The failures that are tolerated at the same time.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// The bounds of the operators' rules.
+    /// The bounds that the operators' rules set for the fleet.
     #[serde(default)]
     pub bounds: Bounds,
-    /// The platform's interface, where the list of backends is read from it.
+    /// The platform's API, if the list of backends is read from there.
     #[serde(default)]
     pub cloud_api: Option<CloudApi>,
 }
@@ -65,11 +68,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Listen {
-    /// The address for clients.
+    /// The address for clients; `None` on machines that serve none.
     pub frontend: Option<SocketAddrV4>,
-    /// The address for the platform's readiness probe.
+    /// The address for the platform's readiness probe; `None` for none.
     pub readiness: Option<SocketAddrV4>,
-    /// The address of the operator's interface.
+    /// The address of the operator interface, which only coordinators have.
     pub control: Option<SocketAddrV4>,
 }
 
@@ -77,34 +80,35 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// The share of a core's time, above 0.
+    /// The fraction of a core's time, above 0.
     pub cpu_share: f64,
     /// The number of cores.
     pub cores: u32,
-    /// Memory, in MB.
+    /// The memory, in MB.
     pub memory_mb: u64,
     /// The number of file descriptors.
     pub max_fds: u64,
-    /// The bandwidth of the machine's network link, in Mbit/s.
+    /// The bandwidth of the machine's network interface, in Mbit/s.
     pub link_mbps: f64,
-    /// Disk space, in MB.
+    /// The disk space, in MB.
     pub disk_mb: u64,
 }
 
-/// How many simultaneous failures are tolerated while every rule holds.
+/// The number of simultaneous failures under which every rule must still hold.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct FaultTolerance {
-    /// The number of machines, of those that count for the quorum.
+    /// The number of failed machines, of those that count for the quorum.
     pub machines: u32,
-    /// The number of zones.
+    /// The number of failed zones.
     pub zones: u32,
-    /// The number of regions.
+    /// The number of failed regions.
     pub regions: u32,
 }
 
-/// The bounds of the operators' rules, each a finite number from 0. Fields have their names in the file: `_ms` are milliseconds,
-/// `_s` seconds, all others ratios or numbers of requests or tokens.
+/// The bounds of the operators' rules. Each is a finite number of at least 0. Fields are named as in the
+/// file: those in `_ms` are in milliseconds, those in `_s` in seconds; all others are ratios, or numbers of
+/// requests or tokens.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 #[allow(missing_docs)]
@@ -132,15 +136,15 @@
     pub again_s: f64,
 }
 
-/// The platform's interface.
+/// The platform's API.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct CloudApi {
-    /// Its address.
+    /// The address of the API.
     pub address: SocketAddrV4,
-    /// The rate limit for requests of all nodes together, in requests per second.
+    /// The rate limit for the requests of all nodes together, in requests per second.
     #[serde(default)]
     pub rate_per_s: f64,
-    /// The greatest staleness of its list, in milliseconds.
+    /// The greatest staleness of the list of backends, in milliseconds.
     #[serde(default)]
     pub lag_ms: f64,
 }
@@ -180,13 +184,14 @@
 }
 
 impl Settings {
-    /// The internal address of the coordinator on a machine.
+    /// The address at which the coordinator on a machine accepts connections from agents and other
+    /// coordinators.
     pub fn coordinator_address(&self, ip: Ipv4Addr) -> SocketAddrV4 {
         SocketAddrV4::new(ip, self.internal_port_range[0])
     }
 
-    /// The address of the agent for the proxy on its machine: at 127.0.0.1, or at the address of the machine if that is a
-    /// loopback address, so that several such machines can share one host.
+    /// The address at which the agent accepts the proxy of its machine: at 127.0.0.1, or at the address of
+    /// the machine if that is a loopback address, so that several nodes can run on one host.
     pub fn agent_address(&self) -> SocketAddrV4 {
         let ip = if self.ip.is_loopback() { self.ip } else { Ipv4Addr::LOCALHOST };
         SocketAddrV4::new(ip, self.internal_port_range[0] + 1)
--- a/crates/node-settings/src/validation.rs
+++ b/crates/node-settings/src/validation.rs
@@ -1,19 +1,19 @@
-//! The validation of settings that were parsed: values that can not work.
+//! Validation of parsed settings: rejects values that cannot work.
 
 use crate::error::InvalidSettings;
 use crate::settings::{Bounds, Settings};
 use std::net::SocketAddrV4;
 
-/// The number of ports of the internal range that are in use: the first by coordinators, the second by agents.
+/// The number of ports used of the internal range: the first by coordinators, the second by agents.
 const INTERNAL_PORTS: u16 = 2;
-/// The number of those in use on a coordinator's machine.
+/// The number of these that are used on a coordinator's machine.
 const COORDINATOR_PORTS: u16 = 1;
 
 fn invalid(location: impl Into<String>, reason: impl Into<String>) -> Result<(), InvalidSettings> {
     Err(InvalidSettings { location: location.into(), reason: reason.into() })
 }
 
-/// Validates settings; the error is the first one found.
+/// Validates settings. Returns the first error.
 pub(crate) fn validate(settings: &Settings) -> Result<(), InvalidSettings> {
     validate_machine(settings)?;
     validate_ports(settings)?;
@@ -52,7 +52,7 @@
     }
     let used = if settings.listen.control.is_some() { COORDINATOR_PORTS } else { INTERNAL_PORTS };
     if last - first + 1 < used {
-        return invalid("internal_port_range", format!("has 1 port, {used} are used"));
+        return invalid("internal_port_range", format!("has 1 port, but {used} are required"));
     }
     Ok(())
 }
@@ -71,7 +71,7 @@
         if (first..first.saturating_add(INTERNAL_PORTS)).contains(&address.port()) {
             return invalid(
                 location,
-                format!("port {} is used between the programs of the fleet", address.port()),
+                format!("port {} is reserved for the fleet's internal protocol", address.port()),
             );
         }
         if let Some((other, _)) = named[..index].iter().find(|(_, other)| other == address) {
@@ -87,7 +87,10 @@
             return invalid(format!("seed_nodes[{index}]"), "the port is 0");
         }
         if seed.ip().is_unspecified() {
-            return invalid(format!("seed_nodes[{index}]"), format!("{} is not a machine", seed.ip()));
+            return invalid(
+                format!("seed_nodes[{index}]"),
+                format!("{} is not the address of a machine", seed.ip()),
+            );
         }
     }
     Ok(())
@@ -118,7 +121,7 @@
     if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
-    invalid(location, format!("{value} is not a figure from 0"))
+    invalid(location, format!("{value} is not a finite number of at least 0"))
 }
 
 fn validate_bounds(bounds: &Bounds) -> Result<(), InvalidSettings> {
--- a/crates/node-settings/tests/golden.rs
+++ b/crates/node-settings/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Settings files as golden files, and the settings that are parsed from each, compared with golden files: a file with every key, the
-//! least that a file may hold (so the defaults), and one as a platform writes it.
+//! Compares the settings that are parsed from three files with golden files: a file with every key, one with
+//! the required keys only (which gives the defaults), and one as a platform writes it.
 //!
-//! The settings in `tests/golden/*.yaml` are edited by hand alone. What is read from them is written on purpose alone:
-//! `GOLDEN=write cargo test -p node-settings --test golden`. Without that, a file that is missing or differs fails the test with the place
-//! of the first difference.
+//! The files `tests/golden/*.yaml` are edited by hand. The parsed settings are only written by `GOLDEN=write
+//! cargo test -p node-settings --test golden`. Otherwise, a missing or different file fails the test, which
+//! prints the first difference.
 
 #[path = "../../control-protocol/tests/golden/compare.rs"]
 mod compare;
@@ -14,10 +14,10 @@
 const FILES: [&str; 3] = ["full", "least", "written_by_the_platform"];
 /// The keys that a file must have.
 const REQUIRED: [&str; 4] = ["node_name", "ip", "internal_port_range", "cloud_api.address"];
-/// What is derived from other settings.
+/// Values that are derived from settings.
 const DERIVED: [&str; 2] = ["(coordinator's address)", "(agent's address)"];
 
-/// The names of settings, as a file writes them, with their values.
+/// The names of settings as in a file, with their values.
 #[derive(Default)]
 struct SettingsDump(Vec<(String, String)>);
 
@@ -26,7 +26,7 @@
         self.0.push((name.to_owned(), format!("{value:?}")));
     }
 
-    fn plain(&mut self, name: &str, value: Option<impl Display>) {
+    fn add_optional(&mut self, name: &str, value: Option<impl Display>) {
         self.0.push((name.to_owned(), value.map_or("(none)".to_owned(), |value| value.to_string())));
     }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Everything in settings. One more setting does not compile without a line here.
+/// All settings. The patterns are exhaustive, so that a new setting does not compile without a line here.
 fn dump(settings: &Settings) -> SettingsDump {
     let mut dump = SettingsDump::default();
     let Settings {
@@ -63,14 +63,14 @@
     } = settings;
     dump.add("node_name", node_name);
     dump.add("machine_class", machine_class);
-    dump.plain("ip", Some(ip));
+    dump.add_optional("ip", Some(ip));
     dump.add("zone", zone);
     dump.add("region", region);
     dump.add("zones", zones);
     let Listen { frontend, readiness, control } = listen;
-    dump.plain("listen.frontend", *frontend);
-    dump.plain("listen.readiness", *readiness);
-    dump.plain("listen.control", *control);
+    dump.add_optional("listen.frontend", *frontend);
+    dump.add_optional("listen.readiness", *readiness);
+    dump.add_optional("listen.control", *control);
     dump.add("internal_port_range", internal_port_range);
     dump.add("seed_nodes", seed_nodes);
     dump.add("bootstrap", bootstrap);
@@ -82,8 +82,8 @@
     dump.add("limits.max_fds", max_fds);
     dump.add("limits.link_mbps", link_mbps);
     dump.add("limits.disk_mb", disk_mb);
-    dump.plain("data_dir", data_dir.as_ref().map(|folder| folder.display()));
-    dump.plain("heartbeat_ms", *heartbeat_ms);
+    dump.add_optional("data_dir", data_dir.as_ref().map(|directory| directory.display()));
+    dump.add_optional("heartbeat_ms", *heartbeat_ms);
     let FaultTolerance { machines, zones, regions } = fault_tolerance;
     dump.add("fault_tolerance.machines", machines);
     dump.add("fault_tolerance.zones", zones);
@@ -91,14 +91,14 @@
     dump_bounds(&mut dump, bounds);
     match cloud_api {
         Some(CloudApi { address, rate_per_s, lag_ms }) => {
-            dump.plain("cloud_api.address", Some(address));
+            dump.add_optional("cloud_api.address", Some(address));
             dump.add("cloud_api.rate_per_s", rate_per_s);
             dump.add("cloud_api.lag_ms", lag_ms);
         }
-        None => dump.plain("cloud_api", None::<String>),
+        None => dump.add_optional("cloud_api", None::<String>),
     }
-    dump.plain("(coordinator's address)", Some(settings.coordinator_address(settings.ip)));
-    dump.plain("(agent's address)", Some(settings.agent_address()));
+    dump.add_optional("(coordinator's address)", Some(settings.coordinator_address(settings.ip)));
+    dump.add_optional("(agent's address)", Some(settings.agent_address()));
     dump
 }
 
@@ -155,23 +155,24 @@
 }
 
 #[test]
-fn the_settings_of_each_file_are_as_in_its_golden_file() {
+fn the_settings_of_each_file_match_its_golden_file() {
     for name in FILES {
         compare::hold(&format!("{name}.read.txt"), &read(name).text());
     }
 }
 
-/// The full file gives each setting another value than the least file, so that every key of it is read under its name.
+/// The full file gives every setting another value than the default, so that a key that is not read is
+/// noticed.
 #[test]
 fn the_full_file_has_no_default_values() {
     let (full, least) = (read("full"), read("least"));
     for (name, value) in &full.0 {
         let may_be_equal = REQUIRED.contains(&name.as_str()) || DERIVED.contains(&name.as_str());
-        assert!(may_be_equal || least.value(name) != Some(value), "{name} is {value}, as by default");
+        assert!(may_be_equal || least.value(name) != Some(value), "{name} has the default value {value}");
     }
 }
 
-/// A required key that is absent is an error; no other key is required.
+/// The absence of a required key is an error, and no other key is required.
 #[test]
 fn only_the_required_keys_are_required() {
     let least = compare::read("least.yaml") + "cloud_api:\n  address: 10.200.0.96:8667\n";
--- a/crates/node-settings/tests/watcher.rs
+++ b/crates/node-settings/tests/watcher.rs
@@ -1,4 +1,4 @@
-//! The watcher for changes of a settings file.
+//! Detection of changes to a settings file.
 
 use node_settings::SettingsWatcher;
 
@@ -11,9 +11,9 @@
 "#;
 
 #[test]
-fn a_change_of_the_content_is_returned_once() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("boot.yaml");
+fn changed_settings_are_returned_once() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let path = directory.path().join("boot.yaml");
     std::fs::write(&path, VALID).expect("write");
     let mut watcher = SettingsWatcher::new(path.clone());
     assert!(watcher.poll().is_none());
@@ -26,7 +26,7 @@
     let settings = watcher.poll().expect("a change").expect("valid");
     assert_eq!(settings.seed_nodes[1].to_string(), "10.2.0.38:8665");
     assert!(watcher.poll().is_none());
-    // The file is written again with the same content.
+    // The modification time changes, but not the content.
     std::fs::File::options()
         .append(true)
         .open(&path)
@@ -36,11 +36,12 @@
     std::fs::write(&path, "node_name: [\n").expect("write");
     assert!(watcher.poll().expect("a change").is_err());
     std::fs::remove_file(&path).expect("remove");
-    assert!(watcher.poll().is_none(), "a file that is being replaced");
+    assert!(watcher.poll().is_none(), "the file is being replaced");
     std::fs::write(&path, VALID).expect("write");
     assert!(watcher.poll().expect("a change").is_ok());
 }
 
+/// A modification time that differs from the present one.
 fn later(seconds: u64) -> std::time::SystemTime {
     std::time::SystemTime::now() + std::time::Duration::from_secs(seconds)
 }
