--- a/crates/role-runtime/src/lib.rs
+++ b/crates/role-runtime/src/lib.rs
@@ -1,5 +1,5 @@
-//! The common parts of every role's process: the options of its command line, its runtime and exit code, and the endpoint of
-//! its metrics. Independent of what a role does.
+//! What the processes of all roles have in common: their command-line options, runtime and exit code, and the
+//! metrics endpoint. Independent of what a role does.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/role-runtime/src/metrics.rs
+++ b/crates/role-runtime/src/metrics.rs
@@ -1,5 +1,5 @@
-//! The HTTP endpoint of a role's metrics in the OpenMetrics text format: its place on the command line, and a small server
-//! that encodes a registry for each request.
+//! The HTTP endpoint of a role's metrics in the OpenMetrics text format: its command-line option, and a
+//! server that encodes a registry on each request.
 
 use control_link::{LinkError, LinkStep};
 use poem::http::header;
@@ -22,19 +22,22 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 quick_error! {
-    /// Why a text is not a valid endpoint for metrics.
+    /// Why a text is not a valid metrics endpoint. Each variant holds the text.
     #[derive(Debug, PartialEq, Eq)]
     pub enum MetricsEndpointError {
         /// There is no slash.
-        MissingPath(text: String) { display("metrics: {text}: PORT/PATH is expected") }
-        /// The text before the slash is not a port.
+        MissingPath(text: String) { display("metrics: {text}: expected PORT/PATH") }
+        /// The text before the slash is not a port from 1 to 65535.
         InvalidPort(text: String) { display("metrics: {text}: the port is not a number from 1 to 65535") }
-        /// The text behind the slash is not a path.
-        InvalidPath(text: String) { display("metrics: {text}: the path may hold letters, digits, / . _ and - alone") }
+        /// The text after the slash is empty, or contains other characters than ASCII letters, digits and
+        /// `/._-`.
+        InvalidPath(text: String) {
+            display("metrics: {text}: the path may only contain letters, digits and / . _ -")
+        }
     }
 }
 
-/// Where metrics are served: a port of the machine's own address, and a path.
+/// The endpoint at which metrics are served: a port at the machine's own address, and a path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricsEndpoint {
     port: u16,
@@ -50,49 +53,52 @@
             text.split_once('/').ok_or_else(|| MetricsEndpointError::MissingPath(text.into()))?;
         let port = port.parse().ok().filter(|port| *port > 0);
         let port = port.ok_or_else(|| MetricsEndpointError::InvalidPort(text.into()))?;
-        let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"/._-".contains(&byte);
-        if path.is_empty() || !path.bytes().all(is_plain) {
+        let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"/._-".contains(&byte);
+        if path.is_empty() || !path.bytes().all(is_allowed) {
             return Err(MetricsEndpointError::InvalidPath(text.into()));
         }
         Ok(MetricsEndpoint { port, path: format!("/{path}") })
     }
 }
 
-/// Adds a gauge to a registry.
+/// Registers a new gauge.
 pub fn gauge(registry: &mut Registry, name: &str, help: &str) -> Gauge {
     let gauge = Gauge::default();
     registry.register(name, help, gauge.clone());
     gauge
 }
 
-/// Adds a counter to a registry.
+/// Registers a new counter. The exposed name ends with `_total`.
 pub fn counter(registry: &mut Registry, name: &str, help: &str) -> Counter {
     let counter = Counter::default();
     registry.register(name, help, counter.clone());
     counter
 }
 
-/// The metrics of a role.
+/// A source of a role's metrics.
 pub trait MetricsSource: Send + Sync + 'static {
-    /// Updates the metrics that are read from the role's state. Called before each response.
+    /// Updates the metrics that are computed from the role's state. Called before each response.
     fn refresh(&self);
-    /// All metrics.
+    /// The registry with all metrics of the role.
     fn registry(&self) -> &Registry;
 }
 
-/// Serves metrics at an address of this machine, for as long as the process runs. A failure to listen there is logged, and
-/// nothing else depends on it.
-pub fn start(ip: Ipv4Addr, at: Option<&MetricsEndpoint>, source: Arc<dyn MetricsSource>) {
-    let Some(at) = at else { return };
-    let address = SocketAddrV4::new(ip, at.port);
-    match listen(address, &at.path, source) {
-        // A golden file holds this text.
-        Ok(()) => log::info!("metrics: told at {address}{}", at.path),
+/// Serves metrics at an endpoint of this machine for as long as the process runs; does nothing without an
+/// endpoint. A failure to listen there is only logged, as the role works without its metrics.
+pub fn start(ip: Ipv4Addr, metrics_endpoint: Option<&MetricsEndpoint>, source: Arc<dyn MetricsSource>) {
+    let Some(MetricsEndpoint { port, path }) = metrics_endpoint else { return };
+    let address = SocketAddrV4::new(ip, *port);
+    match listen(address, path, source) {
+        Ok(()) => log::info!("metrics: served at {address}{path}"),
         Err(error) => log::error!("metrics: {error}"),
     }
 }
 
-/// Serves metrics at any address.
+/// Serves metrics at an address and a path for as long as the process runs.
+///
+/// # Errors
+///
+/// [`LinkError::Io`] if listening at the address fails.
 pub fn listen(address: SocketAddrV4, path: &str, source: Arc<dyn MetricsSource>) -> Result<(), LinkError> {
     let listener = control_link::listen(address)?;
     let failed = |error| LinkError::Io(LinkStep::Listen, address.into(), error);
@@ -116,7 +122,7 @@
 fn expose(source: Data<&Arc<dyn MetricsSource>>) -> Response {
     source.refresh();
     let mut text = String::new();
-    // Writing to a string can't fail.
+    // Encoding into a string can't fail.
     let _ = encode(&mut text, source.registry());
     Response::builder().header(header::CONTENT_TYPE, CONTENT_TYPE).body(text)
 }
--- a/crates/role-runtime/src/process.rs
+++ b/crates/role-runtime/src/process.rs
@@ -1,4 +1,4 @@
-//! The process of a role: the options of its command line, its runtime, and its exit code.
+//! The process of a role: its command-line options, its runtime, and its exit code.
 
 use crate::metrics::MetricsEndpoint;
 use policy::Policy;
@@ -6,16 +6,18 @@
 use std::future::Future;
 use std::process::ExitCode;
 
-/// The options of a role's command line.
+/// The command-line options of a role.
 #[derive(Clone, Debug, Default)]
 pub struct RoleOptions {
-    /// The endpoint of its metrics, if any.
+    /// The metrics endpoint; `None` if metrics are not served.
     pub metrics: Option<MetricsEndpoint>,
-    /// The policy of its decisions.
+    /// The policy that the role's decisions follow.
     pub policy: Policy,
 }
 
-/// Runs a role until it ends, and logs why it failed. Does not wait for threads that hang in a write to the disk.
+/// Runs a role on a single-threaded Tokio runtime until it ends. An error is logged with the name of the
+/// role, and makes the exit code a failure. Does not wait for blocking threads, which may hang in a write to
+/// the disk.
 pub fn run(role: &str, serve: impl Future<Output = Result<(), Box<dyn Error>>>) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
