--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -1,4 +1,5 @@
-//! Parsing and formatting of values with units, as settings files contain them: durations, fractions, rates, sizes. No I/O.
+//! Parsing and formatting of values with units as they occur in settings files: durations, fractions, rates
+//! and sizes. No I/O.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -6,34 +7,34 @@
 use serde::{Deserialize, Deserializer, de};
 use std::time::Duration;
 
-/// The longest duration that is accepted: a day.
+/// The longest duration that is accepted: one day.
 pub const MAX_DURATION: Duration = Duration::from_secs(86_400);
 
 quick_error! {
-    /// Why a text is not a duration.
+    /// Why a text is not an accepted duration.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum DurationError {
         /// A number without a unit.
         MissingUnit {
             display("the duration has no unit")
         }
-        /// More than [`MAX_DURATION`].
+        /// Longer than [`MAX_DURATION`].
         TooLong {
             display("the duration is longer than a day")
         }
-        /// Anything else.
+        /// The text has another form, or an unknown unit.
         Malformed {
             display("not a duration")
         }
     }
 }
 
-/// The units of time, and the nanoseconds in each.
-const UNITS: [(&str, f64); 6] =
+/// The units of time, with the nanoseconds in each.
+const TIME_UNITS: [(&str, f64); 6] =
     [("ns", 1.0), ("us", 1e3), ("ms", 1e6), ("s", 1e9), ("m", 60e9), ("h", 3600e9)];
 
-/// Parses a duration such as `250ms`, `1.5s` or `2m`: digits with at most one point, and a unit (ns, us, ms, s, m, h). The
-/// result is rounded to nanoseconds.
+/// Parses a duration such as `250ms`, `1.5s` or `2m`: digits with at most one decimal point, and a unit (ns,
+/// us, ms, s, m, h). The result is rounded to nanoseconds.
 pub fn parse_duration(text: &str) -> Result<Duration, DurationError> {
     let text = text.trim();
     let digits = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
@@ -43,7 +44,7 @@
     if unit.is_empty() {
         return Err(DurationError::MissingUnit);
     }
-    let (_, nanos) = UNITS.iter().find(|(name, _)| *name == unit).ok_or(DurationError::Malformed)?;
+    let (_, nanos) = TIME_UNITS.iter().find(|(name, _)| *name == unit).ok_or(DurationError::Malformed)?;
     let nanos = number * nanos;
     if nanos > MAX_DURATION.as_nanos() as f64 {
         return Err(DurationError::TooLong);
@@ -51,7 +52,7 @@
     Ok(Duration::from_nanos(nanos.round() as u64))
 }
 
-/// Formats a duration as a settings file would contain it: in s, ms or us, with three decimals at most.
+/// Formats a duration as in a settings file: in s, ms or us, with at most three decimals.
 pub fn format_duration(time: Duration) -> String {
     let nanos = time.as_nanos() as f64;
     let (name, size) = match nanos {
@@ -64,14 +65,15 @@
     format!("{rounded}{name}")
 }
 
-/// Parses a percentage such as `26%` into a fraction (0.26). `None` if the text is malformed.
+/// Parses a percentage such as `26%` into a fraction (0.26), which may be outside of 0 to 1. `None` if the
+/// text is malformed.
 pub fn parse_percent(text: &str) -> Option<f64> {
     let number: f64 = text.trim().strip_suffix('%')?.trim_end().parse().ok()?;
     Some(number / 100.0)
 }
 
-/// Parses a rate such as `50/s`, `300/m` or `10/h` into events per second. `None` if the text is malformed, or the rate is
-/// negative or not finite.
+/// Parses a rate such as `50/s`, `300/m` or `10/h` into events per second. `None` if the text is malformed,
+/// or the rate is negative or not finite.
 pub fn parse_rate(text: &str) -> Option<f64> {
     let (number, unit) = text.trim().split_once('/')?;
     let number: f64 = number.trim().parse().ok()?;
@@ -84,7 +86,8 @@
     Some(number / seconds).filter(|rate| rate.is_finite() && *rate >= 0.0)
 }
 
-/// Parses a size such as `64KiB`, `1MiB` or `512B` into bytes. `None` if the text is malformed or the size exceeds `u64`.
+/// Parses a size such as `64KiB`, `1MiB` or `512B` into bytes. `None` if the text is malformed or the size
+/// exceeds `u64`.
 pub fn parse_bytes(text: &str) -> Option<u64> {
     let text = text.trim();
     let digits = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
@@ -99,12 +102,12 @@
     number.parse::<u64>().ok()?.checked_mul(1 << shift)
 }
 
-/// A duration in a settings file that serde deserializes, in the form of [`parse_duration`].
+/// A duration that serde deserializes from a settings file, in the form of [`parse_duration`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DurationSetting(Duration);
 
 impl DurationSetting {
-    /// The duration.
+    /// The duration that was set.
     pub fn get(self) -> Duration {
         self.0
     }
@@ -124,7 +127,8 @@
     }
 }
 
-/// A fraction in a settings file that serde deserializes: a number from 0 to 1, or a percentage such as `20%`.
+/// A fraction that serde deserializes from a settings file: a number from 0 to 1, or a percentage such as
+/// `20%`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FractionSetting(f64);
 
@@ -138,7 +142,8 @@
 impl<'de> Deserialize<'de> for FractionSetting {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         #[derive(Deserialize)]
-        // Operators see this text where the value has another type.
+        // Operators see this text if the value has another type. It is the default text of the type's
+        // previous name.
         #[serde(untagged, expecting = "data did not match any variant of untagged enum Written")]
         enum FractionForm {
             Number(f64),
--- a/crates/units/tests/units.rs
+++ b/crates/units/tests/units.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn formatted_durations_equal_the_parsed_texts() {
+fn a_parsed_duration_is_formatted_as_the_same_text() {
     for text in ["250ms", "1.5s", "120s", "7us", "0ms"] {
         assert_eq!(format_duration(parse_duration(text).expect("a duration")), text);
     }
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn settings_are_deserialized_and_errors_have_their_texts() {
+fn settings_are_deserialized_and_errors_describe_the_accepted_form() {
     let duration = |text: &str| {
         DurationSetting::deserialize(IntoDeserializer::<Error>::into_deserializer(text))
             .map(DurationSetting::get)
@@ -65,6 +65,6 @@
     let form = "a share is a number from 0 to 1, or a text such as \"20%\"";
     assert_eq!(fraction("120%"), Err(form.into()));
     let of_a_bool = FractionSetting::deserialize(IntoDeserializer::<Error>::into_deserializer(true));
-    let error = of_a_bool.expect_err("a bool is no fraction").to_string();
+    let error = of_a_bool.expect_err("a boolean is not a fraction").to_string();
     assert_eq!(error, "data did not match any variant of untagged enum Written");
 }
