--- a/crates/agent/src/backend_lists.rs
+++ b/crates/agent/src/backend_lists.rs
@@ -11,21 +11,23 @@
 /// The time after which a request for the complete list may be sent to another coordinator.
 const FULL_LIST_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long after its last confirmation the newest list may be that of a reader that is lost: a list is read every 0.7 s.
-const UNCONFIRMED_AFTER: Duration = Duration::from_millis(1500);
+/// How long after its last confirmation the newest list counts as unconfirmed: a list is read every 0.7 s, so
+/// the coordinator that read it may have failed.
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a backend that drains is remembered after the last list that names it.
+/// How long a draining backend is remembered after the last list that contains it.
 const DRAINING_RETENTION: Duration = Duration::from_secs(60);
 
-/// The list of one coordinator.
+/// The list of one coordinator, as far as it is known.
 #[derive(Clone, Debug)]
 struct CoordinatorList {
     version: BackendListVersion,
     backends: Arc<Vec<Backend>>,
-    /// Whether the coordinator is known to have exactly this list. Otherwise it is that of another coordinator, and is
-    /// compared.
+    /// Whether the coordinator is known to have exactly this list. Otherwise this is another coordinator's
+    /// list, which is being compared with that of this one.
     is_verified: bool,
-    /// Whether the coordinator has sent anything about its list since [`BackendLists::take_stale_links`] was last called.
+    /// Whether the coordinator has sent anything about its list since [`BackendLists::take_stale_links`] was
+    /// last called.
     is_active: bool,
     /// The comparison with the coordinator's list, while it is in progress.
     repair: Option<Repair>,
@@ -38,7 +40,7 @@
     deadline: Duration,
 }
 
-/// The lists of all coordinators and the newest list.
+/// The lists of all connected coordinators, and the newest of these.
 #[derive(Debug, Default)]
 pub(crate) struct BackendLists {
     by_link: BTreeMap<LinkId, CoordinatorList>,
@@ -46,17 +48,18 @@
     /// When the newest list was last confirmed.
     confirmed_at: Duration,
     full_list_request: Option<FullListRequest>,
-    /// Backends that were seen draining, each with the time of the last list that names it: none of them is ever ready again.
+    /// The instance ids of backends that were seen draining, each with the time of the last list that
+    /// contains it. A draining backend never becomes ready again.
     draining: HashMap<String, Duration>,
 }
 
 impl BackendLists {
-    /// The newest list.
+    /// The newest list, in which draining backends stay draining.
     pub fn newest(&self) -> Option<&BackendList> {
         self.newest.as_ref()
     }
 
-    /// The version of the newest read that agrees with the newest list.
+    /// The version of the newest read of the platform's list that confirms the newest list.
     pub fn version(&self) -> Option<BackendListVersion> {
         self.newest.as_ref().map(|list| list.version)
     }
@@ -93,8 +96,9 @@
         self.by_link.get(&id).is_some_and(|list| list.is_verified)
     }
 
-    /// What to request of a coordinator that refers to a list which is unknown here: its digest where another coordinator has
-    /// sent a list, otherwise the complete list, of one coordinator at a time.
+    /// What to request from a coordinator that refers to a list which is unknown here: its digest if another
+    /// coordinator has sent a list to compare with; otherwise the complete list, but only from one
+    /// coordinator at a time.
     pub fn request_unknown(&mut self, now: Duration, id: LinkId) -> Option<ListRequest> {
         self.by_link.remove(&id);
         if self.newest_verified().is_some() {
@@ -117,7 +121,7 @@
         verified.max_by_key(|list| list.version).map(|list| list.backends.clone())
     }
 
-    /// The list that a coordinator's changes make of its previous one. `None` if the previous one is unknown here.
+    /// A coordinator's previous list with its changes applied. `None` if the previous list is unknown here.
     pub fn changed_list(
         &self,
         id: LinkId,
@@ -129,7 +133,7 @@
         Some(BackendList { version, backends: changes.apply(&previous.backends) })
     }
 
-    /// A coordinator confirms its last list. Returns the newest list if that has changed.
+    /// Handles a coordinator's confirmation of its last list. Returns the newest list if that has changed.
     pub fn confirm(&mut self, now: Duration, id: LinkId, version: BackendListVersion) -> Option<BackendList> {
         let list = self.by_link.get_mut(&id).filter(|list| list.is_verified)?;
         list.version = list.version.max(version);
@@ -138,8 +142,8 @@
         self.adopt_if_newer(now, version, &backends)
     }
 
-    /// Compares the digest of a coordinator's list with the list that is stored for its link. Returns what to request if they
-    /// differ.
+    /// Compares the digest of a coordinator's list with the list that is stored for its link, or else with
+    /// the newest one of the others. Returns what to request if they differ.
     pub fn compare_digest(
         &mut self,
         now: Duration,
@@ -158,7 +162,8 @@
         list.repair.as_mut().and_then(Repair::next_request)
     }
 
-    /// Assumes that a coordinator has the newest list of the others. False if none has sent any.
+    /// Assumes, until it is compared, that a coordinator has the same list as the others. Returns false if no
+    /// other coordinator's list is known.
     fn assume_newest(&mut self, id: LinkId, version: BackendListVersion) -> bool {
         let Some(backends) = self.newest_verified() else { return false };
         let assumed =
@@ -167,8 +172,9 @@
         true
     }
 
-    /// Compares the content of a range of a coordinator's list. Returns what to request next. If the coordinator's list has
-    /// become another one meanwhile, its next digest begins a new comparison.
+    /// Compares the content of a range of a coordinator's list. Returns what to request next. If the
+    /// coordinator's list has changed in the meantime, the comparison ends, and the next digest begins a new
+    /// one.
     pub fn compare_range(
         &mut self,
         now: Duration,
@@ -189,8 +195,8 @@
         }
     }
 
-    /// The list of a link with the coordinator's entries of the backends that were found to differ; ends the comparison.
-    /// `None` if there was none of this version that has requested them.
+    /// Ends a comparison: returns the list of the link, in which the differing backends are replaced by the
+    /// coordinator's entries. `None` if no comparison of this version has requested these keys.
     pub fn repaired_list(
         &mut self,
         id: LinkId,
@@ -199,12 +205,12 @@
         backends: &[Backend],
     ) -> Option<BackendList> {
         let list = self.by_link.get_mut(&id).filter(|list| list.version == version)?;
-        list.repair.take_if(|repair| repair.requested(keys))?;
+        list.repair.take_if(|repair| repair.has_requested(keys))?;
         Some(BackendList { version, backends: repaired(&list.backends, keys, backends) })
     }
 
-    /// Replaces the list of a link with a repaired one of the same version, and the newest list unless that has a higher
-    /// version. Returns the newest list if that has changed.
+    /// Replaces the list of a link with a repaired one of the same version; also the newest list, unless that
+    /// has a higher version. Returns the newest list if that has changed.
     pub fn replace(&mut self, now: Duration, id: LinkId, list: BackendList) -> Option<BackendList> {
         let version = list.version;
         let backends = self.store(id, list);
@@ -231,7 +237,7 @@
         backends: &[Backend],
     ) -> Option<BackendList> {
         self.confirmed_at = now;
-        let backends = self.with_draining(now, backends);
+        let backends = self.keep_draining(now, backends);
         match &mut self.newest {
             Some(newest) if newest.backends == backends => {
                 newest.version = version;
@@ -245,9 +251,9 @@
         }
     }
 
-    /// The list, with each backend that was seen draining still draining. What the platform leaves out of a list may be on the
-    /// next one.
-    fn with_draining(&mut self, now: Duration, backends: &[Backend]) -> Vec<Backend> {
+    /// The list, in which every backend that was seen draining is still draining. Backends are remembered
+    /// because the platform may omit one from a list and include it in the next.
+    fn keep_draining(&mut self, now: Duration, backends: &[Backend]) -> Vec<Backend> {
         let mut backends = backends.to_vec();
         for backend in &mut backends {
             if self.draining.contains_key(&backend.instance_id) {
@@ -260,18 +266,20 @@
         backends
     }
 
-    /// Forgets the list of a link that has ended.
+    /// Removes the list of a link that has ended.
     pub fn remove_link(&mut self, id: LinkId) {
         self.by_link.remove(&id);
         self.full_list_request.take_if(|request| request.link == id);
     }
 
-    /// The links whose list is older than the newest one, if nothing about a list has arrived on them since the last call, or the
-    /// newest one is not confirmed any more: its reader may be lost, and what these coordinators read would be ignored for as
-    /// long as their versions are lower. Those of a coordinator that has started later are higher by far.
+    /// The links to coordinators that must learn the version of the newest list, as their own is older. These
+    /// are the links on which nothing about a list has arrived since the last call, and all of them while the
+    /// newest list is unconfirmed: its reader may have failed, and a list that these coordinators read would
+    /// be ignored until their versions exceed that of the newest one. A coordinator that has started later
+    /// uses versions that are higher by far.
     pub fn take_stale_links(&mut self, now: Duration) -> Vec<LinkId> {
         let Some(version) = self.version() else { return Vec::new() };
-        let is_unconfirmed = now >= self.confirmed_at + UNCONFIRMED_AFTER;
+        let is_unconfirmed = now >= self.confirmed_at + CONFIRMATION_TIMEOUT;
         let mut stale = Vec::new();
         for (id, list) in self.by_link.iter_mut().filter(|(_, list)| list.is_verified) {
             let is_silent = !std::mem::take(&mut list.is_active);
--- a/crates/agent/src/configuration_fetch.rs
+++ b/crates/agent/src/configuration_fetch.rs
@@ -1,4 +1,5 @@
-//! Requests for a newer configuration: to one coordinator at a time, accepting only what was the newest a short while ago.
+//! Requests for newer configurations. They go to one coordinator at a time, and a configuration is accepted
+//! only if it was confirmed to be the newest a short time ago.
 
 use crate::ids::LinkId;
 use control_protocol::ConfigurationSequence;
@@ -8,14 +9,17 @@
 /// The time after which a request without a response is sent to another coordinator.
 pub const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The longest time between the request for a configuration and its arrival, plus two seconds for each MiB: the coordinator
-/// may have stalled between the confirmation that it is the newest and its sending.
+/// The longest time between the request for a configuration and its arrival, not counting two seconds for
+/// each MiB of its size. A configuration that takes longer is rejected, as it may be outdated: the
+/// coordinator may have stalled after it confirmed that this was the newest one and before it sent it.
 pub const FRESHNESS_LIMIT: Duration = Duration::from_secs(3);
-const PER_MEBIBYTE: Duration = Duration::from_secs(2);
+/// What [`FRESHNESS_LIMIT`] is extended by for each MiB of a configuration.
+const TRANSFER_TIME_PER_MEBIBYTE: Duration = Duration::from_secs(2);
+/// Bytes.
 const MEBIBYTE: f64 = 1_048_576.0;
 
-/// The most requests that are remembered, as responses may arrive late.
-const MAX_REMEMBERED: usize = 16;
+/// The most requests that are remembered to recognize late responses.
+const MAX_REMEMBERED_REQUESTS: usize = 16;
 
 /// A request that was sent.
 #[derive(Clone, Copy, Debug)]
@@ -36,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ConfigurationSource {
     pub link: LinkId,
-    /// The sequence of its newest configuration.
+    /// The sequence number of its newest configuration.
     pub sequence: ConfigurationSequence,
 }
 
@@ -48,7 +52,7 @@
     pub request_id: u64,
 }
 
-/// The state of the requests.
+/// The requests that were sent, and the one that is pending.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigurationFetch {
     pending: Option<PendingRequest>,
@@ -61,14 +65,14 @@
 }
 
 impl ConfigurationFetch {
-    /// Begins a request to one of the coordinators with a newer configuration, preferably another one than before. `None`
-    /// without any, and while a response is awaited.
+    /// Begins a request to one of the coordinators with a newer configuration, preferably not the one that
+    /// was asked last. `None` if there is no such coordinator, and while a response is awaited.
     pub fn begin_if_due(&mut self, now: Duration, sources: &[ConfigurationSource]) -> Option<FetchRequest> {
         if self.pending.is_some_and(|pending| now < pending.deadline) {
             return None;
         }
         if let Some(pending) = self.pending.take() {
-            log::info!("link {}: the configuration did not come in time", pending.link);
+            log::info!("link {}: no configuration received within {FETCH_TIMEOUT:?}", pending.link);
         }
         let others = sources.iter().filter(|source| Some(source.link) != self.last_link);
         let newest = others.max_by_key(|source| source.sequence).or(sources.first());
@@ -78,22 +82,24 @@
         self.last_request_id += 1;
         let request_id = self.last_request_id;
         self.sent.push_back(SentRequest { request_id, link, sent_at: now });
-        if self.sent.len() > MAX_REMEMBERED {
+        if self.sent.len() > MAX_REMEMBERED_REQUESTS {
             self.sent.pop_front();
         }
         Some(FetchRequest { link, sequence, request_id })
     }
 
-    /// A coordinator states that the configuration which it sends next was the newest one after a request of this agent.
+    /// Records a coordinator's confirmation that the configuration which it sends next was the newest one
+    /// after this request.
     pub fn confirm_newest(&mut self, link: LinkId, request_id: u64) {
         let is_requested = |sent: &&SentRequest| sent.request_id == request_id && sent.link == link;
         self.confirmed = self.sent.iter().find(is_requested).copied().or(self.confirmed);
     }
 
-    /// Whether to accept a configuration that has arrived on a link: it was requested there not long ago, and confirmed.
+    /// Whether to accept a configuration of this size that has arrived on a link: only if it was requested on
+    /// that link recently, and confirmed to be the newest.
     pub fn accept(&mut self, now: Duration, link: LinkId, bytes: usize) -> bool {
         let Some(request) = self.confirmed.take_if(|request| request.link == link) else { return false };
-        let limit = FRESHNESS_LIMIT + PER_MEBIBYTE.mul_f64(bytes as f64 / MEBIBYTE);
+        let limit = FRESHNESS_LIMIT + TRANSFER_TIME_PER_MEBIBYTE.mul_f64(bytes as f64 / MEBIBYTE);
         let is_fresh = now < request.sent_at + limit;
         if is_fresh && self.pending.is_some_and(|pending| pending.link == link) {
             self.pending = None;
@@ -102,7 +108,7 @@
         is_fresh
     }
 
-    /// Forgets the requests on a link that has ended.
+    /// Drops the pending request and the confirmation of a link that has ended.
     pub fn remove_link(&mut self, link: LinkId) {
         if self.pending.is_some_and(|pending| pending.link == link) {
             self.pending = None;
@@ -110,7 +116,7 @@
         self.confirmed.take_if(|request| request.link == link);
     }
 
-    /// When the pending request times out.
+    /// When the pending request times out; `None` if there is none.
     pub fn deadline(&self) -> Option<Duration> {
         self.pending.map(|pending| pending.deadline)
     }
--- a/crates/agent/src/coordinator_selection.rs
+++ b/crates/agent/src/coordinator_selection.rs
@@ -4,12 +4,12 @@
 use control_protocol::CoreMember;
 use std::net::SocketAddrV4;
 
-/// The number of links that an agent keeps to a core with more members.
+/// The most members of a view to which an agent keeps links.
 pub const MAX_MEMBER_LINKS: usize = 3;
 /// The most addresses that are connected to at the same time. Guards against a long list of seeds.
 const MAX_TARGETS: usize = 8;
 
-/// Whether an agent has links.
+/// Whether an agent has links to coordinators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connectivity {
     /// At least one link is up, or was until a short while ago.
@@ -18,8 +18,9 @@
     Disconnected,
 }
 
-/// The distinct addresses to keep links to: all members of a small core; of a larger one the head, which divides the
-/// tenants' limits, and the monitors of the node, so that agents spread evenly. While disconnected, the seeds as well.
+/// The distinct addresses to keep links to. These are all members of a small view; of a larger one, the head,
+/// which divides the tenants' limits, and the monitors of this node, so that agents are spread evenly over
+/// the other members. While disconnected, the seeds are included as well.
 pub fn select_coordinators(
     node: &str,
     members: &[CoreMember],
--- a/crates/agent/src/effect.rs
+++ b/crates/agent/src/effect.rs
@@ -1,27 +1,27 @@
-//! What the agent's state machine requests of its driver.
+//! What the agent's state machine requests from its driver.
 
 use crate::ids::LinkId;
 use bytes::Bytes;
 use control_protocol::{ConfigurationSequence, FromAgent, ToProxy};
 
-/// An action that [`crate::AgentState`] requests of the main loop. Effects are carried out in order.
+/// An action that [`crate::AgentState`] requests from the main loop. Effects are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Close this link. It is opened again, and the coordinator sends its complete state.
+    /// Close this link. It is then reopened, and the coordinator sends its complete state.
     Reconnect(LinkId),
     /// Send a message to a coordinator.
     SendToCoordinator(LinkId, FromAgent),
     /// Send a message to the proxy.
     SendToProxy(ToProxy),
-    /// Send the configuration to the proxy. Its document is large and shared, not copied.
+    /// Send the configuration to the proxy. Its document may be large, so it is shared and not copied.
     ConfigureProxy(Configuration),
 }
 
-/// A configuration.
+/// A configuration as coordinators send it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// The sequence; higher is newer.
+    /// The sequence number; higher is newer.
     pub sequence: ConfigurationSequence,
-    /// The operator's document.
+    /// The operator's JSON document, which the agent does not parse.
     pub document: Bytes,
 }
--- a/crates/agent/src/event.rs
+++ b/crates/agent/src/event.rs
@@ -1,11 +1,11 @@
-//! Events that the connection tasks of an agent send to its main loop.
+//! Events that an agent's connection tasks send to its main loop.
 
 use crate::ids::{LinkId, ProxyId};
 use control_link::FrameWriter;
 use control_protocol::{ConfigurationSequence, FromProxy, ToAgent};
 use std::net::SocketAddrV4;
 
-/// An event of a connection.
+/// An event on a connection to a coordinator or from a proxy.
 #[derive(Debug)]
 pub enum Event {
     /// A coordinator has sent its first message on a new link.
@@ -25,13 +25,13 @@
     ProxyConnected {
         /// The connection.
         id: ProxyId,
-        /// The sequence of the configuration in force at the proxy; 0 for none.
+        /// The sequence number of the configuration in force at the proxy; 0 for none.
         in_force: ConfigurationSequence,
         /// The sending half of the connection.
         outgoing: FrameWriter,
     },
     /// A proxy has sent a message.
     ProxyMessage(ProxyId, FromProxy),
-    /// The connection of a proxy has ended.
+    /// A connection from a proxy has ended.
     ProxyDisconnected(ProxyId),
 }
--- a/crates/agent/src/ids.rs
+++ b/crates/agent/src/ids.rs
@@ -1,12 +1,12 @@
-//! Identities of connections.
+//! Identifiers of connections.
 
 use std::fmt::{self, Display, Formatter};
 
-/// A link, which is a connection to a coordinator; unique within the agent's process.
+/// Identifies a link, which is a connection to a coordinator. Unique within the agent's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u64);
 
-/// A connection of a proxy; unique within the agent's process.
+/// Identifies a connection from a proxy. Unique within the agent's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProxyId(pub u64);
 
--- a/crates/agent/src/monitor_ring.rs
+++ b/crates/agent/src/monitor_ring.rs
@@ -1,13 +1,15 @@
-//! Consistent hashing of nodes to members of the core (Karger et al., STOC 1997): the monitors of a node are the members that
-//! follow its position on a ring. A member that joins or leaves only moves the nodes that it monitors.
+//! Consistent hashing of nodes to coordinators (Karger et al., STOC 1997): the monitors of a node are the
+//! members of the view that follow its position on a ring. When a member joins or leaves, only the nodes that
+//! it monitors are reassigned.
 
 use range_digest::mixed;
 use std::collections::BTreeSet;
 
-/// The number of positions of each member on the ring. More of them spread nodes more evenly.
+/// The number of positions (virtual nodes) of each member on the ring. More positions spread nodes more
+/// evenly.
 const POSITIONS_PER_MEMBER: u64 = 64;
 
-/// The monitors of a node in the order of the ring, `count` at most, out of these members' identities.
+/// The monitors of a node out of the members with these ids, in the order of the ring and at most `count`.
 pub fn monitors(node: &str, members: &[u64], count: usize) -> Vec<u64> {
     let positions =
         |member: u64| (0..POSITIONS_PER_MEMBER).map(move |index| (member_position(member, index), member));
--- a/crates/agent/src/quota_contact.rs
+++ b/crates/agent/src/quota_contact.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-/// The longest interval between the last two responses, and between the last response and the end of the proxy, within which
-/// the proxy cannot have used anything without a grant. Less than the 1.1 s after which a node uses its fallback rate, by the
-/// time that a request may be in flight.
-const CONTACT_INTERVAL: Duration = Duration::from_millis(700);
+/// The longest interval between the last two responses, and between the last response and the end of the
+/// proxy, for which the proxy cannot have admitted anything without a grant. Shorter than the 1.1 s after
+/// which a node uses its fallback rate, by the time that a request may be in flight.
+const MAX_RESPONSE_GAP: Duration = Duration::from_millis(700);
 
 /// The times of the quota leader's last responses to the proxy.
 #[derive(Clone, Copy, Debug, Default)]
@@ -26,7 +26,7 @@
     pub fn record_disconnect(&mut self, now: Duration) {
         let responses = self.second_last.zip(self.last);
         self.lasted_until_end = responses.is_some_and(|(second_last, last)| {
-            last <= second_last + CONTACT_INTERVAL && now <= last + CONTACT_INTERVAL
+            last <= second_last + MAX_RESPONSE_GAP && now <= last + MAX_RESPONSE_GAP
         });
     }
 
--- a/crates/agent/src/repair.rs
+++ b/crates/agent/src/repair.rs
@@ -1,27 +1,30 @@
-//! Repair of a list of backends that differs from the coordinator's (anti-entropy): the differing ranges are found by their
-//! digests, and the differing entries are replaced with the coordinator's. No I/O, no clock.
+//! Repair of a list of backends that differs from the coordinator's (anti-entropy): the digests of ranges are
+//! compared to find the differing entries, which are then replaced by the coordinator's. No I/O, no clock.
 
 use control_protocol::{Backend, BackendListVersion};
 use quick_error::quick_error;
 use range_digest::{Difference, DigestedSet, KeyRange, RangeContent, RangeDigest, Walk, WalkError};
 
-/// The most differing backends that a repair replaces. With more, the complete list is requested.
+/// The most differing backends that a repair replaces. If more differ, the complete list is requested.
 const MAX_DIFFERENCES: usize = 256;
-/// The most responses that a comparison takes. With more, the complete list is requested.
+/// The most responses that a comparison may take. If it needs more, the complete list is requested.
 const MAX_RESPONSES: u32 = 512;
 
 quick_error! {
-    /// A repair was abandoned.
+    /// Why a repair was abandoned.
     #[derive(Debug, Clone, PartialEq, Eq)]
     pub enum RepairError {
         /// A response contradicts an earlier one.
         InvalidResponse(error: WalkError) { display("{error}") from() source(error) }
-        /// Too many backends differ.
-        TooManyDifferences(found: usize) { display("{found} backends found to differ, and no end") }
+        /// Too many backends differ, or the comparison has taken too many responses. Holds the number of
+        /// differing backends found until then.
+        TooManyDifferences(found: usize) {
+            display("comparison abandoned after {found} differing backends were found")
+        }
     }
 }
 
-/// What to request of a coordinator about its list.
+/// A request to a coordinator about its list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListRequest {
     /// The complete list.
@@ -37,9 +40,10 @@
 /// The reason for a comparison of two lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ComparisonReason {
-    /// The coordinator has not sent a list yet; the list is that of another coordinator, and may differ.
+    /// The coordinator has not sent its list yet. The list at hand is that of another coordinator and may
+    /// differ.
     FirstContact,
-    /// The coordinator has sent this list: a difference is a fault.
+    /// The coordinator has sent this list, so a difference is an error.
     Verification,
 }
 
@@ -52,7 +56,7 @@
     }
 }
 
-/// A comparison of one list with the coordinator's, and the differences found so far.
+/// A comparison of a list with the coordinator's, and the differences found so far.
 #[derive(Clone, Debug)]
 pub struct Repair {
     reason: ComparisonReason,
@@ -70,14 +74,14 @@
         backends: &[Backend],
         coordinator: RangeDigest,
     ) -> Option<Self> {
-        // Lists agree nearly always; the set is only built if they don't.
+        // Lists are nearly always equal; the set is built only if they differ.
         let local = control_protocol::list_digest(backends);
         if local == coordinator {
             return None;
         }
         log::log!(
             reason.level(),
-            "list {version}: {} backends with sum {:016x} here, {} with {:016x} at the coordinator",
+            "list {version} differs: {} backends with sum {:016x} here, {} with {:016x} at the coordinator",
             local.count,
             local.sum,
             coordinator.count,
@@ -93,7 +97,7 @@
         self.version
     }
 
-    /// What to request next; `None` while a response is awaited, and if the lists are equal.
+    /// What to request next; `None` while a response is awaited, or if no difference was found.
     pub fn next_request(&mut self) -> Option<ListRequest> {
         match self.walk.next_request() {
             Some(range) => Some(ListRequest::Range(range)),
@@ -104,9 +108,9 @@
         }
     }
 
-    /// Whether a response with these keys is the one to this comparison's request. The response to an earlier one, of a list that
-    /// has changed meanwhile, names other keys, and says nothing of what is different now.
-    pub fn requested(&self, keys: &[u64]) -> bool {
+    /// Whether this comparison has requested exactly these keys. A late response to an earlier comparison, of
+    /// a list that has changed since, has other keys and must not end this one.
+    pub fn has_requested(&self, keys: &[u64]) -> bool {
         self.walk.is_finished() && self.found.iter().map(|difference| difference.key).eq(keys.iter().copied())
     }
 
@@ -114,13 +118,14 @@
     ///
     /// # Errors
     ///
-    /// Where the response is invalid or too much differs: the repair cannot go on.
+    /// If the response is invalid, too many backends differ, or too many responses were needed. The repair
+    /// cannot continue.
     pub fn compare_range(&mut self, range: KeyRange, content: &RangeContent) -> Result<(), RepairError> {
         let found = self.walk.apply_response(&self.own, range, content)?;
         for difference in &found {
             log::log!(
                 self.reason.level(),
-                "list {}: key {:016x} from {:016x} on: {} here, {} at the coordinator",
+                "list {}: key {:016x} in the range from {:016x} differs: {} here, {} at the coordinator",
                 self.version,
                 difference.key,
                 range.first(),
@@ -136,7 +141,8 @@
     }
 }
 
-/// A list in which the entries with these keys are replaced with the coordinator's.
+/// The list with the entries of these keys replaced by the coordinator's, in the order of instance ids. A key
+/// without a replacement is removed.
 pub fn repaired(before: &[Backend], keys: &[u64], replacements: &[Backend]) -> Vec<Backend> {
     let mut list: Vec<Backend> =
         before.iter().filter(|backend| !keys.contains(&backend.key())).cloned().collect();
@@ -147,5 +153,5 @@
 }
 
 fn describe(content: Option<u64>) -> String {
-    content.map_or("nothing".to_string(), |hash| format!("{hash:016x}"))
+    content.map_or("absent".to_string(), |hash| format!("{hash:016x}"))
 }
