--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,7 +1,9 @@
-//! The agent beside each proxy: keeps links (long-lived connections) to coordinators, and sends the configuration, the list of
-//! backends and quota to the proxy on its machine over loopback.
+//! The agent that runs next to each proxy. It keeps links (long-lived connections) to coordinators, and
+//! forwards the configuration, the list of backends and quota grants to the proxy on the same machine over
+//! loopback.
 //!
-//! [`AgentState`] is the state machine, without I/O; [`Agent`] is its driver, with a task for each connection.
+//! [`AgentState`] is the state machine and does no I/O; [`Agent`] drives it, with one task for each
+//! connection.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -39,14 +41,15 @@
 
 /// The interval at which the settings file is checked for changes.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// How much earlier the process ends by itself than the platform kills it.
+/// How long before the platform would kill the process it exits by itself.
 const KILL_MARGIN: Duration = Duration::from_secs(1);
-/// The longest wait for coordinators to receive that the node shuts down.
+/// The longest wait for coordinators to close their links after the node's last message.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
-/// The longest wait for a proxy to connect where none is connected at the shutdown.
-const PROXY_WAIT: Duration = Duration::from_millis(500);
+/// The longest wait at shutdown for a proxy to connect, if none is connected.
+const PROXY_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Runs an agent until SIGTERM.
+/// Runs an agent until SIGTERM, and after that until its proxy has disconnected or the grace period is about
+/// to end. The exit code is a failure if the agent could not start.
 pub fn run(settings: Settings, options: RoleOptions) -> ExitCode {
     process::run("agent", serve(settings, options.metrics))
 }
@@ -62,7 +65,7 @@
     let listener = control_link::listen(settings.agent_address())?;
     let mut agent = Agent::start(identity(&settings), seeds(&settings), listener);
     role_runtime::metrics::start(settings.ip, metrics.as_ref(), agent.metrics());
-    log::info!("agent of {}: serves its proxy at {}", settings.node_name, settings.agent_address());
+    log::info!("agent of {}: listening for its proxy at {}", settings.node_name, settings.agent_address());
     let mut watch = tokio::time::interval(SETTINGS_POLL_INTERVAL);
     watch.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -74,11 +77,11 @@
         };
         match changed {
             Some(Ok(settings)) => agent.set_seeds(seeds(&settings)),
-            Some(Err(fault)) => log::warn!("settings: {fault}; those before stay in force"),
+            Some(Err(error)) => log::warn!("settings: {error}; the previous settings stay in force"),
             None => {}
         }
     }
-    log::info!("agent: told to end");
+    log::info!("agent: received SIGTERM, shutting down");
     serve_until_proxy_ends(&mut agent, &settings).await;
     if !agent.has_proxy() {
         agent.leave(LEAVE_TIMEOUT).await;
@@ -86,13 +89,15 @@
     Ok(())
 }
 
-/// Serves the proxy until it has ended: it needs to learn of draining backends for as long as it finishes requests.
+/// Serves the proxy until it has disconnected: while it finishes its requests, it must still learn which
+/// backends drain.
 async fn serve_until_proxy_ends(agent: &mut Agent, settings: &Settings) {
     let grace = Duration::from_secs_f64(settings.bounds.grace_s.max(0.0));
     let started_at = Instant::now();
     let deadline = started_at + grace.saturating_sub(KILL_MARGIN);
-    while Instant::now() < deadline && (agent.has_proxy() || started_at.elapsed() < PROXY_WAIT) {
-        let until = if agent.has_proxy() { deadline } else { deadline.min(started_at + PROXY_WAIT) };
+    while Instant::now() < deadline && (agent.has_proxy() || started_at.elapsed() < PROXY_CONNECT_TIMEOUT) {
+        let until =
+            if agent.has_proxy() { deadline } else { deadline.min(started_at + PROXY_CONNECT_TIMEOUT) };
         tokio::select! {
             () = agent.step() => {}
             () = sleep_until(until) => {}
@@ -109,7 +114,7 @@
     }
 }
 
-/// The addresses at which coordinators on the seeds' machines accept connections of the fleet's own programs.
+/// The addresses at which the coordinators on the seed machines accept connections from agents.
 fn seeds(settings: &Settings) -> Vec<SocketAddrV4> {
     settings.seed_nodes.iter().map(|seed| settings.coordinator_address(*seed.ip())).collect()
 }
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -1,4 +1,4 @@
-//! Links to the coordinators: one task for each, which reconnects until its coordinator is no longer selected.
+//! Links to the coordinators. Each has a task, which reconnects until its coordinator is no longer selected.
 
 use crate::event::Event;
 use crate::ids::LinkId;
@@ -13,55 +13,57 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// The first and the longest backoff before a coordinator is connected to again.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+/// The pause before the first attempt to reconnect to a coordinator; doubled after each failed attempt.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+/// The longest pause between two attempts.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// The time without a message after which a coordinator counts as partitioned or stalled, and the link is opened again.
+/// The time without a message after which a coordinator counts as partitioned or stalled, and the link is
+/// reopened.
 pub const COORDINATOR_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What an agent states in its hello.
+/// What an agent states about itself in its hello.
 #[derive(Debug)]
 pub struct AgentIdentity {
     /// The name of the node.
     pub node: String,
-    /// The address of the machine.
+    /// The address of the node's machine.
     pub ip: Ipv4Addr,
-    /// The zone of the machine.
+    /// The zone of the node's machine.
     pub zone: String,
-    /// The sequence of the newest configuration that has arrived; 0 for none.
+    /// The sequence number of the newest configuration that has arrived; 0 for none.
     pub configuration_sequence: AtomicU64,
 }
 
-/// What all tasks share.
+/// State that the tasks of all links share.
 struct Shared {
     identity: Arc<AgentIdentity>,
     events: Sender<Event>,
     last_id: AtomicU64,
-    /// Whether links that end are not opened again.
+    /// Set when the agent leaves: links that end are no longer reopened.
     is_leaving: AtomicBool,
 }
 
-/// The tasks, by the address of their coordinator. They end with this.
+/// The tasks of the links, by the address of their coordinator. Dropping this aborts them.
 pub(crate) struct CoordinatorLinks {
     shared: Arc<Shared>,
     tasks: HashMap<SocketAddrV4, JoinHandle<()>>,
 }
 
 impl CoordinatorLinks {
-    /// No links yet.
+    /// Creates a set without links. The tasks will send their events to `events`.
     pub fn new(identity: Arc<AgentIdentity>, events: Sender<Event>) -> Self {
         let (last_id, is_leaving) = (AtomicU64::default(), AtomicBool::default());
         let shared = Arc::new(Shared { identity, events, last_id, is_leaving });
         CoordinatorLinks { shared, tasks: HashMap::new() }
     }
 
-    /// Keeps links to these coordinators and to no others. Returns the addresses whose links are dropped: no event reports
-    /// their end.
+    /// Opens the missing links to these coordinators, and drops the links to all others. Returns the
+    /// addresses of the dropped links, as no event reports their end.
     pub fn set_targets(&mut self, targets: &[SocketAddrV4]) -> Vec<SocketAddrV4> {
         let dropped: Vec<SocketAddrV4> =
             self.tasks.keys().filter(|address| !targets.contains(address)).copied().collect();
         for address in &dropped {
-            log::info!("coordinator {address}: no longer selected");
+            log::info!("coordinator {address}: no longer selected, link closed");
             if let Some(task) = self.tasks.remove(address) {
                 task.abort();
             }
@@ -75,7 +77,7 @@
         dropped
     }
 
-    /// From now on, links that end are not opened again.
+    /// Stops reopening links that end.
     pub fn leave(&self) {
         self.shared.is_leaving.store(true, Ordering::Relaxed);
     }
@@ -96,13 +98,13 @@
 
 impl Shared {
     async fn keep_connected(self: Arc<Self>, address: SocketAddrV4) {
-        let mut backoff = FIRST_BACKOFF;
+        let mut backoff = INITIAL_BACKOFF;
         while !self.events.is_closed() && !self.is_leaving.load(Ordering::Relaxed) {
             let id = LinkId(self.last_id.fetch_add(1, Ordering::Relaxed) + 1);
             let LinkEnd { error, was_up } = self.serve_link(address, id).await;
             if was_up {
-                log::warn!("coordinator {address}: {error}");
-                backoff = FIRST_BACKOFF;
+                log::warn!("coordinator {address}: link lost: {error}");
+                backoff = INITIAL_BACKOFF;
             } else {
                 log::debug!("coordinator {address}: {error}");
             }
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Opens one link and passes its messages on until it ends.
+    /// Opens one link and sends its messages to the main loop until the link ends.
     async fn serve_link(&self, address: SocketAddrV4, id: LinkId) -> LinkEnd {
         let stream = match control_link::connect(address).await {
             Ok(stream) => stream,
@@ -128,12 +130,12 @@
                 Ok(Err(error)) => break error,
                 Err(_) => break LinkError::TimedOut(LinkStep::Read, incoming.peer()),
             };
+            // Sending an event fails only when the agent ends, and this task with it.
             if !std::mem::replace(&mut is_up, true) {
                 log::info!("coordinator {address}: connected");
                 let outgoing = outgoing.clone();
                 let _ = self.events.send(Event::CoordinatorConnected { id, address, outgoing }).await;
             }
-            // An error means that the agent ends, and this task with it.
             let _ = self.events.send(Event::CoordinatorMessage(id, message)).await;
         };
         outgoing.close();
--- a/crates/agent/src/main_loop.rs
+++ b/crates/agent/src/main_loop.rs
@@ -22,7 +22,7 @@
 
 /// The capacity of the queue of events.
 const EVENT_QUEUE_CAPACITY: usize = 256;
-/// The time without any link after which the seeds are connected to as well.
+/// How long the agent has no link before it connects to the seeds as well.
 const SEED_DELAY: Duration = Duration::from_secs(1);
 
 /// A coordinator whose link is up.
@@ -45,7 +45,7 @@
     links: CoordinatorLinks,
     seeds: Vec<SocketAddrV4>,
     coordinators: HashMap<LinkId, Coordinator>,
-    /// When a link was last up.
+    /// When at least one link was last up.
     last_connected: Instant,
     proxy: Option<Proxy>,
     events: Receiver<Event>,
@@ -55,8 +55,8 @@
 }
 
 impl Agent {
-    /// Starts on the current runtime. `seeds` are the addresses at which coordinators accept connections of the fleet's own
-    /// programs; `listener` accepts those of the proxy.
+    /// Starts an agent on the current Tokio runtime. `seeds` are the addresses at which coordinators accept
+    /// connections from agents; `listener` accepts those of the proxy.
     pub fn start(identity: AgentIdentity, seeds: Vec<SocketAddrV4>, listener: TcpListener) -> Self {
         let (sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let identity = Arc::new(identity);
@@ -79,12 +79,12 @@
         agent
     }
 
-    /// The metrics that it updates.
+    /// The metrics that this agent updates.
     pub fn metrics(&self) -> Arc<AgentMetrics> {
         self.metrics.clone()
     }
 
-    /// Replaces the seeds, as the settings have changed.
+    /// Replaces the seeds after a change of the settings.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddrV4>) {
         self.seeds = seeds;
         self.select_links();
@@ -95,8 +95,8 @@
         self.proxy.is_some()
     }
 
-    /// Waits for the next event or deadline and handles it. Cancel safe: nothing is lost if the future is dropped while it
-    /// waits.
+    /// Waits for the next event or deadline and handles it. Cancel safe: no event is lost if the future is
+    /// dropped while it waits.
     pub async fn step(&mut self) {
         let deadline = self.next_deadline();
         tokio::select! {
@@ -105,15 +105,15 @@
         }
     }
 
-    /// Tells all coordinators that the node shuts down gracefully, and waits until they have closed their links, `timeout` at
-    /// most. Only to be called once the proxy has ended.
+    /// Notifies all coordinators that the node shuts down gracefully, and waits until they have closed their
+    /// links, but no longer than `timeout`. Must only be called once the proxy has disconnected.
     pub async fn leave(&mut self, timeout: Duration) {
         let deadline = Instant::now() + timeout;
         self.links.leave();
         let message = self.state.leave_message();
         for coordinator in self.coordinators.values() {
             if let Err(error) = coordinator.outgoing.send(&message) {
-                log::debug!("{error}");
+                log::debug!("leave message not sent to a coordinator: {error}");
             }
         }
         while !self.coordinators.is_empty() {
@@ -185,13 +185,14 @@
         self.proxy.as_ref().is_some_and(|proxy| proxy.id == id)
     }
 
-    /// Opens and drops links as the selection of coordinators has changed.
+    /// Opens and drops links so that they match the selection of coordinators.
     fn select_links(&mut self) {
         if self.state.is_connected() {
             self.last_connected = Instant::now();
         }
         let members = self.state.members();
-        // Links that are up stay so while others come up: the seeds are only added after a while without any.
+        // Seeds are added only after `SEED_DELAY` without any link: a brief loss of all links doesn't change
+        // the selection, and links that are up are kept while others come up.
         let was_connected = self.last_connected.elapsed() < SEED_DELAY;
         let connectivity = if was_connected && !members.is_empty() {
             Connectivity::Connected
@@ -204,7 +205,7 @@
         }
     }
 
-    /// The task of a dropped link was aborted and reports no end.
+    /// Removes the links to an address that is no longer selected: their task was aborted and sends no event.
     fn remove_dropped_links(&mut self, address: SocketAddrV4) {
         let at_address = |(_, coordinator): &(&LinkId, &Coordinator)| coordinator.address == address;
         let dropped: Vec<LinkId> = self.coordinators.iter().filter(at_address).map(|(id, _)| *id).collect();
@@ -235,14 +236,14 @@
     fn send_to_coordinator(&self, id: LinkId, message: &FromAgent) {
         let Some(coordinator) = self.coordinators.get(&id) else { return };
         if let Err(error) = coordinator.outgoing.send(message) {
-            log::debug!("{error}");
+            log::debug!("message not sent to a coordinator: {error}");
         }
     }
 
     fn send_to_proxy(&self, message: &ToProxy) {
         let Some(proxy) = &self.proxy else { return };
         if let Err(error) = proxy.outgoing.send(message) {
-            log::warn!("proxy: {error}");
+            log::warn!("message not sent to the proxy: {error}");
         }
     }
 
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of an agent, which its main loop updates.
+//! The metrics of an agent. Its main loop updates them.
 
 use crate::state::AgentState;
 use prometheus_client::metrics::counter::Counter;
@@ -6,7 +6,7 @@
 use prometheus_client::registry::Registry;
 use role_runtime::metrics::{MetricsSource, counter, gauge};
 
-/// The metrics.
+/// The metrics of one agent, with the registry that they are exposed from.
 pub struct AgentMetrics {
     registry: Registry,
     view: Gauge,
@@ -22,14 +22,16 @@
     fn default() -> Self {
         let mut registry = Registry::with_prefix("marlwinch_agent");
         let mut gauge = |name: &str, help: &str| gauge(&mut registry, name, help);
-        let view = gauge("view", "Number of the view that coordinators told");
-        let configuration_sequence = gauge("configuration_sequence", "Sequence of the configuration in hand");
+        let view = gauge("view", "Number of the newest view received from a coordinator");
+        let configuration_sequence =
+            gauge("configuration_sequence", "Sequence number of the newest configuration received");
         let in_force =
-            gauge("in_force_sequence", "Sequence of the configuration that the proxy serves under");
-        let links = gauge("links", "Coordinators that are connected");
+            gauge("in_force_sequence", "Sequence number of the configuration in force at the proxy");
+        let links = gauge("links", "Number of links to coordinators that are up");
         let list_version = gauge("list_version", "Version of the list of backends");
-        let proxy = gauge("proxy", "Whether the proxy is connected");
-        let links_made = counter(&mut registry, "links_made", "Connections to coordinators since the start");
+        let proxy = gauge("proxy", "Whether the proxy is connected, 0 or 1");
+        let links_made =
+            counter(&mut registry, "links_made", "Links to coordinators established since the start");
         AgentMetrics {
             registry,
             view,
@@ -44,7 +46,7 @@
 }
 
 impl AgentMetrics {
-    /// Counts a link that has come up.
+    /// Counts a link that has just come up.
     pub fn count_link(&self) {
         self.links_made.inc();
     }
--- a/crates/agent/src/proxy_connections.rs
+++ b/crates/agent/src/proxy_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of the proxy on the same machine.
+//! Connections from the proxy on the same machine.
 
 use crate::event::Event;
 use crate::ids::ProxyId;
@@ -10,9 +10,9 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::{sleep, timeout};
 
-/// The longest time between the opening of a connection and its hello.
+/// The longest time from accepting a connection to receiving its hello.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after a connection could not be accepted.
+/// The pause before the next attempt when a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Accepts connections until the agent ends.
@@ -25,7 +25,7 @@
                 tokio::spawn(serve_connection(ProxyId(last_id), stream, peer, events.clone()));
             }
             Err(error) => {
-                log::warn!("accept a proxy: {error}");
+                log::warn!("connection of a proxy not accepted: {error}");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -34,28 +34,28 @@
 
 async fn serve_connection(id: ProxyId, stream: TcpStream, peer: SocketAddr, events: Sender<Event>) {
     if let Err(error) = control_link::configure_accepted(&stream) {
-        log::debug!("options of the connection from {peer}: {error}");
+        log::debug!("proxy {peer}: socket options not set: {error}");
     }
     let (mut incoming, outgoing) = control_link::split(stream, peer);
     let hello = timeout(HELLO_TIMEOUT, incoming.next::<FromProxy>()).await;
     let in_force = match hello {
         Ok(Ok(FromProxy::Hello { version, in_force })) if version == VERSION => in_force,
         Ok(Ok(FromProxy::Hello { version, .. })) => {
-            log::warn!("a proxy speaks version {version} of the protocol, not {VERSION}: rejected");
+            log::warn!("proxy {peer} rejected: protocol version {version}, expected {VERSION}");
             return;
         }
-        Ok(Ok(_)) => return log::warn!("{peer} does not begin with a hello: rejected"),
-        Ok(Err(error)) => return log::debug!("hello of a proxy: {error}"),
-        Err(_) => return log::debug!("{peer} sends no hello"),
+        Ok(Ok(_)) => return log::warn!("proxy {peer} rejected: its first message is not a hello"),
+        Ok(Err(error)) => return log::debug!("proxy {peer}: no hello received: {error}"),
+        Err(_) => return log::debug!("proxy {peer}: no hello received within {HELLO_TIMEOUT:?}"),
     };
-    // The main loop has the only sending half, so that a proxy which is replaced is disconnected.
+    // The main loop owns the only sending half, so a proxy that is replaced is disconnected.
     let _ = events.send(Event::ProxyConnected { id, in_force, outgoing }).await;
     let error = forward_messages(id, &mut incoming, &events).await;
-    log::info!("proxy {peer}: {error}");
+    log::info!("proxy {peer} disconnected: {error}");
     let _ = events.send(Event::ProxyDisconnected(id)).await;
 }
 
-/// Passes the messages of a proxy on until its connection ends.
+/// Sends the messages of a proxy to the main loop until its connection ends. Returns why it has ended.
 async fn forward_messages(
     id: ProxyId,
     incoming: &mut control_link::FrameReader,
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -1,5 +1,5 @@
-//! The agent's state machine: what it knows, and the effects of each event. No I/O, no clock: time is passed in as the time
-//! since any fixed moment on a steady clock.
+//! The agent's state machine: its state, and the effects of each event. Does no I/O and reads no clock:
+//! callers pass the time as the duration since an arbitrary fixed moment of a monotonic clock.
 
 use crate::backend_lists::BackendLists;
 use crate::configuration_fetch::{ConfigurationFetch, ConfigurationSource};
@@ -16,22 +16,22 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The interval at which to call [`AgentState::poll`] while no deadline is earlier.
+/// The interval at which to call [`AgentState::poll`], unless [`AgentState::next_deadline`] is earlier.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(1000);
-/// The age of a list from which on the proxy is sent its age at each poll; before that, only that it was confirmed after it
-/// had become so old.
-const REPORTED_AGE: Duration = Duration::from_millis(1500);
-/// The time without a message of the agent after which it sends a heartbeat on a link.
+/// The age of the list from which on it is sent to the proxy at each poll. A lower age is sent only if the
+/// last one that was sent had reached this threshold.
+const AGE_REPORT_THRESHOLD: Duration = Duration::from_millis(1500);
+/// How long the agent sends nothing on a link before it sends a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(900);
 
 /// A link that is up.
 #[derive(Clone, Debug)]
 struct Link {
     address: SocketAddrV4,
-    /// The sequence of the newest configuration that the coordinator has.
-    available: ConfigurationSequence,
+    /// The sequence number of the newest configuration that the coordinator has announced.
+    announced: ConfigurationSequence,
     has_quorum_contact: bool,
-    /// When the agent last sent a message on it.
+    /// When the agent last sent a message on this link.
     last_sent: Duration,
 }
 
@@ -39,11 +39,11 @@
 #[derive(Clone, Debug, Default)]
 struct View {
     number: u64,
-    /// The head of the chain first.
+    /// The first member is the head of the chain.
     members: Vec<CoreMember>,
 }
 
-/// What was last sent to the proxy as [`ToProxy::ControlPlaneStatus`].
+/// The [`ToProxy::ControlPlaneStatus`] that was last sent to the proxy.
 #[derive(Clone, Copy, Debug)]
 struct SentStatus {
     list_age: Duration,
@@ -53,17 +53,17 @@
 /// The proxy, while it is connected.
 #[derive(Clone, Debug)]
 struct Proxy {
-    /// The sequence of the newest configuration that it has or was sent.
+    /// The sequence number of the newest configuration that the proxy has or was sent.
     sequence: ConfigurationSequence,
     sent_status: Option<SentStatus>,
 }
 
-/// The state of an agent in numbers.
+/// The state of an agent as its metrics report it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgentStatus {
-    /// The number of the view.
+    /// The number of the newest view; 0 before one has arrived.
     pub view: u64,
-    /// The sequence of the configuration in force at the proxy.
+    /// The sequence number of the configuration in force at the proxy; 0 for none.
     pub in_force: ConfigurationSequence,
     /// The number of links that are up.
     pub links: usize,
@@ -71,38 +71,40 @@
     pub list_version: BackendListVersion,
 }
 
-/// The state of an agent.
+/// The state of an agent; see [`Effect`] for what its methods return.
 #[derive(Debug, Default)]
 pub struct AgentState {
     links: BTreeMap<LinkId, Link>,
     view: View,
     configuration: Option<Configuration>,
-    /// The sequence of the configuration in force at the proxy.
+    /// The sequence number of the configuration in force at the proxy.
     in_force: ConfigurationSequence,
-    /// The number of nodes that carry traffic, by the last coordinator that knew of others than this one.
+    /// The number of nodes that carry traffic, as last stated by a coordinator that knew of more than one; 0
+    /// before.
     nodes: u32,
     fetch: ConfigurationFetch,
     lists: BackendLists,
     proxy: Option<Proxy>,
     quota_contact: QuotaContact,
-    /// The link on which the changes of the proxy's index are sent.
+    /// The link on which changes of the proxy's index of prompt blocks are sent.
     index_link: Option<LinkId>,
 }
 
 impl AgentState {
-    /// The sequence of the newest configuration that has arrived; 0 for none.
+    /// The sequence number of the newest configuration that has arrived; 0 for none.
     pub fn configuration_sequence(&self) -> ConfigurationSequence {
         self.configuration
             .as_ref()
             .map_or(ConfigurationSequence::NONE, |configuration| configuration.sequence)
     }
 
-    /// The members of the core, the head of the chain first; empty before a view has arrived.
+    /// The coordinators of the newest view, with the head of the chain first; empty before a view has
+    /// arrived.
     pub fn members(&self) -> &[CoreMember] {
         &self.view.members
     }
 
-    /// The state in numbers, for metrics.
+    /// The state as metrics report it.
     pub fn status(&self) -> AgentStatus {
         AgentStatus {
             view: self.view.number,
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Whether any link is up.
+    /// Whether at least one link is up.
     pub fn is_connected(&self) -> bool {
         !self.links.is_empty()
     }
@@ -122,11 +124,11 @@
         self.proxy.is_some()
     }
 
-    /// Handles a new link, on which the hello was sent and a coordinator has sent its first message.
+    /// Handles a new link, on which the agent has sent its hello and the coordinator its first message.
     pub fn handle_link_up(&mut self, now: Duration, id: LinkId, address: SocketAddrV4) -> Vec<Effect> {
         let link = Link {
             address,
-            available: ConfigurationSequence::NONE,
+            announced: ConfigurationSequence::NONE,
             has_quorum_contact: false,
             last_sent: now,
         };
@@ -152,7 +154,7 @@
         effects
     }
 
-    /// Handles a message of a coordinator.
+    /// Handles a message from a coordinator.
     pub fn handle_coordinator_message(&mut self, now: Duration, id: LinkId, message: ToAgent) -> Vec<Effect> {
         match message {
             ToAgent::View { number, members, nodes, has_quorum_contact } => {
@@ -165,7 +167,7 @@
             }
             ToAgent::ConfigurationAvailable { sequence } => {
                 if let Some(link) = self.links.get_mut(&id) {
-                    link.available = link.available.max(sequence);
+                    link.announced = link.announced.max(sequence);
                 }
                 self.fetch_if_due(now)
             }
@@ -208,13 +210,13 @@
 
     fn apply_view(&mut self, now: Duration, view: View) -> Vec<Effect> {
         if view.number > self.view.number && !view.members.is_empty() {
-            log::info!("view {} of {} members", view.number, view.members.len());
+            log::info!("received view {} with {} members", view.number, view.members.len());
             self.view = view;
         }
         self.report_status(now)
     }
 
-    /// A coordinator that knows of one node alone has just started, and its number is ignored.
+    /// Ignores the count of a coordinator that knows only one node, as it has just started.
     fn apply_node_count(&mut self, nodes: u32) -> Option<Effect> {
         if nodes <= 1 || nodes == self.nodes {
             return None;
@@ -232,9 +234,9 @@
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
         if !self.fetch.accept(now, id, document.len()) {
-            log::warn!("link {id}: configuration {sequence} was not asked for lately, passed over");
+            log::warn!("link {id}: ignored configuration {sequence}, which was not requested recently");
         } else if sequence > self.configuration_sequence() {
-            log::info!("configuration {sequence} of {} bytes", document.len());
+            log::info!("received configuration {sequence} of {} bytes", document.len());
             self.configuration = Some(Configuration { sequence, document: document.into() });
             effects.extend(self.configure_proxy());
         }
@@ -242,7 +244,7 @@
         effects
     }
 
-    /// Sends the configuration to the proxy, unless the proxy has one that is as new.
+    /// Sends the configuration to the proxy, unless the proxy has one that is at least as new.
     fn configure_proxy(&mut self) -> Option<Effect> {
         let configuration = self.configuration.as_ref()?;
         let proxy = self.proxy.as_mut()?;
@@ -255,9 +257,9 @@
 
     fn fetch_if_due(&mut self, now: Duration) -> Vec<Effect> {
         let own = self.configuration_sequence();
-        let newer = self.links.iter().filter(|(_, link)| link.available > own);
+        let newer = self.links.iter().filter(|(_, link)| link.announced > own);
         let sources: Vec<ConfigurationSource> =
-            newer.map(|(id, link)| ConfigurationSource { link: *id, sequence: link.available }).collect();
+            newer.map(|(id, link)| ConfigurationSource { link: *id, sequence: link.announced }).collect();
         let Some(request) = self.fetch.begin_if_due(now, &sources) else { return Vec::new() };
         let (sequence, request_id) = (request.sequence, request.request_id);
         vec![self.send(now, request.link, FromAgent::FetchConfiguration { sequence, request_id })]
@@ -280,7 +282,7 @@
             return self.request_unknown_list(now, id, version);
         }
         let Some(list) = self.lists.changed_list(id, base, version, changes) else {
-            log::error!("changes to list {base}, which has not arrived: the link is made anew");
+            log::error!("link {id}: received changes to list {base}, which is unknown here; reconnecting");
             return vec![Effect::Reconnect(id)];
         };
         self.apply_list(now, id, list)
@@ -334,12 +336,12 @@
         backends: &[Backend],
     ) -> Vec<Effect> {
         let Some(list) = self.lists.repaired_list(id, version, keys, backends) else { return Vec::new() };
-        log::info!("list {version}: {} backends repaired", keys.len());
+        log::info!("link {id}: repaired {} backends of list {version}", keys.len());
         let changed = self.lists.replace(now, id, list);
         self.report_list(now, changed)
     }
 
-    /// A coordinator refers to a list that is unknown here.
+    /// Handles a coordinator's reference to a list that is unknown here.
     fn request_unknown_list(
         &mut self,
         now: Duration,
@@ -367,7 +369,7 @@
         vec![self.send(now, id, message)]
     }
 
-    /// Sends the proxy the newest list if it has changed, and the status.
+    /// Sends the newest list to the proxy if it has changed, and the status.
     fn report_list(&mut self, now: Duration, changed: Option<BackendList>) -> Vec<Effect> {
         let Some(list) = changed else { return self.report_status(now) };
         if self.proxy.is_none() {
@@ -378,7 +380,8 @@
         effects
     }
 
-    /// Sends the proxy how current the list is, if that has changed.
+    /// Sends the age of the list and the contact with a quorum to the proxy, if these have changed
+    /// noticeably.
     fn report_status(&mut self, now: Duration) -> Vec<Effect> {
         let list_age = self.lists.age(now);
         let has_quorum_contact = self.links.values().any(|link| link.has_quorum_contact);
@@ -386,8 +389,8 @@
         let Some(list_age) = list_age else { return Vec::new() };
         let is_unchanged = |sent: SentStatus| {
             sent.has_quorum_contact == has_quorum_contact
-                && sent.list_age < REPORTED_AGE
-                && list_age < REPORTED_AGE
+                && sent.list_age < AGE_REPORT_THRESHOLD
+                && list_age < AGE_REPORT_THRESHOLD
         };
         if proxy.sent_status.is_some_and(is_unchanged) {
             return Vec::new();
@@ -397,15 +400,16 @@
         vec![Effect::SendToProxy(ToProxy::ControlPlaneStatus { endpoints_age_ms, has_quorum_contact })]
     }
 
-    /// Handles a new connection of a proxy, which replaces any previous one. `in_force` is the sequence of the configuration
-    /// in force there; 0 for none.
+    /// Handles a new connection from a proxy, which replaces any previous one. `in_force` is the sequence
+    /// number of the configuration in force there; 0 for none.
     pub fn handle_proxy_up(&mut self, now: Duration, in_force: ConfigurationSequence) -> Vec<Effect> {
-        log::info!("proxy connected, configuration {in_force} is in force there");
+        log::info!("proxy connected with configuration {in_force} in force");
         self.proxy = Some(Proxy { sequence: in_force, sent_status: None });
         self.in_force = in_force;
-        // The quota leader responded to the previous process.
+        // Earlier responses of the quota leader were to the previous process.
         self.quota_contact = QuotaContact::default();
-        // Another process: the auditor forgets the index of the previous one and receives the complete new one.
+        // A new process has a new index: the auditor discards the previous one and receives the new one
+        // completely.
         self.index_link = None;
         let mut effects: Vec<Effect> = self.configure_proxy().into_iter().collect();
         if self.nodes > 0 {
@@ -426,13 +430,13 @@
         self.quota_contact.record_disconnect(now);
     }
 
-    /// The last message to all coordinators when the node shuts down gracefully.
+    /// The last message to send to all coordinators when the node shuts down gracefully.
     pub fn leave_message(&self) -> FromAgent {
         let quota_use_reported = self.proxy.is_none() && self.quota_contact.lasted_until_end();
         FromAgent::Leaving { quota_use_reported }
     }
 
-    /// Handles a message of the proxy.
+    /// Handles a message from the proxy.
     pub fn handle_proxy_message(&mut self, now: Duration, message: FromProxy) -> Vec<Effect> {
         match message {
             FromProxy::ConfigurationApplied { sequence } => {
@@ -447,7 +451,8 @@
         }
     }
 
-    /// The head of the chain is the auditor. A new head receives the complete index first.
+    /// Sends changes of the index to the head of the chain, which audits it. A new head first receives the
+    /// complete index.
     fn send_index_changes(&mut self, now: Duration, message: FromAgent) -> Vec<Effect> {
         let Some(head) = self.head_link() else {
             self.index_link = None;
@@ -465,8 +470,8 @@
         self.links.iter().find(|(_, link)| Some(link.address) == head).map(|(id, _)| *id)
     }
 
-    /// The head of the chain is the quota leader. Where it is unknown or not connected, the request goes to all, and whoever
-    /// is the head by now responds.
+    /// Sends a quota request to the head of the chain, which is the quota leader. While the head is unknown
+    /// or not connected, the request goes to all coordinators, and the one that is the head by then responds.
     fn send_quota_request(&mut self, now: Duration, request: QuotaRequest) -> Vec<Effect> {
         match self.head_link() {
             Some(id) => vec![self.send(now, id, FromAgent::QuotaRequest(request))],
@@ -474,7 +479,7 @@
         }
     }
 
-    /// Runs periodic work. To be called every [`POLL_INTERVAL`], and at [`Self::next_deadline`].
+    /// Does periodic work. Must be called every [`POLL_INTERVAL`], and at [`Self::next_deadline`].
     pub fn poll(&mut self, now: Duration) -> Vec<Effect> {
         let mut effects = self.fetch_if_due(now);
         if let Some(version) = self.lists.version() {
@@ -492,7 +497,7 @@
         effects
     }
 
-    /// When the pending request for a configuration times out.
+    /// When the pending request for a configuration times out; `None` if there is none.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.fetch.deadline()
     }
@@ -510,8 +515,8 @@
     }
 }
 
-/// The link is opened again, so that the coordinator sends the complete list.
+/// Reconnects, so that the coordinator sends the complete list.
 fn abandon_repair(id: LinkId, version: BackendListVersion, error: &RepairError) -> Vec<Effect> {
-    log::error!("link {id}: list {version} can't be repaired: {error}; the link is made anew");
+    log::error!("link {id}: repair of list {version} failed: {error}; reconnecting");
     vec![Effect::Reconnect(id)]
 }
--- a/crates/marlwinch/tests/golden_cli_log.rs
+++ b/crates/marlwinch/tests/golden_cli_log.rs
@@ -551,7 +551,7 @@
     coordinator.signal("HUP");
     transcript += &lines("coordinator", &mut coordinator, &["settings: core.yaml"]);
     agent.signal("HUP");
-    transcript += &lines("agent", &mut agent, &["those before stay in force"]);
+    transcript += &lines("agent", &mut agent, &["the previous settings stay in force"]);
     data_plane.signal("HUP");
     transcript += &lines("data-plane", &mut data_plane, &["settings: not read again"]);
     folder.write("front.yaml", &front);
@@ -565,7 +565,7 @@
     transcript += &format!("data-plane | exit code {}\n", data_plane.end().0.expect("a code"));
     transcript += &ended("agent", &mut agent, "proxy 127.0.0.1:");
     agent.signal("TERM");
-    transcript += &lines("agent", &mut agent, &["told to end"]);
+    transcript += &lines("agent", &mut agent, &["received SIGTERM"]);
     transcript += &format!("agent | exit code {}\n", agent.end().0.expect("a code"));
     transcript += &ended("coordinator", &mut coordinator, "agent of frontend-1 left: ");
     coordinator.signal("TERM");
