--- a/crates/agent/tests/agent.rs
+++ b/crates/agent/tests/agent.rs
@@ -1,4 +1,4 @@
-//! The agent over loopback, between stand-ins of coordinators and of its proxy.
+//! A running agent with fake coordinators and a fake proxy, over loopback connections.
 
 mod agents;
 
@@ -8,7 +8,7 @@
     QuotaResponse, ToAgent, ToProxy,
 };
 
-/// An agent with one coordinator that has sent a configuration and a list.
+/// An agent with one coordinator, which has sent configuration 3 and list 5.
 async fn connected_agent() -> (RunningAgent, tokio::net::TcpListener, Coordinator) {
     let (listener, address) = listener();
     let agent = RunningAgent::start(vec![address]);
@@ -21,10 +21,10 @@
 }
 
 #[tokio::test]
-async fn a_coordinator_that_starts_late_is_connected_to() {
-    // A port that nobody listens on for now.
-    let (early, address) = listener();
-    drop(early);
+async fn an_agent_connects_to_a_coordinator_that_starts_later() {
+    // A free port, on which a coordinator listens only later.
+    let (reserved, address) = listener();
+    drop(reserved);
     let agent = RunningAgent::start(vec![address]);
     let mut proxy = Proxy::connect(agent.address, 0).await;
     let listener = control_link::listen(address).expect("listen");
@@ -36,15 +36,15 @@
 }
 
 #[tokio::test]
-async fn a_leaving_agent_sends_so_last_and_opens_no_more_links() {
+async fn a_leaving_agent_sends_a_leave_message_last_and_does_not_reconnect() {
     let (agent, listener, mut coordinator) = connected_agent().await;
     let leaving = tokio::spawn(agent.leave());
     assert_eq!(coordinator.receive_message().await, FromAgent::Leaving { quota_use_reported: false });
     drop(coordinator);
-    leaving.await.expect("it has ended");
-    let again =
+    leaving.await.expect("the agent ends");
+    let reconnected =
         std::future::poll_fn(|context| std::task::Poll::Ready(listener.poll_accept(context).is_ready()));
-    assert!(!again.await, "another connection");
+    assert!(!reconnected.await, "the agent has reconnected");
 }
 
 #[tokio::test]
@@ -61,24 +61,24 @@
 }
 
 #[tokio::test]
-async fn a_configuration_is_fetched_from_another_coordinator_when_one_times_out() {
+async fn a_configuration_is_fetched_from_another_coordinator_after_a_timeout() {
     let ((one, first), (other, second)) = (listener(), listener());
     let agent = RunningAgent::start(vec![first, second]);
-    let (mut stalled, mut able) = (Coordinator::accept(&one).await, Coordinator::accept(&other).await);
+    let (mut stalled, mut responsive) = (Coordinator::accept(&one).await, Coordinator::accept(&other).await);
     let mut proxy = Proxy::connect(agent.address, 0).await;
     stalled.send(ToAgent::ConfigurationAvailable { sequence: ConfigurationSequence(2) });
     assert_eq!(
         stalled.receive_message().await,
         FromAgent::FetchConfiguration { sequence: ConfigurationSequence(2), request_id: 1 }
     );
-    able.send(ToAgent::ConfigurationAvailable { sequence: ConfigurationSequence(2) });
-    able.respond_to_fetch(2).await;
+    responsive.send(ToAgent::ConfigurationAvailable { sequence: ConfigurationSequence(2) });
+    responsive.respond_to_fetch(2).await;
     assert_eq!(proxy.receive_configuration().await, 2);
-    // What arrives late is not sent again.
+    // A late response with a configuration that the proxy already has is not sent to it again.
     stalled.send(ToAgent::NewestConfiguration { request_id: 1, sequence: ConfigurationSequence(2) });
     stalled.send(configuration(2));
-    able.send(ToAgent::ConfigurationAvailable { sequence: ConfigurationSequence(3) });
-    able.respond_to_fetch(3).await;
+    responsive.send(ToAgent::ConfigurationAvailable { sequence: ConfigurationSequence(3) });
+    responsive.respond_to_fetch(3).await;
     assert_eq!(proxy.receive_configuration().await, 3);
 }
 
@@ -93,7 +93,7 @@
     proxy.receive_backends().await;
     coordinator.send(ToAgent::ConfigurationAvailable { sequence: ConfigurationSequence(8) });
     coordinator.respond_to_fetch(8).await;
-    assert_eq!(proxy.receive_configuration().await, 8, "and 3 was not sent before");
+    assert_eq!(proxy.receive_configuration().await, 8, "configuration 3 was not sent before");
 }
 
 #[tokio::test]
@@ -116,11 +116,11 @@
         seed
     });
     drop(coordinator);
-    agent.end().await;
-    let again = RunningAgent::at(control_link::listen(address).expect("listen"), address, vec![seed]);
+    agent.abort().await;
+    let restarted = RunningAgent::at(control_link::listen(address).expect("listen"), address, vec![seed]);
     let mut coordinator = Coordinator::accept(&listener).await;
     assert_eq!(coordinator.configuration_sequence, 0);
-    let mut proxy = Proxy::connect(again.address, 3).await;
+    let mut proxy = Proxy::connect(restarted.address, 3).await;
     coordinator.send(ToAgent::ConfigurationAvailable { sequence: ConfigurationSequence(4) });
     coordinator.respond_to_fetch(4).await;
     assert_eq!(proxy.receive_configuration().await, 4);
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn quota_requests_go_to_the_head_and_its_responses_to_the_proxy() {
+async fn quota_requests_reach_the_head_and_its_responses_reach_the_proxy() {
     let ((one, first), (other, second)) = (listener(), listener());
     let agent = RunningAgent::start(vec![first, second]);
     let (mut tail, mut head) = (Coordinator::accept(&one).await, Coordinator::accept(&other).await);
@@ -179,19 +179,19 @@
     assert_eq!(
         tail.receive_message().await,
         FromAgent::ConfigurationApplied { sequence: ConfigurationSequence(1) },
-        "and it received no quota request before"
+        "the tail has received no quota request before"
     );
 }
 
 #[tokio::test]
-async fn members_of_a_new_view_are_connected_to_and_others_disconnected() {
+async fn an_agent_connects_to_members_of_a_new_view_and_disconnects_from_removed_ones() {
     let ((one, first), (other, second)) = (listener(), listener());
     let _agent = RunningAgent::start(vec![first]);
     let mut old = Coordinator::accept(&one).await;
     old.send(view(1, &[first, second]));
     let new = Coordinator::accept(&other).await;
     new.send(view(2, &[second]));
-    // The link to the removed member ends.
+    // The link to the removed member is closed.
     loop {
         match old.try_receive().await {
             Some(_) => {}
--- a/crates/agent/tests/agent_state.rs
+++ b/crates/agent/tests/agent_state.rs
@@ -1,4 +1,4 @@
-//! The agent's state machine, without connections and with injected time.
+//! The agent's state machine, without connections and with time passed in.
 
 use agent::coordinator_selection::{Connectivity, MAX_MEMBER_LINKS, select_coordinators};
 use agent::{AgentState, Effect, FETCH_TIMEOUT, FRESHNESS_LIMIT, LinkId, POLL_INTERVAL};
@@ -36,12 +36,12 @@
     ToAgent::Configuration { sequence: ConfigurationSequence(sequence), document: vec![1, 2, 3] }
 }
 
-/// A response of the quota leader without grants.
+/// A response from the quota leader without grants.
 fn empty_quota_response() -> QuotaResponse {
     QuotaResponse { request_id: 1, epoch: 1, number: 1, nodes: 1, grants: Vec::new() }
 }
 
-/// The agent's request for a configuration.
+/// The effect of requesting a configuration from a coordinator.
 fn fetch(request_id: u64, id: LinkId, sequence: u64) -> Vec<Effect> {
     vec![Effect::SendToCoordinator(
         id,
@@ -49,7 +49,7 @@
     )]
 }
 
-/// A coordinator responds to a request with a configuration.
+/// Passes a coordinator's response to a request for a configuration to the agent.
 fn respond(agent: &mut AgentState, now: Duration, id: LinkId, request_id: u64, sequence: u64) -> Vec<Effect> {
     assert_eq!(
         agent.handle_coordinator_message(
@@ -77,15 +77,15 @@
 }
 
 #[test]
-fn one_fetch_is_pending_at_a_time_and_times_out_to_another_coordinator() {
+fn one_fetch_is_pending_at_a_time_and_goes_to_another_coordinator_after_a_timeout() {
     let mut agent = agent();
     assert_eq!(agent.handle_coordinator_message(at(10), A, available(4)), fetch(1, A, 4));
     assert_eq!(agent.handle_coordinator_message(at(20), B, available(4)), vec![]);
-    let due = agent.next_deadline().expect("a deadline");
-    assert_eq!(due, at(10) + FETCH_TIMEOUT);
-    assert_eq!(agent.poll(due), fetch(2, B, 4));
-    assert_eq!(agent.poll(due + FETCH_TIMEOUT), fetch(3, A, 4));
-    assert_eq!(respond(&mut agent, due + FETCH_TIMEOUT, A, 3, 4), vec![]);
+    let deadline = agent.next_deadline().expect("a deadline");
+    assert_eq!(deadline, at(10) + FETCH_TIMEOUT);
+    assert_eq!(agent.poll(deadline), fetch(2, B, 4));
+    assert_eq!(agent.poll(deadline + FETCH_TIMEOUT), fetch(3, A, 4));
+    assert_eq!(respond(&mut agent, deadline + FETCH_TIMEOUT, A, 3, 4), vec![]);
     assert_eq!((agent.configuration_sequence(), agent.next_deadline()), (ConfigurationSequence(4), None));
 }
 
@@ -97,8 +97,9 @@
     assert_eq!(agent.handle_link_down(at(30), A), fetch(2, B, 4));
 }
 
-/// A coordinator that was partitioned or stalled may send a configuration without a request, for a request to another one, or
-/// for one of long ago. The agent rejects them and requests again.
+/// A coordinator that was partitioned or stalled may send an outdated configuration: without a confirmation,
+/// with a confirmation for a request to another coordinator, or long after the request. The agent rejects
+/// these and requests the configuration again.
 #[test]
 fn a_configuration_that_may_be_outdated_is_rejected() {
     let mut agent = agent();
@@ -108,8 +109,8 @@
         vec![],
         "without a confirmation"
     );
-    let of_another = ToAgent::NewestConfiguration { request_id: 1, sequence: ConfigurationSequence(4) };
-    agent.handle_coordinator_message(at(12), B, of_another);
+    let for_other_link = ToAgent::NewestConfiguration { request_id: 1, sequence: ConfigurationSequence(4) };
+    agent.handle_coordinator_message(at(12), B, for_other_link);
     assert_eq!(
         agent.handle_coordinator_message(at(13), B, configuration(4)),
         vec![],
@@ -121,7 +122,7 @@
     assert_eq!(agent.configuration_sequence(), ConfigurationSequence(0));
     respond(&mut agent, after_stall + at(5), A, 2, 4);
     assert_eq!(agent.configuration_sequence(), ConfigurationSequence(4));
-    // One confirmation is for one configuration.
+    // A confirmation is valid for one configuration only.
     assert_eq!(agent.handle_coordinator_message(after_stall + at(6), A, configuration(5)), vec![]);
     assert_eq!(agent.configuration_sequence(), ConfigurationSequence(4));
 }
@@ -154,8 +155,8 @@
     assert_eq!(sent_list(&agent.handle_coordinator_message(at(1), B, ToAgent::Backends(older))), None);
     let newer = list(6, &[("a", Ready), ("b", Ready)]);
     let effects = agent.handle_coordinator_message(at(2), B, ToAgent::Backends(newer));
-    assert_eq!(sent_list(&effects), None, "a draining backend is never ready again, so nothing has changed");
-    // The first coordinator's list is confirmed by a newer read than the second one's.
+    assert_eq!(sent_list(&effects), None, "unchanged, as a draining backend never becomes ready again");
+    // A newer read confirms the list of A, which is then newer than that of B.
     let other = list(7, &[("a", Draining)]);
     assert!(sent_list(&agent.handle_coordinator_message(at(3), B, ToAgent::Backends(other))).is_some());
     let effects = agent.handle_coordinator_message(
@@ -200,13 +201,14 @@
         agent.handle_coordinator_message(at(1), A, changed(BackendListVersion(6))),
         vec![Effect::Reconnect(A)]
     );
-    // Of a coordinator that has sent no list yet, the digest is requested, to compare it with the list of another one.
+    // From a coordinator that has not sent a list yet, the agent requests the digest, to compare it with A's
+    // list.
     let requested = vec![Effect::SendToCoordinator(B, FromAgent::FetchBackendsDigest)];
     assert_eq!(agent.handle_coordinator_message(at(2), B, changed(BackendListVersion(5))), requested);
 }
 
 #[test]
-fn the_proxy_receives_the_age_of_the_list_only_from_a_threshold_on() {
+fn the_proxy_receives_the_age_of_the_list_only_above_a_threshold() {
     let mut agent = agent();
     agent.handle_proxy_up(at(0), ConfigurationSequence(0));
     let effects = agent.handle_coordinator_message(at(0), A, ToAgent::Backends(list(1, &[])));
@@ -231,30 +233,30 @@
         ),
         vec![]
     );
-    let of_proxy = |effects: Vec<Effect>| {
+    let sent_to_proxy = |effects: Vec<Effect>| {
         effects.into_iter().filter(|effect| matches!(effect, Effect::SendToProxy(_))).collect::<Vec<_>>()
     };
-    assert_eq!(of_proxy(agent.poll(at(2000))), vec![]);
-    let old =
+    assert_eq!(sent_to_proxy(agent.poll(at(2000))), vec![]);
+    let above_threshold =
         Effect::SendToProxy(ToProxy::ControlPlaneStatus { endpoints_age_ms: 2100, has_quorum_contact: true });
-    assert_eq!(of_proxy(agent.poll(at(3000))), vec![old]);
-    let young =
+    assert_eq!(sent_to_proxy(agent.poll(at(3000))), vec![above_threshold]);
+    let confirmed =
         Effect::SendToProxy(ToProxy::ControlPlaneStatus { endpoints_age_ms: 0, has_quorum_contact: true });
     let effects = agent.handle_coordinator_message(
         at(3100),
         A,
         ToAgent::BackendsConfirmed { version: BackendListVersion(3) },
     );
-    assert_eq!(effects, vec![young]);
+    assert_eq!(effects, vec![confirmed]);
 }
 
 #[test]
-fn quota_requests_go_to_the_head_or_to_all_while_it_is_not_connected() {
+fn quota_requests_go_to_the_head_or_to_all_coordinators_while_it_is_not_connected() {
     let mut agent = agent();
     agent.handle_proxy_up(at(0), ConfigurationSequence(0));
     let request = QuotaRequest { number: 1, last_answered: 0, last_answered_ms_ago: 0, demands: Vec::new() };
-    let demands = FromProxy::QuotaRequest(request.clone());
-    assert_eq!(agent.handle_proxy_message(at(1), demands.clone()).len(), 2);
+    let from_proxy = FromProxy::QuotaRequest(request.clone());
+    assert_eq!(agent.handle_proxy_message(at(1), from_proxy.clone()).len(), 2);
     let member = |last| CoreMember { id: u64::from(last), address: address(last), zone: "z".into() };
     let members = vec![member(2), member(1), member(3)];
     agent.handle_coordinator_message(
@@ -263,10 +265,10 @@
         ToAgent::View { number: 1, members, nodes: 1, has_quorum_contact: true },
     );
     let to_head = vec![Effect::SendToCoordinator(B, FromAgent::QuotaRequest(request.clone()))];
-    assert_eq!(agent.handle_proxy_message(at(3), demands.clone()), to_head);
+    assert_eq!(agent.handle_proxy_message(at(3), from_proxy.clone()), to_head);
     agent.handle_link_down(at(4), B);
     let to_all = vec![Effect::SendToCoordinator(A, FromAgent::QuotaRequest(request))];
-    assert_eq!(agent.handle_proxy_message(at(5), demands), to_all);
+    assert_eq!(agent.handle_proxy_message(at(5), from_proxy), to_all);
 }
 
 #[test]
@@ -291,7 +293,7 @@
 }
 
 #[test]
-fn coordinators_are_the_head_and_others_selected_by_the_name_of_the_node() {
+fn the_selected_coordinators_are_the_head_and_monitors_that_depend_on_the_node() {
     let members: Vec<CoreMember> = (1..=9)
         .map(|last| CoreMember { id: u64::from(last), address: address(last), zone: "z".into() })
         .collect();
@@ -302,7 +304,7 @@
     let differ = (2..20).any(|n| {
         select_coordinators(&format!("n-{n}"), &members, &seeds, Connectivity::Connected) != targets
     });
-    assert!(differ, "all nodes chose the same");
+    assert!(differ, "the same coordinators are selected for all nodes");
     let disconnected = select_coordinators("n-1", &members, &seeds, Connectivity::Disconnected);
     assert!(seeds.iter().all(|seed| disconnected.contains(seed)));
     assert_eq!(select_coordinators("n-1", &[], &seeds, Connectivity::Connected), Vec::new());
@@ -310,7 +312,7 @@
 }
 
 quickcheck! {
-    /// Whatever coordinators send in whichever order, the sequences that a proxy receives only rise.
+    /// Whatever coordinators send, in any order: the sequence numbers that a proxy receives only increase.
     fn a_proxy_never_receives_an_older_configuration(steps: Vec<(u8, u8)>) -> bool {
         let mut agent = agent();
         let (mut newest, mut now) = (ConfigurationSequence::NONE, 0);
@@ -357,18 +359,22 @@
     assert_eq!(
         leaving(&[400, 800], 1600),
         FromAgent::Leaving { quota_use_reported: false },
-        "no contact at the end"
+        "no recent response at the end"
     );
     assert_eq!(
         leaving(&[400, 2000], 2300),
         FromAgent::Leaving { quota_use_reported: false },
-        "no contact before"
+        "too long between the last two responses"
     );
-    assert_eq!(leaving(&[800], 900), FromAgent::Leaving { quota_use_reported: false }, "one response");
+    assert_eq!(leaving(&[800], 900), FromAgent::Leaving { quota_use_reported: false }, "only one response");
     let mut agent = agent();
     agent.handle_proxy_up(at(0), ConfigurationSequence(0));
-    assert_eq!(agent.leave_message(), FromAgent::Leaving { quota_use_reported: false }, "the proxy is there");
-    // A proxy without any response, right after one with responses.
+    assert_eq!(
+        agent.leave_message(),
+        FromAgent::Leaving { quota_use_reported: false },
+        "the proxy is connected"
+    );
+    // A proxy that has received no response, right after one that had.
     let record = |agent: &mut AgentState, ms| {
         agent.handle_coordinator_message(at(ms), A, ToAgent::QuotaResponse(empty_quota_response()));
     };
@@ -377,7 +383,11 @@
     agent.handle_proxy_down(at(900));
     agent.handle_proxy_up(at(950), ConfigurationSequence(0));
     agent.handle_proxy_down(at(1000));
-    assert_eq!(agent.leave_message(), FromAgent::Leaving { quota_use_reported: false }, "another process");
+    assert_eq!(
+        agent.leave_message(),
+        FromAgent::Leaving { quota_use_reported: false },
+        "the responses were to another process"
+    );
 }
 
 #[test]
@@ -386,7 +396,7 @@
     agent.handle_proxy_up(at(0), ConfigurationSequence(0));
     let change = IndexChange { backend: 1, block: 2, tokens: Some(3) };
     let index_changes = |restart| FromProxy::IndexChanges { restart, changes: vec![change] };
-    assert_eq!(agent.handle_proxy_message(at(1), index_changes(false)), vec![], "no head is known");
+    assert_eq!(agent.handle_proxy_message(at(1), index_changes(false)), vec![], "the head is unknown");
     let member = |last| CoreMember { id: u64::from(last), address: address(last), zone: "z".into() };
     let view = |number, members| ToAgent::View { number, members, nodes: 1, has_quorum_contact: true };
     agent.handle_coordinator_message(at(2), A, view(1, vec![member(2), member(1)]));
@@ -400,7 +410,7 @@
     agent.handle_coordinator_message(at(6), A, view(2, vec![member(1), member(2)]));
     assert_eq!(agent.handle_proxy_message(at(7), index_changes(false)), index_request);
     assert_eq!(agent.handle_proxy_message(at(8), index_changes(true)), to(A, true));
-    // The auditor has restarted, or the proxy has.
+    // The complete index is also requested after a restart of the auditor or of the proxy.
     assert_eq!(agent.handle_coordinator_message(at(9), A, ToAgent::IndexRequested), index_request);
     agent.handle_proxy_down(at(10));
     agent.handle_proxy_up(at(11), ConfigurationSequence(0));
--- a/crates/agent/tests/agents/mod.rs
+++ b/crates/agent/tests/agents/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what is on either side of an agent, over loopback.
+//! A running agent, and fake coordinators and a fake proxy that connect to it over loopback.
 
 use agent::{Agent, AgentIdentity};
 use bytes::Bytes;
@@ -14,8 +14,8 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-/// Guards against a test that waits for ever.
-const LONG: Duration = Duration::from_secs(20);
+/// Makes a test fail that would otherwise wait forever.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub fn loopback(port: u16) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, port)
@@ -54,27 +54,27 @@
             loop {
                 tokio::select! {
                     () = agent.step() => {}
-                    () = leave_requested.notified() => return agent.leave(LONG).await,
+                    () = leave_requested.notified() => return agent.leave(TEST_TIMEOUT).await,
                 }
             }
         });
         RunningAgent { task, leave, address }
     }
 
-    /// Shuts the agent down gracefully; it has ended once its coordinators have closed their links.
+    /// Shuts the agent down gracefully. Waits until its coordinators have closed their links.
     pub async fn leave(self) {
         self.leave.notify_one();
         self.task.await.expect("the agent ends");
     }
 
-    /// Ends the agent and waits until it has ended.
-    pub async fn end(self) {
+    /// Aborts the agent's task and waits until it has ended.
+    pub async fn abort(self) {
         self.task.abort();
         let _ = self.task.await;
     }
 }
 
-/// One connection of an agent, as a coordinator sees it.
+/// A coordinator's end of the connection from an agent.
 pub struct Coordinator {
     incoming: FrameReader,
     outgoing: FrameWriter,
@@ -82,9 +82,9 @@
 }
 
 impl Coordinator {
-    /// Accepts an agent's connection.
+    /// Accepts a connection from an agent and receives its hello.
     pub async fn accept(listener: &TcpListener) -> Self {
-        let accepted = tokio::time::timeout(LONG, listener.accept()).await.expect("a connection");
+        let accepted = tokio::time::timeout(TEST_TIMEOUT, listener.accept()).await.expect("a connection");
         let (stream, peer) = accepted.expect("accept");
         let (incoming, outgoing) = control_link::split(stream, peer);
         let mut coordinator = Coordinator { incoming, outgoing, configuration_sequence: 0 };
@@ -92,7 +92,7 @@
             FromAgent::Hello { version: VERSION, configuration_sequence, .. } => {
                 coordinator.configuration_sequence = configuration_sequence.number()
             }
-            other => panic!("no hello but {other:?}"),
+            other => panic!("expected a hello, received {other:?}"),
         }
         coordinator
     }
@@ -102,10 +102,10 @@
     }
 
     async fn receive(&mut self) -> FromAgent {
-        tokio::time::timeout(LONG, self.incoming.next()).await.expect("in time").expect("a message")
+        tokio::time::timeout(TEST_TIMEOUT, self.incoming.next()).await.expect("in time").expect("a message")
     }
 
-    /// The next message that isn't a heartbeat.
+    /// The next message that is neither a heartbeat nor `BackendsSeen`.
     pub async fn receive_message(&mut self) -> FromAgent {
         loop {
             match self.receive().await {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Responds to the next request for a configuration.
+    /// Responds to the next request for a configuration, and ignores other messages before it.
     pub async fn respond_to_fetch(&mut self, sequence: u64) {
         loop {
             if let FromAgent::FetchConfiguration { sequence: requested, request_id } =
@@ -143,7 +143,7 @@
     format!("document {sequence}").into()
 }
 
-/// A proxy's connection.
+/// A proxy's end of its connection to an agent.
 pub struct Proxy {
     incoming: FrameReader,
     outgoing: FrameWriter,
@@ -164,10 +164,10 @@
     }
 
     pub async fn receive(&mut self) -> ToProxy {
-        tokio::time::timeout(LONG, self.incoming.next()).await.expect("in time").expect("a message")
+        tokio::time::timeout(TEST_TIMEOUT, self.incoming.next()).await.expect("in time").expect("a message")
     }
 
-    /// The sequence of the next configuration.
+    /// The sequence number of the next configuration. Other messages before it are ignored.
     pub async fn receive_configuration(&mut self) -> u64 {
         loop {
             if let ToProxy::Configuration { sequence, document: text } = self.receive().await {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// The next list of backends.
+    /// The next list of backends. Other messages before it are ignored.
     pub async fn receive_backends(&mut self) -> BackendList {
         loop {
             if let ToProxy::Backends(list) = self.receive().await {
@@ -186,9 +186,13 @@
         }
     }
 
-    /// Waits until the agent has ended the connection.
+    /// Waits until the agent has closed the connection.
     pub async fn wait_until_closed(&mut self) {
-        while tokio::time::timeout(LONG, self.incoming.next::<ToProxy>()).await.expect("in time").is_ok() {}
+        while tokio::time::timeout(TEST_TIMEOUT, self.incoming.next::<ToProxy>())
+            .await
+            .expect("in time")
+            .is_ok()
+        {}
     }
 }
 
@@ -223,8 +227,8 @@
 }
 
 impl Coordinator {
-    /// The next message; `None` once the agent has ended the connection.
+    /// The next message; `None` once the agent has closed the connection.
     pub async fn try_receive(&mut self) -> Option<FromAgent> {
-        tokio::time::timeout(LONG, self.incoming.next()).await.expect("in time").ok()
+        tokio::time::timeout(TEST_TIMEOUT, self.incoming.next()).await.expect("in time").ok()
     }
 }
--- a/crates/agent/tests/backend_lists.rs
+++ b/crates/agent/tests/backend_lists.rs
@@ -1,5 +1,5 @@
-//! How an agent receives the list of backends: the complete list of one coordinator, and the differences of the others from it.
-//! Without connections and with injected time.
+//! How an agent receives lists of backends: the complete list from one coordinator, and only differences from
+//! the others. Without connections and with time passed in.
 
 mod support;
 
@@ -15,7 +15,7 @@
 const A: LinkId = LinkId(1);
 const B: LinkId = LinkId(2);
 const C: LinkId = LinkId(3);
-/// More than the time-out of a request for the complete list, in milliseconds.
+/// A time after which a request for the complete list has timed out, in milliseconds.
 const AFTER_TIMEOUT_MS: u64 = 1600;
 
 fn at(ms: u64) -> Duration {
@@ -34,7 +34,7 @@
     ToAgent::BackendsDigest { version: list.version, digest: list_digest(&list.backends) }
 }
 
-/// An agent with its proxy and three links.
+/// An agent with three links and a connected proxy.
 fn agent() -> AgentState {
     let mut agent = AgentState::default();
     for (number, link) in [(1, A), (2, B), (3, C)] {
@@ -44,7 +44,7 @@
     agent
 }
 
-/// The messages to coordinators.
+/// The messages that these effects send to coordinators.
 fn sent_to_coordinators(effects: Vec<Effect>) -> Vec<(LinkId, FromAgent)> {
     let to_coordinator = |effect| match effect {
         Effect::SendToCoordinator(id, message) => Some((id, message)),
@@ -53,6 +53,7 @@
     effects.into_iter().filter_map(to_coordinator).collect()
 }
 
+/// The list that these effects send to the proxy.
 fn sent_list(effects: Vec<Effect>) -> Option<BackendList> {
     effects.into_iter().find_map(|effect| match effect {
         Effect::SendToProxy(ToProxy::Backends(list)) => Some(list),
@@ -61,7 +62,7 @@
 }
 
 #[test]
-fn the_complete_list_is_requested_from_one_coordinator_and_compared_with_the_others_digests() {
+fn the_complete_list_is_requested_from_one_coordinator_and_compared_with_digests_of_others() {
     let (mut agent, first) = (agent(), list(5, 2000));
     assert_eq!(
         sent_to_coordinators(agent.handle_coordinator_message(at(1), A, digest(&first))),
@@ -70,7 +71,7 @@
     assert_eq!(
         sent_to_coordinators(agent.handle_coordinator_message(at(2), B, digest(&first))),
         [],
-        "one at a time"
+        "only one request at a time"
     );
     let effects = agent.handle_coordinator_message(at(3), A, ToAgent::Backends(first.clone()));
     assert_eq!(sent_list(effects), Some(first.clone()));
@@ -78,9 +79,9 @@
     assert_eq!(
         sent_to_coordinators(agent.handle_coordinator_message(at(4), B, digest(&same))),
         [],
-        "nothing differs"
+        "the lists are equal"
     );
-    // From then on the link is followed by changes alone.
+    // From then on, the list of this link is kept current by changes.
     let next = list(7, 2001);
     let changes = BackendChanges::between(&same.backends, &next.backends);
     let changed =
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn a_request_for_the_complete_list_times_out_to_another_coordinator() {
+fn the_complete_list_is_requested_from_another_coordinator_after_a_timeout() {
     let (mut agent, first) = (agent(), list(5, 3));
     agent.handle_coordinator_message(at(1), A, digest(&first));
     let confirmed = |version| ToAgent::BackendsConfirmed { version };
@@ -97,23 +98,23 @@
         sent_to_coordinators(agent.handle_coordinator_message(at(700), B, confirmed(BackendListVersion(6)))),
         []
     );
-    let again = sent_to_coordinators(agent.handle_coordinator_message(
+    let requested = sent_to_coordinators(agent.handle_coordinator_message(
         at(1 + AFTER_TIMEOUT_MS),
         B,
         confirmed(BackendListVersion(7)),
     ));
-    assert_eq!(again, [(B, FromAgent::FetchBackends)]);
+    assert_eq!(requested, [(B, FromAgent::FetchBackends)]);
     agent.handle_link_down(at(1 + AFTER_TIMEOUT_MS), B);
-    let again = sent_to_coordinators(agent.handle_coordinator_message(
+    let requested = sent_to_coordinators(agent.handle_coordinator_message(
         at(2 + AFTER_TIMEOUT_MS),
         C,
         confirmed(BackendListVersion(7)),
     ));
-    assert_eq!(again, [(C, FromAgent::FetchBackends)], "at once if the link of the request has ended");
+    assert_eq!(requested, [(C, FromAgent::FetchBackends)], "at once, as the link of the request has ended");
 }
 
 #[test]
-fn a_newer_list_of_another_coordinator_is_adopted_by_its_differences() {
+fn only_the_differences_of_another_coordinators_newer_list_are_requested() {
     let (mut agent, first) = (agent(), list(5, 300));
     agent.handle_coordinator_message(at(1), A, digest(&first));
     agent.handle_coordinator_message(at(2), A, ToAgent::Backends(first.clone()));
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn a_list_with_too_many_differences_is_requested_completely() {
+fn a_list_with_too_many_differences_is_requested_in_full() {
     let (mut agent, first) = (agent(), list(5, 10));
     agent.handle_coordinator_message(at(1), A, digest(&first));
     agent.handle_coordinator_message(at(2), A, ToAgent::Backends(first));
@@ -173,7 +174,7 @@
     let other = list(8, 11);
     assert!(
         !sent_to_coordinators(agent.handle_coordinator_message(at(3), B, digest(&other))).is_empty(),
-        "it is compared"
+        "the list is compared"
     );
     let changed = ToAgent::BackendsChanged {
         base: BackendListVersion(8),
@@ -185,9 +186,10 @@
     assert_eq!(sent_to_coordinators(effects), [(B, FromAgent::FetchBackendsDigest)]);
 }
 
-/// The platform may leave a backend out of one list. An older read of another coordinator, under a higher version, has it ready.
+/// Guards against a draining backend that becomes ready again: the platform omits it from one list, and then
+/// an older read by another coordinator, under a higher version, has it as ready.
 #[test]
-fn a_backend_that_drains_stays_draining_where_a_list_leaves_it_out() {
+fn a_draining_backend_stays_draining_after_a_list_that_omits_it() {
     let (mut agent, ready) = (agent(), list(5, 10));
     let with_version = |list: &BackendList, version: u64| BackendList {
         version: BackendListVersion(version),
@@ -195,27 +197,27 @@
     };
     let mut draining = with_version(&ready, 6);
     draining.backends[7].state = BackendState::Draining;
-    let mut without = with_version(&ready, 7);
-    without.backends.remove(7);
-    for (second, sent) in [(1, &ready), (2, &draining), (3, &without)] {
-        agent.handle_coordinator_message(at(second), A, ToAgent::Backends(sent.clone()));
+    let mut omitted = with_version(&ready, 7);
+    omitted.backends.remove(7);
+    for (ms, sent) in [(1, &ready), (2, &draining), (3, &omitted)] {
+        agent.handle_coordinator_message(at(ms), A, ToAgent::Backends(sent.clone()));
     }
-    let again = with_version(&ready, 8);
-    let effects = agent.handle_coordinator_message(at(10), B, ToAgent::Backends(again));
+    let older_read = with_version(&ready, 8);
+    let effects = agent.handle_coordinator_message(at(10), B, ToAgent::Backends(older_read));
     let received = sent_list(effects).expect("a list");
     assert_eq!(received.backends[7].state, BackendState::Draining);
-    // Another process may have the id of one that has gone long ago.
-    agent.handle_coordinator_message(at(11), A, ToAgent::Backends(with_version(&without, 9)));
-    agent.handle_coordinator_message(at(80_000), A, ToAgent::Backends(with_version(&without, 10)));
+    // The id is forgotten a minute after the last list that contains it; another process may use it then.
+    agent.handle_coordinator_message(at(11), A, ToAgent::Backends(with_version(&omitted, 9)));
+    agent.handle_coordinator_message(at(80_000), A, ToAgent::Backends(with_version(&omitted, 10)));
     let effects =
         agent.handle_coordinator_message(at(81_000), A, ToAgent::Backends(with_version(&ready, 11)));
     assert_eq!(sent_list(effects).expect("a list").backends[7].state, BackendState::Ready);
 }
 
-/// A coordinator that has started later has versions that are higher by far. Once it is silent, one that reads on has to be told,
-/// or its lists would be ignored for ever.
+/// Versions of a coordinator that has started later are higher by far. When it stops reading, the others must
+/// learn its last version; otherwise, their lists would be ignored forever.
 #[test]
-fn a_coordinator_that_reads_on_is_told_of_the_version_of_one_that_is_silent() {
+fn a_coordinator_that_continues_to_read_learns_the_version_of_one_that_is_silent() {
     let (mut agent, first) = (agent(), list(5, 10));
     agent.handle_coordinator_message(at(0), A, ToAgent::Backends(first.clone()));
     agent.handle_coordinator_message(
@@ -229,7 +231,7 @@
     let seen = (A, FromAgent::BackendsSeen { version: BackendListVersion(9_000) });
     assert!(
         !sent_to_coordinators(agent.poll(at(1_000))).contains(&seen),
-        "the other one may confirm its list yet"
+        "the other coordinator may still confirm its list"
     );
     agent.handle_coordinator_message(at(1_400), A, confirmed(7));
     assert!(sent_to_coordinators(agent.poll(at(2_000))).contains(&seen));
--- a/crates/agent/tests/list_repair.rs
+++ b/crates/agent/tests/list_repair.rs
@@ -1,4 +1,4 @@
-//! A list that differs from the coordinator's is detected by its digest and repaired, without connections.
+//! Repair of a list that differs from the coordinator's: it is detected by its digest. Without connections.
 
 mod support;
 
@@ -15,14 +15,14 @@
 
 const LINK: LinkId = LinkId(1);
 const NOW: Duration = Duration::ZERO;
-/// Messages after which a repair must be over, whatever differs.
+/// The number of messages within which every repair must be complete.
 const MAX_MESSAGES: usize = 400;
 
 fn list(version: u64, backends: Vec<Backend>) -> BackendList {
     BackendList { version: BackendListVersion(version), backends }
 }
 
-/// An agent with its proxy that has received this list.
+/// An agent with a connected proxy, which has received this list.
 fn agent(received: &BackendList) -> AgentState {
     let mut agent = AgentState::default();
     agent.handle_link_up(NOW, LINK, SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1));
@@ -31,7 +31,7 @@
     agent
 }
 
-/// The response of a coordinator that has this list.
+/// The response of a coordinator that has this list as its current one.
 fn respond(current: &BackendList, message: FromAgent) -> ToAgent {
     let version = current.version;
     match message {
@@ -53,7 +53,8 @@
     ToAgent::BackendsDigest { version: current.version, digest }
 }
 
-/// Exchanges messages from the digest on. Returns the list that the proxy received, if any, and the number of responses.
+/// Passes the coordinator's digest to the agent, and responds to its requests until it sends none. Returns
+/// the list that the proxy received, if any, and the number of responses.
 fn repair(agent: &mut AgentState, current: &BackendList) -> (Option<BackendList>, usize) {
     let mut to_agent = vec![list_digest(current)];
     let (mut received, mut responses) = (None, 0);
@@ -67,19 +68,19 @@
             }
         }
         responses += 1;
-        assert!(responses < MAX_MESSAGES, "no end");
+        assert!(responses < MAX_MESSAGES, "the repair does not end");
     }
     (received, responses - 1)
 }
 
 #[test]
-fn equal_lists_take_one_digest() {
+fn equal_lists_need_no_request_after_the_digest() {
     let current = list(7, (0..200).map(|number| numbered_backend(number, BackendState::Ready)).collect());
     assert_eq!(repair(&mut agent(&current), &current), (None, 0));
 }
 
 #[test]
-fn a_backend_that_is_wrongly_ready_is_repaired_to_draining() {
+fn a_backend_that_is_ready_by_mistake_is_repaired_to_draining() {
     let current = list(7, (0..2000).map(|number| numbered_backend(number, BackendState::Ready)).collect());
     let mut coordinators = current.clone();
     coordinators.backends[1234].state = BackendState::Draining;
@@ -87,7 +88,7 @@
     let (received, responses) = repair(&mut agent, &coordinators);
     assert_eq!(received, Some(coordinators.clone()));
     assert!(responses <= 5, "{responses} responses for one of 2,000 backends");
-    assert_eq!(repair(&mut agent, &coordinators), (None, 0), "the repair lasts");
+    assert_eq!(repair(&mut agent, &coordinators), (None, 0), "the lists are equal after the repair");
 }
 
 #[test]
@@ -116,10 +117,11 @@
     assert_eq!(repair(&mut agent, &newer), (None, 0));
 }
 
-/// Another coordinator, whose list the agent assumes to be that of the first.
+/// The link to another coordinator, whose list the agent assumes to equal the first one's.
 const OTHER_LINK: LinkId = LinkId(2);
 
-/// The requests that an agent sends to the other coordinator after a message of it, and the list that its proxy receives.
+/// Passes a message from the other coordinator to the agent. Returns the agent's requests to that
+/// coordinator, and the list that its proxy receives.
 fn after_message(agent: &mut AgentState, message: ToAgent) -> (Vec<FromAgent>, Option<BackendList>) {
     let (mut requests, mut received) = (Vec::new(), None);
     for effect in agent.handle_coordinator_message(NOW, OTHER_LINK, message) {
@@ -134,20 +136,21 @@
 }
 
 #[test]
-fn a_response_to_the_comparison_before_does_not_end_the_next_one() {
+fn a_late_response_to_an_earlier_comparison_does_not_end_the_next_one() {
     let numbered = |numbers: std::ops::Range<u16>| -> Vec<Backend> {
         numbers.map(|number| numbered_backend(number, BackendState::Ready)).collect()
     };
     let mut agent = agent(&list(7, numbered(0..100)));
     agent.handle_link_up(NOW, OTHER_LINK, SocketAddrV4::new(Ipv4Addr::LOCALHOST, 2));
-    // The comparison with the other coordinator's list is at its last request.
+    // The agent compares the other coordinator's list up to the last request.
     let before = list(8, numbered(0..97));
     let (mut requests, _) = after_message(&mut agent, list_digest(&before));
     while let [FromAgent::CompareBackends { .. }] = requests.as_slice() {
         (requests, _) = after_message(&mut agent, respond(&before, requests[0].clone()));
     }
     let [late @ FromAgent::RequestBackends { .. }] = requests.as_slice() else { panic!("{requests:?}") };
-    // Its list changes, and a new comparison begins, before it answers: by the newer list, for the keys of the older one.
+    // Before the coordinator responds, its list changes and a new comparison begins. The late response is for
+    // the keys of the earlier comparison, with entries of the newer list.
     let after = list(9, numbered(0..90));
     let changes = BackendChanges::between(&before.backends, &after.backends);
     let changed = ToAgent::BackendsChanged { base: before.version, version: after.version, changes };
@@ -170,21 +173,24 @@
     let differs =
         ToAgent::BackendsDigest { version: BackendListVersion(7), digest: RangeDigest { count: 9, sum: 9 } };
     agent.handle_coordinator_message(NOW, LINK, differs);
-    let garbage = ToAgent::BackendsRange {
+    let invalid = ToAgent::BackendsRange {
         version: BackendListVersion(7),
         range: KeyRange::ALL,
         content: RangeContent::Parts(vec![RangeDigest::default(); 3]),
     };
-    assert_eq!(agent.handle_coordinator_message(NOW, LINK, garbage), vec![Effect::Reconnect(LINK)]);
+    assert_eq!(agent.handle_coordinator_message(NOW, LINK, invalid), vec![Effect::Reconnect(LINK)]);
 }
 
 quickcheck! {
-    /// Whatever the two lists are, the agent ends up with the coordinator's.
+    /// Whatever the two lists are: after the repair, the agent has the coordinator's.
     fn any_list_is_repaired(own: Vec<(u8, bool)>, coordinators: Vec<(u8, bool)>) -> bool {
         let make = |entries: Vec<(u8, bool)>| {
             let state = |ready| if ready { BackendState::Ready } else { BackendState::Draining };
             let mut backends: Vec<Backend> =
-                entries.into_iter().map(|(number, ready)| numbered_backend(u16::from(number), state(ready))).collect();
+                entries
+                    .into_iter()
+                    .map(|(number, ready)| numbered_backend(u16::from(number), state(ready)))
+                    .collect();
             backends.sort_by(|one, other| one.instance_id.cmp(&other.instance_id));
             backends.dedup_by(|one, other| one.instance_id == other.instance_id);
             list(3, backends)
--- a/crates/agent/tests/support/mod.rs
+++ b/crates/agent/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! Backends of lists, for tests of the agent.
+//! Backends for tests of lists.
 
 use control_protocol::{Backend, BackendState};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// A backend whose instance id and address are made of its number.
+/// A backend with an instance id and an address that are derived from its number.
 pub fn numbered_backend(number: u16, state: BackendState) -> Backend {
     Backend {
         instance_id: format!("i-{number:04x}"),
