--- a/crates/engine-simulation/examples/tune.rs
+++ b/crates/engine-simulation/examples/tune.rs
@@ -20,14 +20,14 @@
         let value: f64 = value.parse().unwrap_or_default();
         match name {
             "copies" => tuning.replicas = value as usize,
-            "hot_share" => tuning.hot_share = value,
+            "hot_share" => tuning.max_block_utilization = value,
             "reread_cost" => tuning.repeated_prefill_cost = value,
             "read_cost" => tuning.prefill_cost = value,
             "busy_weight" => tuning.busy_weight = value,
             "slow_from" => tuning.slow_threshold = value,
-            "key_margin" => tuning.key_margin = value,
-            "small_first" => tuning.small_first = value > 0.0,
-            "slack" => tuning.slack = value,
+            "key_margin" => tuning.request_count_margin = value,
+            "small_first" => tuning.small_prompts_first = value > 0.0,
+            "slack" => tuning.cost_tolerance = value,
             "idle_share" => tuning.idle_share = value,
             _ => panic!("no figure {name}"),
         }
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -11,7 +11,8 @@
     /// Whether candidates are compared by the estimates of Join-Up-To(m); otherwise one is drawn.
     pub estimate: bool,
     /// Whether a prompt goes to any backend below m requests once all that have its shared blocks cached have reached m.
-    pub spills: bool,
+    #[serde(rename = "spills")]
+    pub spill_over: bool,
     /// Whether prompts are assigned to backends by rendezvous hashing of their shared blocks.
     pub rendezvous: bool,
     /// Whether an index of the node's own attempts estimates the prefix cache of a backend.
@@ -21,8 +22,8 @@
     pub replicas: usize,
     /// The part of a backend's time that requests with the same shared block may take before that block goes to one more
     /// backend.
-    #[serde(deserialize_with = "fraction")]
-    pub hot_share: f64,
+    #[serde(rename = "hot_share", deserialize_with = "fraction")]
+    pub max_block_utilization: f64,
     /// The cost of a repeated prefill of shared blocks, as a multiple of its duration.
     #[serde(rename = "reread_cost", deserialize_with = "factor")]
     pub repeated_prefill_cost: f64,
@@ -40,13 +41,14 @@
     /// Whether requests state their urgency to backends, by the priorities of tenant and route.
     pub urgency: bool,
     /// Whether the smaller prompts of a priority come first.
-    pub small_first: bool,
+    #[serde(rename = "small_first")]
+    pub small_prompts_first: bool,
     /// The number of requests of a key that counts as chance, in standard deviations.
-    #[serde(deserialize_with = "factor")]
-    pub key_margin: f64,
+    #[serde(rename = "key_margin", deserialize_with = "factor")]
+    pub request_count_margin: f64,
     /// Backends whose loss differs from the best one's by less than this part of the latency target are equally good.
-    #[serde(deserialize_with = "fraction")]
-    pub slack: f64,
+    #[serde(rename = "slack", deserialize_with = "fraction")]
+    pub cost_tolerance: f64,
     /// The part of its slots up to which a backend without a queue counts as idle.
     #[serde(deserialize_with = "fraction")]
     pub idle_share: f64,
@@ -59,7 +61,8 @@
     #[serde(rename = "looked_at_all", deserialize_with = "count")]
     pub full_scan_limit: usize,
     /// Whether reports are requested of backends with the most requests in flight.
-    pub reports: bool,
+    #[serde(rename = "reports")]
+    pub load_reports: bool,
     /// Whether failing backends are ejected for a while.
     pub ejection: bool,
     /// The duration of the first ejection, in milliseconds.
@@ -80,25 +83,25 @@
     fn default() -> Self {
         Routing {
             estimate: true,
-            spills: false,
+            spill_over: false,
             rendezvous: true,
             index: true,
             replicas: 1,
-            hot_share: 0.35,
+            max_block_utilization: 0.35,
             repeated_prefill_cost: 1.0,
             prefill_cost: 0.25,
             busy_weight: 0.5,
             slow_threshold: 2.0,
             slowness: true,
             urgency: true,
-            small_first: true,
-            key_margin: 1.0,
-            slack: 0.01,
+            small_prompts_first: true,
+            request_count_margin: 1.0,
+            cost_tolerance: 0.01,
             idle_share: 0.5,
             estimate_expiry: true,
             traffic_share: true,
             full_scan_limit: 64,
-            reports: true,
+            load_reports: true,
             ejection: true,
             first_ejection: Duration::from_millis(400),
             max_ejection: Duration::from_secs(6),
--- a/crates/policy/tests/policy_file.rs
+++ b/crates/policy/tests/policy_file.rs
@@ -18,7 +18,7 @@
         "[routing]\nslack = 0.05\nfirst_rest_ms = 250\nestimate = false\n[recovery]\nspread_ms = 12.5\n";
     let read = Policy::parse(text).expect("a valid file");
     let mut expected = Policy::default();
-    expected.routing.slack = 0.05;
+    expected.routing.cost_tolerance = 0.05;
     expected.routing.first_ejection = Duration::from_millis(250);
     expected.routing.estimate = false;
     expected.recovery.retry_spread = Duration::from_micros(12_500);
--- a/crates/routing/src/service/load_reports.rs
+++ b/crates/routing/src/service/load_reports.rs
@@ -25,7 +25,7 @@
     /// The backends whose load report is due. To be called a few times a second.
     pub fn due_load_reports(&mut self, now: Duration) -> Vec<BackendId> {
         self.reset_stale_estimates(now);
-        if !self.policy.reports
+        if !self.policy.load_reports
             || self.last_report_at.is_some_and(|at| now.saturating_sub(at) < REPORT_INTERVAL)
         {
             return Vec::new();
--- a/crates/routing/src/service/selection.rs
+++ b/crates/routing/src/service/selection.rs
@@ -122,7 +122,7 @@
         };
         let rated: Vec<Candidate> = among.iter().copied().map(rate).collect();
         let best = rated.iter().map(|c| c.cost).min_by(f64::total_cmp).unwrap_or_default();
-        let most = best + service_estimate.policy.slack * service_estimate.latency_target_ms;
+        let most = best + service_estimate.policy.cost_tolerance * service_estimate.latency_target_ms;
         rated.into_iter().filter(|candidate| candidate.cost <= most).collect()
     }
 
@@ -138,10 +138,11 @@
         let ranking = self.ranking(service_estimate.now, key, among.iter().copied());
         let lately = self.keys.get(&key).map_or(0.0, |rate| rate.per_s(service_estimate.now, RATE_WINDOW_S))
             * RATE_WINDOW_S;
-        let certain = (lately - service_estimate.policy.key_margin * lately.sqrt()).max(0.0) / RATE_WINDOW_S;
+        let certain =
+            (lately - service_estimate.policy.request_count_margin * lately.sqrt()).max(0.0) / RATE_WINDOW_S;
         let own = (prompt.tokens - prompt.shared_tokens).min(self.mean_prefill_tokens);
         let busy_share = certain * own / 1e3 / service_estimate.share / service_estimate.rate;
-        let wanted = (busy_share / service_estimate.policy.hot_share).ceil() as usize;
+        let wanted = (busy_share / service_estimate.policy.max_block_utilization).ceil() as usize;
         let ranked: Vec<usize> = ranking.backends().collect();
         let target_count = wanted.max(service_estimate.policy.replicas).min(ranked.len());
         (ranked, target_count)
@@ -190,7 +191,7 @@
         if !self.policy.estimate {
             return near.choose(&mut self.random).copied().unwrap_or(all[0]);
         }
-        let stays = !self.policy.spills && candidates.iter().any(|candidate| candidate.has_cached_blocks);
+        let stays = !self.policy.spill_over && candidates.iter().any(|candidate| candidate.has_cached_blocks);
         let beyond = || if stays { None } else { join::lowest_below(all, estimate, cap) };
         let ties = join::lowest_below(&near, estimate, cap).or_else(beyond);
         if let Some(at) = ties.and_then(|ties| ties.choose(&mut self.random).copied()) {
--- a/crates/routing/src/urgency.rs
+++ b/crates/routing/src/urgency.rs
@@ -43,7 +43,7 @@
         let count = self.ranks.len();
         let first = index * values / count;
         let next = (index + 1) * values / count;
-        let later = usize::from(policy.small_first && next > first + 1 && !is_small);
+        let later = usize::from(policy.small_prompts_first && next > first + 1 && !is_small);
         (first + later) as u8
     }
 
--- a/crates/routing/tests/cache_affinity.rs
+++ b/crates/routing/tests/cache_affinity.rs
@@ -137,8 +137,8 @@
 }
 
 /// A node of a large fleet, whose share of a backend's slots is one, and the backends of two attempts in flight.
-fn large_fleet(spills: bool) -> (BackendId, BackendId) {
-    let policy = RoutingPolicy { spills, ..RoutingPolicy::default() };
+fn large_fleet(spill_over: bool) -> (BackendId, BackendId) {
+    let policy = RoutingPolicy { spill_over, ..RoutingPolicy::default() };
     let mut service = Service::with_policy(Some(ENGINE), 82, 1, policy);
     let with_slots = entries(140).into_iter().map(|entry| BackendEntry { slots: 12, ..entry });
     service.replace_backends(Duration::ZERO, with_slots.collect());
