--- a/crates/data-plane/src/service.rs
+++ b/crates/data-plane/src/service.rs
@@ -83,7 +83,7 @@
         let engine = configured.engine.as_ref().map(|engine| EngineSettings {
             slots: engine.slots,
             kv_capacity_tokens: engine.kv_capacity_tokens,
-            stride: engine.stride.unwrap_or(DEFAULT_TOKENS_PER_EVENT),
+            tokens_per_event: engine.stride.unwrap_or(DEFAULT_TOKENS_PER_EVENT),
         });
         self.serves_load_reports.set(engine.is_some());
         let audited = engine.is_some() && configured.holdings_path.is_some();
--- a/crates/engine-simulation/src/simulation/state.rs
+++ b/crates/engine-simulation/src/simulation/state.rs
@@ -160,7 +160,7 @@
         let settings = EngineSettings {
             slots: site.engine.slots as u32,
             kv_capacity_tokens: site.engine.kv_capacity_tokens,
-            stride: site.engine.tokens_per_event,
+            tokens_per_event: site.engine.tokens_per_event,
         };
         let count = site.node_shares.len() as u32;
         let node = |index: u64| {
--- a/crates/routing/benches/decide.rs
+++ b/crates/routing/benches/decide.rs
@@ -35,7 +35,7 @@
 fn bench(criterion: &mut Criterion) {
     for (name, plain) in [("prompts", false), ("plain", true)] {
         for count in [12, 4000] {
-            let engine = EngineSettings { slots: 64, kv_capacity_tokens: 400_000, stride: 6 };
+            let engine = EngineSettings { slots: 64, kv_capacity_tokens: 400_000, tokens_per_event: 6 };
             let mut service = Service::new((!plain).then_some(engine), 8, 7);
             service.replace_backends(Duration::ZERO, entries(count));
             let mut turn = 0;
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -28,7 +28,7 @@
     /// Tokens that its KV cache holds.
     pub kv_capacity_tokens: u64,
     /// Tokens in an event of a stream.
-    pub stride: u32,
+    pub tokens_per_event: u32,
 }
 
 /// A block of a prompt.
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -4,7 +4,8 @@
 use routing::*;
 use std::time::Duration;
 
-pub const ENGINE: EngineSettings = EngineSettings { slots: 64, kv_capacity_tokens: 400_000, stride: 6 };
+pub const ENGINE: EngineSettings =
+    EngineSettings { slots: 64, kv_capacity_tokens: 400_000, tokens_per_event: 6 };
 
 pub fn id(at: usize) -> BackendId {
     BackendId(format!("i-{at:08x}").into())
