--- a/crates/routing/src/affinity.rs
+++ b/crates/routing/src/affinity.rs
@@ -1,31 +1,32 @@
-//! Which backends a prompt belongs to, by rendezvous hashing, so that all nodes agree without messages.
+//! Assignment of prompts to backends by rendezvous hashing: all nodes compute the same ranking without
+//! exchanging messages.
 
 use crate::interface::RequestShape;
 use range_digest::mixed;
 use std::cmp::Reverse;
 
-/// A block of a prompt together with all blocks before it: equal only where all of these are.
+/// A block of a prompt, identified by its prefix: two are equal only if all blocks before them are equal too.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChainBlock {
-    /// The hash of this block, of those before it and of the model.
+    /// Hash of the model, of all preceding blocks and of this block.
     pub hash: u64,
     /// Tokens of this block alone.
     pub tokens: f64,
 }
 
-/// A prompt as a chain of blocks.
+/// A prompt as a hash chain of its blocks.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prompt {
     /// All blocks in order.
     pub chain: Vec<ChainBlock>,
     /// Tokens of the whole prompt.
     pub tokens: f64,
-    /// Tokens of the shared blocks: all but the last.
+    /// Tokens of the blocks that other requests may share: all but the last.
     pub shared_tokens: f64,
 }
 
 impl Prompt {
-    /// The prompt of a request.
+    /// Builds the hash chain of a request's prompt.
     pub fn of(request: &RequestShape) -> Prompt {
         let mut hash = hash_of(request.model.as_bytes());
         let mut chain = Vec::with_capacity(request.blocks.len());
@@ -38,55 +39,58 @@
         Prompt { chain, tokens: f64::from(request.prompt_tokens), shared_tokens }
     }
 
-    /// The key of its rendezvous hash: the deepest shared block, or its own block where it shares none.
+    /// The key for rendezvous hashing: the hash of the last shared block, or of the only block where none is
+    /// shared. `None` for a prompt without blocks.
     pub fn key(&self) -> Option<u64> {
         let shared = self.chain.len().saturating_sub(1);
         self.chain[..shared].last().or(self.chain.last()).map(|block| block.hash)
     }
 }
 
-/// A hash of bytes that is the same in every process.
+/// Hashes bytes to the same value in every process.
 pub fn hash_of(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xCBF2_9CE4_8422_2325, |hash, byte| mixed(hash ^ u64::from(*byte)))
 }
 
-/// The rendezvous score of a backend for a key; the highest wins. `weight` is 1 after its slow start.
+/// The rendezvous score of a backend for a key; the backend with the highest one is ranked first. `weight` is
+/// below 1 while the backend is in slow start.
 pub fn rendezvous_score(key: u64, backend: u64, weight: f64) -> u64 {
-    let drawn = mixed(key ^ backend);
+    let score = mixed(key ^ backend);
     if weight >= 1.0 {
-        return drawn;
+        return score;
     }
-    // u^(1/w) for u uniform: the highest of these falls to each in proportion to its weight.
-    let unit = drawn as f64 / u64::MAX as f64;
+    // u^(1/w) with u uniform in [0, 1]: each backend is ranked first with a probability proportional to its
+    // weight.
+    let unit = score as f64 / u64::MAX as f64;
     (unit.powf(1.0 / weight.max(1e-3)) * u64::MAX as f64) as u64
 }
 
-/// The best backends of a ranking, at most `most` of them.
+/// The backends with the highest scores, up to a maximum number.
 #[derive(Clone, Debug, Default)]
 pub struct Ranking {
+    /// Scores and positions of the backends, best first.
     best: Vec<(Reverse<u64>, usize)>,
-    most: usize,
+    max_len: usize,
 }
 
 impl Ranking {
-    /// An empty one.
-    pub fn of(most: usize) -> Self {
-        Ranking { best: Vec::with_capacity(most + 1), most }
+    pub fn with_max_len(max_len: usize) -> Self {
+        Ranking { best: Vec::with_capacity(max_len + 1), max_len }
     }
 
-    /// Adds a backend by its score.
-    pub fn offer(&mut self, drawn: u64, backend: usize) {
-        let entry = (Reverse(drawn), backend);
-        if self.best.len() == self.most && self.best.last().is_none_or(|last| entry >= *last) {
+    /// Inserts a backend, given by its position, unless `max_len` others have higher scores.
+    pub fn insert(&mut self, score: u64, position: usize) {
+        let entry = (Reverse(score), position);
+        if self.best.len() == self.max_len && self.best.last().is_none_or(|last| entry >= *last) {
             return;
         }
-        let at = self.best.partition_point(|other| *other < entry);
-        self.best.insert(at, entry);
-        self.best.truncate(self.most);
+        let rank = self.best.partition_point(|other| *other < entry);
+        self.best.insert(rank, entry);
+        self.best.truncate(self.max_len);
     }
 
-    /// The backends, best first.
-    pub fn backends(&self) -> impl Iterator<Item = usize> + '_ {
-        self.best.iter().map(|(_, backend)| *backend)
+    /// The positions of the backends, best first.
+    pub fn positions(&self) -> impl Iterator<Item = usize> + '_ {
+        self.best.iter().map(|(_, position)| *position)
     }
 }
--- a/crates/routing/src/backend.rs
+++ b/crates/routing/src/backend.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one backend: types and their plain arithmetic, no decisions.
+//! A node's state for one backend. Makes no decisions.
 
 use crate::affinity::hash_of;
 use crate::health::Health;
@@ -10,65 +10,74 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PendingAttempt {
     pub attempt: AttemptId,
-    pub at: Duration,
-    /// Tokens to be prefilled for it.
+    pub sent_at: Duration,
+    /// Tokens to prefill for the attempt.
     pub tokens: f64,
-    /// When its first byte was expected, in ms after `at`.
+    /// The expected time from `sent_at` to the first byte, in ms.
     pub expected_ms: f64,
 }
 
-/// A load that a backend reported.
+/// A load that a backend reported, and what this node has sent there since.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedLoad {
     pub load: Load,
-    pub at: Duration,
-    /// This node's attempts since then, and the tokens to be prefilled for them.
+    pub received_at: Duration,
+    /// This node's attempts since then.
     pub sends_since: u32,
+    /// Tokens to prefill for those attempts.
     pub tokens_since: f64,
 }
 
-/// What a node knows of a backend.
+/// A node's state for one backend. "Attempts" are those of this node.
 #[derive(Clone, Debug)]
 pub struct Backend {
     pub entry: BackendEntry,
     /// A number that no other backend of this service ever had.
     pub number: u32,
-    /// The hash of its identity, equal at all nodes.
+    /// The hash of the backend's id, the same at all nodes.
     pub hash: u64,
-    /// When its slow start began, and when it ends.
     pub slow_start_began: Duration,
     pub slow_start_ends: Duration,
-    /// Join-Up-To(m)'s estimate, and this node's last attempt there.
+    /// The estimate of Join-Up-To(m).
     pub estimate: Estimate,
+    /// When the last attempt was sent.
     pub last_send: Option<Duration>,
-    /// This node's attempts in flight.
+    /// The number of attempts in flight.
     pub in_flight: u32,
-    /// Those of them whose first byte has not arrived, the oldest first.
+    /// The attempts in flight whose first byte has not arrived, the oldest first.
     pub pending: Vec<PendingAttempt>,
-    /// Tokens to be prefilled for those.
+    /// Tokens to prefill for the pending attempts.
     pub pending_tokens: f64,
     pub reported_load: Option<ReportedLoad>,
+    /// When anything was last received from the backend.
     pub last_received: Option<Duration>,
-    /// Whether this node's last attempt that ended was served.
+    /// Whether the last attempt to end was served.
     pub last_was_served: bool,
-    /// Until when it counts as full, after it rejected a request.
+    /// When the backend stops counting as full after it rejected a request.
     pub full_until: Duration,
-    /// The shortest queue with which it rejected a request.
-    pub queue_bound: Option<u32>,
+    /// The shortest queue length at which the backend rejected a request.
+    pub full_queue_length: Option<u32>,
     /// When a load report was last requested.
     pub report_requested_at: Option<Duration>,
-    /// Response time relative to what was expected, smoothed, and when it was last updated.
+    /// The smoothed ratio of observed to expected times to the first byte, as of `slowness_updated_at`.
     pub slowness: f64,
-    pub slow_at: Duration,
+    pub slowness_updated_at: Duration,
     pub health: Health,
 }
 
-/// Slowness is forgotten over this time, so that a backend which was slow is tried again.
-const SLOWNESS_MEMORY_S: f64 = 5.0;
-/// A backend in slow start gets at least this share of what others get.
+/// Time constant of the decay of slowness to 1, in seconds. The decay lets a backend that was slow be tried
+/// again.
+const SLOWNESS_TIME_CONSTANT_S: f64 = 5.0;
+/// A backend in slow start gets at least this fraction of the requests that others get.
 const MIN_SLOW_START_FACTOR: f64 = 0.1;
 /// The weight of one response in the slowness.
-const SMOOTH: f64 = 0.25;
+const SLOWNESS_WEIGHT: f64 = 0.25;
+/// Bounds on the slowness of a single response.
+const MIN_SLOWNESS: f64 = 0.25;
+const MAX_SLOWNESS: f64 = 16.0;
+/// The multiple of the expected time to the first byte after which a backend without a sign of life counts as
+/// silent.
+const SILENCE_FACTOR: f64 = 4.0;
 
 impl Backend {
     pub fn new(entry: BackendEntry, number: u32, now: Duration) -> Self {
@@ -89,25 +98,24 @@
             last_received: None,
             last_was_served: false,
             full_until: Duration::ZERO,
-            queue_bound: None,
+            full_queue_length: None,
             report_requested_at: None,
             slowness: 1.0,
-            slow_at: now,
+            slowness_updated_at: now,
             health: Health::default(),
         }
     }
 
-    /// The share of requests that it gets during its slow start: it grows evenly to 1.
+    /// The requests that the backend gets relative to others. Grows linearly to 1 during slow start.
     pub fn slow_start_factor(&self, now: Duration) -> f64 {
         if now >= self.slow_start_ends {
             return 1.0;
         }
-        let whole = (self.slow_start_ends - self.slow_start_began).as_secs_f64();
-        let grown = now.saturating_sub(self.slow_start_began).as_secs_f64() / whole;
-        grown.clamp(MIN_SLOW_START_FACTOR, 1.0)
+        let duration_s = (self.slow_start_ends - self.slow_start_began).as_secs_f64();
+        let elapsed_s = now.saturating_sub(self.slow_start_began).as_secs_f64();
+        (elapsed_s / duration_s).clamp(MIN_SLOW_START_FACTOR, 1.0)
     }
 
-    /// Records an attempt.
     pub fn record_attempt(&mut self, now: Duration, attempt: PendingAttempt) {
         self.estimate.record_send();
         self.last_send = Some(now);
@@ -120,42 +128,46 @@
         self.pending.push(attempt);
     }
 
-    /// Whether all attempts there have ended, the last of them well, and none was made for so long. Its last reported load is
-    /// of no use any more, and no other arrives unless a request is sent.
-    pub fn has_stale_estimate(&self, now: Duration, long: Duration) -> bool {
-        let quiet = self.last_received.is_some_and(|at| now.saturating_sub(at) >= long);
-        self.in_flight == 0 && self.last_was_served && quiet && self.estimate != Estimate::default()
+    /// Whether an estimate above zero is out of date: no attempt is in flight, the last one was served, and
+    /// nothing was received for `min_idle`. The last reported load is then out of date too, and no other
+    /// arrives unless a request is sent.
+    pub fn has_stale_estimate(&self, now: Duration, min_idle: Duration) -> bool {
+        let is_idle =
+            self.last_received.is_some_and(|received_at| now.saturating_sub(received_at) >= min_idle);
+        self.in_flight == 0 && self.last_was_served && is_idle && self.estimate != Estimate::default()
     }
 
-    /// The first byte of an attempt has arrived, or it has ended without. Returns the attempt, if it was pending.
+    /// Removes an attempt whose first byte has arrived or which has ended. Returns it if it was pending.
     pub fn remove_pending(&mut self, attempt: AttemptId) -> Option<PendingAttempt> {
-        let at = self.pending.iter().position(|other| other.attempt == attempt)?;
-        let was = self.pending.remove(at);
-        self.pending_tokens = if self.pending.is_empty() { 0.0 } else { self.pending_tokens - was.tokens };
-        Some(was)
+        let index = self.pending.iter().position(|other| other.attempt == attempt)?;
+        let removed = self.pending.remove(index);
+        self.pending_tokens =
+            if self.pending.is_empty() { 0.0 } else { self.pending_tokens - removed.tokens };
+        Some(removed)
     }
 
-    /// Updates the slowness with the time of a first byte relative to what was expected.
-    pub fn learn_slowness(&mut self, now: Duration, ratio: f64) {
+    /// Updates the slowness with the ratio of the observed to the expected time to a first byte.
+    pub fn observe_slowness(&mut self, now: Duration, ratio: f64) {
         let current = self.slowness(now);
-        self.slowness = current + (ratio.clamp(0.25, 16.0) - current) * SMOOTH;
-        self.slow_at = now;
+        self.slowness = current + (ratio.clamp(MIN_SLOWNESS, MAX_SLOWNESS) - current) * SLOWNESS_WEIGHT;
+        self.slowness_updated_at = now;
     }
 
-    /// Response time relative to what was expected.
+    /// The smoothed ratio of observed to expected times to the first byte, decayed to the present.
     pub fn slowness(&self, now: Duration) -> f64 {
         if self.slowness == 1.0 {
             return 1.0;
         }
-        let age = now.saturating_sub(self.slow_at).as_secs_f64();
-        1.0 + (self.slowness - 1.0) * (-age / SLOWNESS_MEMORY_S).exp()
+        let age = now.saturating_sub(self.slowness_updated_at).as_secs_f64();
+        1.0 + (self.slowness - 1.0) * (-age / SLOWNESS_TIME_CONSTANT_S).exp()
     }
 
-    /// Whether it has sent nothing since an attempt that is pending for far longer than was expected.
-    pub fn is_silent(&self, now: Duration, least: Duration) -> bool {
+    /// Whether the oldest pending attempt has waited for its first byte for longer than `min_timeout` and a
+    /// multiple of the expected time, and nothing else was received from the backend since it was sent.
+    pub fn is_silent(&self, now: Duration, min_timeout: Duration) -> bool {
         let Some(oldest) = self.pending.first() else { return false };
-        let patience = least.max(Duration::from_secs_f64(4e-3 * oldest.expected_ms));
-        let heard_since = self.last_received.is_some_and(|at| at >= oldest.at);
-        now.saturating_sub(oldest.at) > patience && !heard_since
+        let timeout = min_timeout.max(Duration::from_secs_f64(SILENCE_FACTOR * 1e-3 * oldest.expected_ms));
+        let received_since = self.last_received.is_some_and(|received_at| received_at >= oldest.sent_at);
+        now.saturating_sub(oldest.sent_at) > timeout && !received_since
     }
 }
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,22 +1,24 @@
-//! Outlier ejection: when a backend is ejected for its failures, for how long, and how it recovers.
+//! Outlier ejection: when a failing backend is ejected, for how long, and how it is readmitted.
 
 use policy::Routing as RoutingPolicy;
 use std::time::Duration;
 
-/// The weight of one outcome in the smoothed failure rate.
-const FAILURE_WEIGHT: f64 = 0.25;
-/// The weight of a failed connect: it says more, as a running process accepts connections.
+/// Weight of one outcome in the exponentially smoothed failure rate.
+const OUTCOME_WEIGHT: f64 = 0.25;
+/// Weight of a failed connection attempt. Higher, since a running process accepts connections.
 const CONNECT_FAILURE_WEIGHT: f64 = 0.6;
-/// A backend with a higher failure rate is ejected, unless the others fail about as much.
+/// Failure rate above which a backend is ejected, unless the others fail about as often.
 const EJECTION_FAILURE_RATE: f64 = 0.5;
-/// By which factor its failure rate must exceed the mean of all.
-const EXCESS_OVER_MEAN: f64 = 1.5;
-/// Attempts that a recovering backend may have in flight at first; each success admits two more.
+/// The failure rate of an outlier exceeds the mean of all backends by this factor.
+const OUTLIER_FACTOR: f64 = 1.5;
+/// Attempts that a recovering backend may have in flight at first.
 const INITIAL_CONCURRENCY: u32 = 1;
-/// A backend that may have so many in flight is healthy again.
+/// Attempts by which each success raises the limit of a recovering backend.
+const CONCURRENCY_STEP: u32 = 2;
+/// Limit on attempts in flight at which a recovering backend counts as healthy.
 const HEALTHY_CONCURRENCY: u32 = 16;
 
-/// A failure, by what it says about a backend's health.
+/// The kind of a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
     /// No connection could be opened.
@@ -25,16 +27,15 @@
     Broken,
 }
 
-/// Whether a backend gets requests.
+/// Whether a backend is sent requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum EjectionState {
-    /// It gets requests.
     #[default]
     Healthy,
-    /// It gets none until then; after that, one request may try it.
-    Ejected { until: Duration, on_trial: bool },
-    /// It gets requests again; so many may be in flight at once.
-    Recovering { allowed: u32 },
+    /// No requests until `until`; after that, one at a time as a trial.
+    Ejected { until: Duration, trial_in_flight: bool },
+    /// Readmitted, with a limit on the attempts in flight.
+    Recovering { max_in_flight: u32 },
 }
 
 /// The health of one backend.
@@ -42,6 +43,7 @@
 pub struct Health {
     state: EjectionState,
     failure_rate: f64,
+    /// Ejections since the backend was last healthy.
     ejections: u32,
 }
 
@@ -51,17 +53,17 @@
         self.failure_rate
     }
 
-    /// Whether it fails more often than not.
+    /// Whether the failure rate is high enough for an ejection.
     pub fn is_failing(&self) -> bool {
         self.failure_rate > EJECTION_FAILURE_RATE
     }
 
-    /// Whether it is ejected; on trial, it still is.
+    /// Whether the backend is ejected. It is until a trial has succeeded.
     pub fn is_ejected(&self) -> bool {
         matches!(self.state, EjectionState::Ejected { .. })
     }
 
-    /// Until when it is ejected, if it is.
+    /// When the ejection ends. `None` if the backend is not ejected.
     pub fn ejected_until(&self) -> Option<Duration> {
         match self.state {
             EjectionState::Ejected { until, .. } => Some(until),
@@ -69,86 +71,92 @@
         }
     }
 
-    /// Whether it may get a request now, with so many attempts of this node in flight there.
+    /// Whether the backend may be sent a request while this node has `in_flight` attempts there.
     pub fn admits(&self, now: Duration, in_flight: u32) -> bool {
         match self.state {
             EjectionState::Healthy => true,
-            EjectionState::Ejected { until, on_trial } => now >= until && !on_trial,
-            EjectionState::Recovering { allowed } => in_flight < allowed,
+            EjectionState::Ejected { until, trial_in_flight } => now >= until && !trial_in_flight,
+            EjectionState::Recovering { max_in_flight } => in_flight < max_in_flight,
         }
     }
 
     /// Records an attempt. Returns whether it is the trial of an ejected backend.
     pub fn record_attempt(&mut self) -> bool {
-        let EjectionState::Ejected { on_trial, .. } = &mut self.state else { return false };
-        !std::mem::replace(on_trial, true)
+        let EjectionState::Ejected { trial_in_flight, .. } = &mut self.state else { return false };
+        !std::mem::replace(trial_in_flight, true)
     }
 
-    /// Records a success. Returns whether that ended its ejection.
+    /// Records a successful attempt. Returns whether it was a trial that ended the ejection.
     pub fn record_success(&mut self, was_trial: bool) -> bool {
-        self.failure_rate -= self.failure_rate * FAILURE_WEIGHT;
+        self.failure_rate -= self.failure_rate * OUTCOME_WEIGHT;
         match self.state {
             EjectionState::Ejected { .. } if was_trial => {
-                self.state = EjectionState::Recovering { allowed: INITIAL_CONCURRENCY };
+                self.state = EjectionState::Recovering { max_in_flight: INITIAL_CONCURRENCY };
                 self.failure_rate = self.failure_rate.min(EJECTION_FAILURE_RATE / 2.0);
                 return true;
             }
-            EjectionState::Recovering { allowed } if allowed + 2 >= HEALTHY_CONCURRENCY => {
+            EjectionState::Recovering { max_in_flight }
+                if max_in_flight + CONCURRENCY_STEP >= HEALTHY_CONCURRENCY =>
+            {
                 (self.state, self.ejections) = (EjectionState::Healthy, 0);
             }
-            EjectionState::Recovering { allowed } => {
-                self.state = EjectionState::Recovering { allowed: allowed + 2 }
+            EjectionState::Recovering { max_in_flight } => {
+                let max_in_flight = max_in_flight + CONCURRENCY_STEP;
+                self.state = EjectionState::Recovering { max_in_flight };
             }
             _ => {}
         }
         false
     }
 
-    /// Records a failure. Returns whether it should be ejected, if enough others are left: `mean` is the mean failure rate
-    /// of all backends.
-    pub fn record_failure(&mut self, failure: Failure, was_trial: bool, mean: f64) -> bool {
+    /// Records a failed attempt. Returns whether the backend should be ejected, provided that enough others
+    /// remain. `mean_failure_rate` is that of all backends.
+    pub fn record_failure(&mut self, failure: Failure, was_trial: bool, mean_failure_rate: f64) -> bool {
         let weight = match failure {
             Failure::NoConnection => CONNECT_FAILURE_WEIGHT,
-            Failure::Broken => FAILURE_WEIGHT,
+            Failure::Broken => OUTCOME_WEIGHT,
         };
         self.failure_rate += (1.0 - self.failure_rate) * weight;
         match self.state {
             EjectionState::Ejected { .. } => was_trial,
             EjectionState::Recovering { .. } => true,
             EjectionState::Healthy => {
-                self.failure_rate > EJECTION_FAILURE_RATE && self.failure_rate > EXCESS_OVER_MEAN * mean
+                self.failure_rate > EJECTION_FAILURE_RATE
+                    && self.failure_rate > OUTLIER_FACTOR * mean_failure_rate
             }
         }
     }
 
-    /// A trial ended without a success or a failure: another may follow.
+    /// Records that the trial ended with neither a success nor a failure, so that another may follow.
     pub fn cancel_trial(&mut self) {
-        if let EjectionState::Ejected { on_trial, .. } = &mut self.state {
-            *on_trial = false;
+        if let EjectionState::Ejected { trial_in_flight, .. } = &mut self.state {
+            *trial_in_flight = false;
         }
     }
 
-    /// Ejects it: each ejection is twice as long as the one before, up to the longest. `chance`, from 0 to 1, spreads the
-    /// trials of many nodes. Returns the duration.
-    pub fn eject(&mut self, now: Duration, policy: &RoutingPolicy, chance: f64) -> Duration {
-        let longest =
+    /// Ejects the backend and returns for how long: twice as long as the last time, up to the policy's
+    /// maximum. `jitter`, from 0 to 1, varies the duration by a quarter either way, so that nodes do not all
+    /// try the backend at once.
+    pub fn eject(&mut self, now: Duration, policy: &RoutingPolicy, jitter: f64) -> Duration {
+        let nominal =
             policy.first_ejection.saturating_mul(1 << self.ejections.min(10)).min(policy.max_ejection);
-        let duration = longest.mul_f64(0.75 + chance / 2.0);
+        let duration = nominal.mul_f64(0.75 + jitter / 2.0);
         self.ejections = self.ejections.saturating_add(1);
-        self.state = EjectionState::Ejected { until: now + duration, on_trial: false };
+        self.state = EjectionState::Ejected { until: now + duration, trial_in_flight: false };
         duration
     }
 
-    /// Lets it be tried again soon: many fail at once, so the fault may be this node's own.
-    pub fn shorten_ejection(&mut self, now: Duration, soon: Duration) {
+    /// Shortens the ejection to `remaining` at most, and the next one to the first duration. For when many
+    /// backends fail at once, as the fault may then be this node's own.
+    pub fn shorten_ejection(&mut self, now: Duration, remaining: Duration) {
         self.ejections = 0;
         if let EjectionState::Ejected { until, .. } = &mut self.state {
-            *until = (*until).min(now + soon);
+            *until = (*until).min(now + remaining);
         }
     }
 
-    /// Ends its ejection, since too many backends are ejected.
+    /// Ends the ejection without a trial, since too many backends are ejected.
     pub fn readmit(&mut self) {
-        self.state = EjectionState::Recovering { allowed: INITIAL_CONCURRENCY };
+        self.state = EjectionState::Recovering { max_in_flight: INITIAL_CONCURRENCY };
     }
 }
--- a/crates/routing/src/interface.rs
+++ b/crates/routing/src/interface.rs
@@ -1,85 +1,86 @@
-//! The inputs and outputs of the choice of a backend.
+//! Input and output types of the backend selection.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A backend: the identity of one start of its process.
+/// The instance id of a backend. A backend that restarts has another one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub Arc<str>);
 
 /// A backend that accepts new requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendEntry {
-    /// Its identity.
+    /// Unique among the backends of a service.
     pub id: BackendId,
-    /// Whether it is in the node's own zone.
+    /// Whether the backend is in the node's own zone.
     pub same_zone: bool,
-    /// Requests that it works on at once.
+    /// The number of requests that the backend runs at once.
     pub slots: u32,
-    /// How much of its slow start is left.
+    /// The remaining time of slow start; zero after it.
     pub slow_start_remaining: Duration,
 }
 
-/// What is known of a service's engines, where it serves a language model.
+/// The engines of a service that serves a language model. All its backends have the same settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSettings {
-    /// Requests that run at once.
+    /// The number of requests that an engine runs at once.
     pub slots: u32,
-    /// Tokens that its KV cache holds.
+    /// The capacity of an engine's KV cache, in tokens.
     pub kv_capacity_tokens: u64,
-    /// Tokens in an event of a stream.
+    /// The tokens in one event of a response stream.
     pub tokens_per_event: u32,
 }
 
 /// A block of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptBlock {
-    /// Equal blocks have equal ids.
+    /// Equal for blocks with equal content.
     pub id: u64,
-    /// Its tokens.
+    /// The number of tokens in the block.
     pub tokens: u32,
 }
 
-/// What the choice of a backend considers of a request.
+/// The properties of a request that the selection of a backend considers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestShape {
     /// The model's name; empty for none.
     pub model: String,
-    /// The tokens of the prompt.
+    /// The length of the prompt, in tokens; 0 if unknown.
     pub prompt_tokens: u32,
-    /// The most tokens of the response.
+    /// The maximum length of the response, in tokens; 0 if unknown.
     pub output_tokens: u32,
-    /// The blocks of the prompt in order; the last one is the request's own or its session's.
+    /// The blocks of the prompt in order. The last one belongs to this request or its session alone; the
+    /// others may be shared.
     pub blocks: Vec<PromptBlock>,
-    /// The rank of the tenant, 0 first.
+    /// The priority of the tenant; 0 is the highest.
     pub tenant_priority: u8,
-    /// The rank of the route, 0 first.
+    /// The priority of the route; 0 is the highest.
     pub route_priority: u8,
-    /// The time within which a response (a stream: its first event) has its full value, from now.
+    /// The time from now by which the response, or the first event of a stream, should arrive.
     pub latency_target: Duration,
-    /// How long the client waits from now.
+    /// The time from now for which the client waits.
     pub deadline: Duration,
     /// Whether the response is a stream of events.
     pub streaming: bool,
 }
 
-/// Id of an attempt.
+/// Identifies an attempt among those of one service at one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
 /// What to do with a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// Send it to a backend. The attempt counts as in flight until [`crate::Service::attempt_ended`].
+    /// Send it to a backend.
     Forward {
-        /// The attempt.
+        /// The attempt, which counts as in flight until [`crate::Service::attempt_ended`] is called with it.
         attempt: AttemptId,
-        /// The backend.
+        /// The selected backend.
         backend: BackendId,
-        /// The value of the `Priority` header, 0 first.
+        /// The value of the `Priority` header, from 0 (most urgent) to 9.
         urgency: u8,
     },
-    /// Reject it at once with 503.
+    /// Reject it at once with status 503.
     Reject {
         /// The value of `Retry-After`.
         retry_after: Duration,
@@ -89,42 +90,42 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Complete response, with a status under 500.
+    /// The response is complete and has a status below 500.
     Served,
-    /// Error response after it ran, or one that does not say.
+    /// The response is an error, and the request may have run.
     Failed,
-    /// Response that proves that it did not run (full, too late).
+    /// The backend rejected the request without running it, as it was full or the deadline too close.
     Rejected,
-    /// The address belongs to another instance.
+    /// Another instance than the selected one responds at the address.
     Misdirected,
-    /// No connection could be opened; nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     NotConnected,
-    /// The connection broke or timed out; it may have run.
+    /// The connection broke or the attempt timed out. The request may have run.
     Broken,
-    /// The client disconnected or this node abandoned it.
+    /// The client disconnected, or this node abandoned the attempt.
     Cancelled,
 }
 
 /// The load that a backend reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests running.
+    /// The number of requests that are running.
     pub running: u32,
-    /// Requests waiting.
+    /// The number of requests in the backend's queue.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// The number of requests that the backend runs at once.
     pub slots: u32,
 }
 
 /// A backend's response to `GET /api/report`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests waiting.
+    /// The number of requests in the backend's queue.
     pub queued: u32,
-    /// Requests running.
+    /// The number of requests that are running.
     pub active: u32,
-    /// Tokens of its KV cache that can't be evicted.
+    /// Tokens in the KV cache that can't be evicted.
     pub kv_used: u64,
-    /// Tokens of its KV cache.
+    /// The capacity of the KV cache, in tokens.
     pub kv_total: u64,
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,9 @@
-//! The choice of a backend: estimates by Join-Up-To(m), cached prompt blocks, load, urgency. No I/O, no clock.
+//! Selection of a backend by Join-Up-To(m), cached prompt blocks and load, and the urgency of requests. No
+//! I/O, no clock.
 //!
-//! [`Service`] holds what one node knows of the backends of one service. `docs/design/routing.md` says how it
-//! chooses and what was weighed; the estimate, m and the pick are those of `join_up_to::join`.
+//! [`Service`] is the state of one node for the backends of one service. `docs/design/routing.md` describes
+//! the selection and the alternatives that were considered. The estimate and the cap m are those of
+//! `join_up_to::join`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
