--- a/crates/routing/benches/decide.rs
+++ b/crates/routing/benches/decide.rs
@@ -1,4 +1,4 @@
-//! The time of a decision, at 12 and at 4,000 backends.
+//! Duration of a decision with 12 and with 4,000 backends.
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use routing::*;
@@ -33,10 +33,10 @@
 }
 
 fn bench(criterion: &mut Criterion) {
-    for (name, plain) in [("prompts", false), ("plain", true)] {
+    for (name, has_engine) in [("prompts", true), ("plain", false)] {
         for count in [12, 4000] {
             let engine = EngineSettings { slots: 64, kv_capacity_tokens: 400_000, tokens_per_event: 6 };
-            let mut service = Service::new((!plain).then_some(engine), 8, 7);
+            let mut service = Service::new(has_engine.then_some(engine), 8, 7);
             service.replace_backends(Duration::ZERO, entries(count));
             let mut turn = 0;
             criterion.bench_function(&format!("{name}, {count} backends"), |bencher| {
@@ -44,16 +44,16 @@
                     turn += 1;
                     let now = Duration::from_millis(20 * turn);
                     let mut request = request(turn);
-                    if plain {
+                    if !has_engine {
                         (request.blocks, request.prompt_tokens) = (Vec::new(), 0);
                     }
-                    let Decision::Forward { attempt: send, .. } = service.decide(now, &request, &[]) else {
+                    let Decision::Forward { attempt, .. } = service.decide(now, &request, &[]) else {
                         return;
                     };
                     let load = Load { running: 3, waiting: 0, slots: 64 };
-                    service.load_received(now + Duration::from_millis(15), send, load);
-                    service.response_started(now + Duration::from_millis(15), send);
-                    service.attempt_ended(now + Duration::from_millis(19), send, Outcome::Served, None);
+                    service.load_received(now + Duration::from_millis(15), attempt, load);
+                    service.response_started(now + Duration::from_millis(15), attempt);
+                    service.attempt_ended(now + Duration::from_millis(19), attempt, Outcome::Served, None);
                 })
             });
         }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Backends and requests for the tests.
+//! Services, backends and requests for the tests.
 #![allow(dead_code)]
 
 use routing::*;
@@ -19,20 +19,22 @@
     (0..count).map(entry).collect()
 }
 
-pub fn plain(count: usize, nodes: u32, seed: u64) -> Service {
+/// A service without a language model, with this number of backends.
+pub fn plain_service(count: usize, nodes: u32, seed: u64) -> Service {
     let mut service = Service::new(None, nodes, seed);
     service.replace_backends(Duration::ZERO, entries(count));
     service
 }
 
-pub fn model(count: usize, nodes: u32, seed: u64) -> Service {
+/// A service of a language model, with this number of backends.
+pub fn engine_service(count: usize, nodes: u32, seed: u64) -> Service {
     let mut service = Service::new(Some(ENGINE), nodes, seed);
     let with_slots = entries(count).into_iter().map(|entry| BackendEntry { slots: 64, ..entry });
     service.replace_backends(Duration::ZERO, with_slots.collect());
     service
 }
 
-/// A request with a generous latency target.
+/// A request whose latency target and deadline are too long to affect decisions.
 pub fn request() -> RequestShape {
     RequestShape {
         latency_target: Duration::from_secs(60),
@@ -41,11 +43,11 @@
     }
 }
 
-/// A form: two shared blocks and one of its own.
-pub fn form(subject: u64, own: u64) -> RequestShape {
+/// A request with two blocks shared by all requests of its topic, and one of its own.
+pub fn prompt_request(topic: u64, own: u64) -> RequestShape {
     let blocks = vec![
-        PromptBlock { id: subject % 4, tokens: 2520 },
-        PromptBlock { id: 100 + subject, tokens: 3780 },
+        PromptBlock { id: topic % 4, tokens: 2520 },
+        PromptBlock { id: 100 + topic, tokens: 3780 },
         PromptBlock { id: 1_000_000 + own, tokens: 2890 },
     ];
     RequestShape {
@@ -60,10 +62,11 @@
     }
 }
 
-pub fn sent(decision: &Decision) -> (AttemptId, BackendId) {
+/// The attempt and the backend of a decision to forward a request.
+pub fn forwarded(decision: &Decision) -> (AttemptId, BackendId) {
     match decision {
-        Decision::Forward { attempt: send, backend, .. } => (*send, backend.clone()),
-        Decision::Reject { .. } => panic!("rejected"),
+        Decision::Forward { attempt, backend, .. } => (*attempt, backend.clone()),
+        Decision::Reject { .. } => panic!("the request is rejected"),
     }
 }
 
--- a/crates/routing/tests/prompt_index.rs
+++ b/crates/routing/tests/prompt_index.rs
@@ -1,8 +1,8 @@
-//! What others are told of a node's index of prompt blocks, and what they correct in it.
+//! The audited prompt index: which changes it reports, and how corrections are applied.
 
 mod common;
 
-use common::{form, model};
+use common::{engine_service, prompt_request};
 use routing::*;
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
     Duration::from_millis(ms)
 }
 
-fn send(service: &mut Service, now: Duration, request: &RequestShape) -> (AttemptId, BackendId) {
+fn forward(service: &mut Service, now: Duration, request: &RequestShape) -> (AttemptId, BackendId) {
     match service.decide(now, request, &[]) {
-        Decision::Forward { attempt: send, backend, .. } => (send, backend),
-        other => panic!("{other:?}"),
+        Decision::Forward { attempt, backend, .. } => (attempt, backend),
+        rejection => panic!("the request is rejected: {rejection:?}"),
     }
 }
 
-/// A service of one backend whose index is audited.
-fn audited() -> Service {
-    let mut service = model(1, 4, 1);
+/// A service with one backend, whose index is audited.
+fn audited_service() -> Service {
+    let mut service = engine_service(1, 4, 1);
     service.set_audited(true);
     service
 }
@@ -30,45 +30,46 @@
 
 #[test]
 fn blocks_are_reported_once_they_are_prefilled_and_only_once() {
-    let mut service = audited();
-    let request = form(1, 1);
-    let (first, backend) = send(&mut service, at(0), &request);
+    let mut service = audited_service();
+    let request = prompt_request(1, 1);
+    let (first, backend) = forward(&mut service, at(0), &request);
     assert_eq!(service.index_changes(), []);
     service.response_started(at(100), first);
-    let told = service.index_changes();
-    let wanted: Vec<IndexChange> = keys(&request)
+    let changes = service.index_changes();
+    let expected: Vec<IndexChange> = keys(&request)
         .into_iter()
         .zip(&request.blocks)
-        .map(|(block, read)| IndexChange { backend: backend.clone(), block, tokens: Some(read.tokens) })
+        .map(|(key, block)| IndexChange { backend: backend.clone(), block: key, tokens: Some(block.tokens) })
         .collect();
-    assert_eq!(told, wanted);
+    assert_eq!(changes, expected);
     service.attempt_ended(at(200), first, Outcome::Served, None);
-    let (second, _) = send(&mut service, at(300), &request);
+    let (second, _) = forward(&mut service, at(300), &request);
     service.attempt_ended(at(400), second, Outcome::Served, None);
     assert_eq!(service.index_changes(), []);
     assert_eq!(service.complete_index().len(), 3);
 }
 
 #[test]
-fn blocks_of_a_rejected_request_are_never_reported() {
-    let mut service = audited();
+fn blocks_of_requests_that_are_not_served_are_not_reported() {
+    let mut service = audited_service();
     for (number, outcome) in [Outcome::Rejected, Outcome::Cancelled, Outcome::Failed].into_iter().enumerate()
     {
-        let (send, _) = send(&mut service, at(number as u64 * 1000), &form(number as u64, number as u64));
-        service.attempt_ended(at(number as u64 * 1000 + 10), send, outcome, None);
+        let (attempt, _) =
+            forward(&mut service, at(number as u64 * 1000), &prompt_request(number as u64, number as u64));
+        service.attempt_ended(at(number as u64 * 1000 + 10), attempt, outcome, None);
     }
     assert_eq!(service.index_changes(), []);
     assert_eq!(service.complete_index(), []);
 }
 
 #[test]
-fn evicted_blocks_are_reported() {
-    let mut service = audited();
-    // The memory holds 400,000 tokens; forms of one subject share 6,300 and have 2,890 each.
-    let first = form(1, 0);
+fn blocks_that_are_expected_to_be_evicted_are_reported_as_such() {
+    let mut service = audited_service();
+    // The cache holds 400,000 tokens. Requests of a topic share 6,300 and have 2,890 of their own.
+    let first = prompt_request(1, 0);
     for own in 0..140 {
-        let (send, _) = send(&mut service, at(own * 100), &form(1, own));
-        service.attempt_ended(at(own * 100 + 50), send, Outcome::Served, None);
+        let (attempt, _) = forward(&mut service, at(own * 100), &prompt_request(1, own));
+        service.attempt_ended(at(own * 100 + 50), attempt, Outcome::Served, None);
     }
     let own = keys(&first)[2];
     let changes = service.index_changes();
@@ -81,10 +82,10 @@
 
 #[test]
 fn corrections_are_applied_and_reported() {
-    let mut service = audited();
-    let request = form(1, 1);
-    let (sent, backend) = send(&mut service, at(0), &request);
-    service.attempt_ended(at(100), sent, Outcome::Served, None);
+    let mut service = audited_service();
+    let request = prompt_request(1, 1);
+    let (attempt, backend) = forward(&mut service, at(0), &request);
+    service.attempt_ended(at(100), attempt, Outcome::Served, None);
     service.index_changes();
     let dropped = keys(&request)[2];
     service.correct_index(&backend, dropped, None);
@@ -100,41 +101,40 @@
     assert_eq!(service.index_changes(), []);
 }
 
-/// A block that an audit has found at a backend attracts the requests that share it, as an attempt there would.
 #[test]
-fn a_block_that_an_audit_found_attracts_requests() {
-    let mut service = model(8, 1, 3);
+fn requests_go_to_the_backend_where_an_audit_has_found_their_blocks() {
+    let mut service = engine_service(8, 1, 3);
     service.set_audited(true);
-    let request = form(2, 1);
-    let (sent, natural) = send(&mut service, at(0), &request);
-    service.attempt_ended(at(50), sent, Outcome::Cancelled, None);
-    service.correct_index(&natural, keys(&request)[0], None);
-    service.correct_index(&natural, keys(&request)[1], None);
-    service.correct_index(&natural, keys(&request)[2], None);
-    let other = (0..8).map(common::id).find(|id| *id != natural).expect("another");
+    let request = prompt_request(2, 1);
+    let (attempt, first) = forward(&mut service, at(0), &request);
+    service.attempt_ended(at(50), attempt, Outcome::Cancelled, None);
+    service.correct_index(&first, keys(&request)[0], None);
+    service.correct_index(&first, keys(&request)[1], None);
+    service.correct_index(&first, keys(&request)[2], None);
+    let other = (0..8).map(common::id).find(|id| *id != first).expect("a second backend");
     for (key, block) in keys(&request).into_iter().zip(&request.blocks) {
         service.correct_index(&other, key, Some(block.tokens));
     }
-    let (_, backend) = send(&mut service, at(20_000), &request);
+    let (_, backend) = forward(&mut service, at(20_000), &request);
     assert_eq!(backend, other);
 }
 
 #[test]
 fn an_index_that_is_not_audited_reports_nothing() {
-    let mut service = model(2, 4, 1);
-    let (sent, _) = send(&mut service, at(0), &form(1, 1));
-    service.attempt_ended(at(100), sent, Outcome::Served, None);
+    let mut service = engine_service(2, 4, 1);
+    let (attempt, _) = forward(&mut service, at(0), &prompt_request(1, 1));
+    service.attempt_ended(at(100), attempt, Outcome::Served, None);
     assert_eq!((service.index_changes(), service.complete_index()), (Vec::new(), Vec::new()));
 }
 
 #[test]
-fn keys_follow_from_the_model_and_all_blocks_before() {
+fn a_block_key_depends_on_the_model_and_all_preceding_blocks() {
     let blocks = [PromptBlock { id: 1, tokens: 10 }, PromptBlock { id: 2, tokens: 20 }];
     let keys = prompt_block_keys("m", &blocks);
     assert_eq!(keys, prompt_block_keys("m", &blocks));
     assert_eq!(keys[0], prompt_block_keys("m", &blocks[..1])[0]);
     assert_ne!(keys[1], prompt_block_keys("m", &blocks[1..])[0]);
     assert_ne!(keys[0], prompt_block_keys("n", &blocks[..1])[0]);
-    // The published values: other programs use them as keys.
+    // Backends compute the same values, so that they must not change.
     assert_eq!(format!("{:016x} {:016x}", keys[0], keys[1]), "aaa3972e462a1a92 f8929d3eec64863d");
 }
