--- a/crates/join-up-to/tests/bad_input.rs
+++ b/crates/join-up-to/tests/bad_input.rs
@@ -34,29 +34,29 @@
 #[test]
 fn invalid_settings_are_tolerated() {
     let durations = [Duration::ZERO, Duration::from_nanos(1), Duration::MAX];
-    let figures = [0.0, -1.0, f64::NAN, f64::INFINITY, f64::MIN_POSITIVE, f64::MAX];
-    for (i, figure) in figures.into_iter().enumerate() {
+    let numbers = [0.0, -1.0, f64::NAN, f64::INFINITY, f64::MIN_POSITIVE, f64::MAX];
+    for (i, number) in numbers.into_iter().enumerate() {
         for time in durations {
             for base in [settings(), reports_from_probes(), reports_in_responses()] {
                 let mut settings = base;
                 settings.nodes = [0, 1, u32::MAX][i % 3];
-                settings.tenants = vec![Tenant { allowance_per_s: figure, share: figure }; 2];
-                settings.over_share_value = figure;
+                settings.tenants = vec![Tenant { allowance_per_s: number, share: number }; 2];
+                settings.over_share_value = number;
                 settings.rules = Rules {
                     drain_grace: time,
-                    initial_capacity: figure,
+                    initial_capacity: number,
                     slow_start: time,
-                    overload_factor: figure,
+                    overload_factor: number,
                     overload_time: time,
                     list_request_interval: time,
                 };
                 settings.prices =
-                    Prices { probe: figure, cross_zone: figure, waste: figure, late_failure: figure };
+                    Prices { probe: number, cross_zone: number, waste: number, late_failure: number };
                 settings.limits.connect_timeout = time;
                 settings.limits.max_retry_after = Some(time);
                 settings.list_on_request = i % 2 == 0;
                 for class in &mut settings.classes {
-                    (class.latency_target_stretch, class.value, class.late_value) = (figure, figure, figure);
+                    (class.latency_target_stretch, class.value, class.late_value) = (number, number, number);
                 }
                 play(settings, i as u64);
             }
@@ -98,7 +98,7 @@
 
 #[test]
 fn invalid_numbers_in_reports_and_costs_are_tolerated() {
-    let figures = [f32::NAN, f32::NEG_INFINITY, f32::INFINITY, -7.0, f32::MAX, f32::MIN_POSITIVE];
+    let numbers = [f32::NAN, f32::NEG_INFINITY, f32::INFINITY, -7.0, f32::MAX, f32::MIN_POSITIVE];
     for base in
         [reports_from_probes(), reports_in_responses(), Settings { nodes: 1, ..reports_from_probes() }]
     {
@@ -107,10 +107,10 @@
             [Duration::ZERO, Duration::from_nanos(1), Duration::MAX].into_iter().cycle().enumerate().take(90)
         {
             harness.request_with(i % 5, 0, ms(500), Some(cost));
-            while harness.end_probe(Some(figures[i % 6])).is_some() {}
+            while harness.end_probe(Some(numbers[i % 6])).is_some() {}
             harness.advance(ms(2));
             for (id, attempt) in harness.attempts_in_flight() {
-                harness.end_attempt(id, attempt, Outcome::Served, Some(figures[i % 6]));
+                harness.end_attempt(id, attempt, Outcome::Served, Some(numbers[i % 6]));
             }
         }
         // Afterwards an ordinary request is still sent.
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,6 +1,6 @@
 //! A simulated node: a balancer whose panics are caught.
 
-use crate::wire::{RawReport, named_report};
+use crate::wire::{RawReport, load_report};
 use join_up_to::settings::{self, Column};
 use join_up_to::{Action, Balancer, Event};
 use quick_error::quick_error;
@@ -44,7 +44,7 @@
         mut event: Event,
         raw: Option<RawReport>,
     ) -> Result<Vec<Action>, InstanceError> {
-        let report = raw.map(|raw| named_report(raw, &self.columns));
+        let report = raw.map(|raw| load_report(raw, &self.columns));
         match &mut event {
             Event::AttemptEnded(end) => end.report = report,
             Event::Probed(end) => end.report = report,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -93,7 +93,7 @@
     },
     /// The instance stops.
     Stop,
-    /// An event for the balancer of the instance, and its raw load report if there is one. [`named_report`]
+    /// An event for the balancer of the instance, and its raw load report if there is one. [`load_report`]
     /// converts that, as it depends on the columns in the settings of the instance.
     Event(Event, Option<RawReport>),
 }
@@ -244,7 +244,7 @@
 }
 
 /// Converts a raw load report, whose values are in the order of the columns in the settings.
-pub fn named_report((values, count): RawReport, columns: &[Column]) -> LoadReport {
+pub fn load_report((values, count): RawReport, columns: &[Column]) -> LoadReport {
     let mut report = LoadReport::default();
     for (column, value) in columns.iter().zip(&values[..count]) {
         column.set(&mut report, *value);
--- a/crates/simulator-adapter/tests/golden_wire.rs
+++ b/crates/simulator-adapter/tests/golden_wire.rs
@@ -4,7 +4,7 @@
 
 use join_up_to::settings::{Column, millis};
 use join_up_to::*;
-use simulator_adapter::wire::{self, Batch, Input, Reply, named_report, read_batch};
+use simulator_adapter::wire::{self, Batch, Input, Reply, load_report, read_batch};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -203,7 +203,7 @@
 #[test]
 fn values_of_load_reports_are_named_by_the_columns_in_their_order() {
     let columns = [Column::Tps, Column::Unknown, Column::MeanMs, Column::ErrPs, Column::Concurrent];
-    let report = named_report(([1.0, 2.0, 3.0, 4.0], 4), &columns);
+    let report = load_report(([1.0, 2.0, 3.0, 4.0], 4), &columns);
     let expected = LoadReport {
         in_flight: None,
         queue: None,
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -5,7 +5,7 @@
     Action, AttemptEnd, Event, ListKind, LoadReport, NewRequest, Outcome, ProbeEnd, RequestId, ServerEntry,
     ServerId, ServerState,
 };
-use simulator_adapter::wire::{Input, Reply, WireError, named_report, read_batch};
+use simulator_adapter::wire::{Input, Reply, WireError, load_report, read_batch};
 use std::time::Duration;
 
 const EVENT: usize = 48;
@@ -155,7 +155,7 @@
         report: None,
     };
     assert_eq!(end, expected);
-    let report = named_report(raw, &[Column::Concurrent, Column::Unknown, Column::LoadShare]);
+    let report = load_report(raw, &[Column::Concurrent, Column::Unknown, Column::LoadShare]);
     let expected = LoadReport { in_flight: Some(3.0), utilisation: Some(0.5), ..LoadReport::default() };
     assert_eq!(report, expected);
 }
