--- a/crates/join-up-to/src/state/on_time.rs
+++ b/crates/join-up-to/src/state/on_time.rs
@@ -7,10 +7,10 @@
 pub struct OnTimeRates([f64; LEVELS]);
 
 impl OnTimeRates {
-    /// The initial rates: 1 up to the level `open`, and `others` above it.
-    pub fn new(open: usize, others: f64) -> Self {
-        let mut rates = [others; LEVELS];
-        rates[..=open].fill(1.0);
+    /// The initial rates: 1 up to the level `max_certain_level`, and `higher_rate` above it.
+    pub fn new(max_certain_level: usize, higher_rate: f64) -> Self {
+        let mut rates = [higher_rate; LEVELS];
+        rates[..=max_certain_level].fill(1.0);
         OnTimeRates(rates)
     }
     /// The rate of a level, from 0 to 1.
