--- a/crates/replication/src/disk_health.rs
+++ b/crates/replication/src/disk_health.rs
@@ -1,11 +1,11 @@
-//! The state of a member's disk, as the members report it to each other.
+//! The health of a member's disk, as members report it to each other.
 
-/// Whether a disk is of use.
+/// The health of a disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiskHealth {
     Healthy,
-    /// It completes writes, each much later than usual disks do.
+    /// Writes complete, but take much longer than usual.
     Slow,
-    /// It hangs or rejects writes.
+    /// The disk hangs or rejects writes.
     Failed,
 }
--- a/crates/replication/src/fault.rs
+++ b/crates/replication/src/fault.rs
@@ -1,70 +1,71 @@
-//! Deliberate faults, by which tests show that they would notice such a fault. Compiled for tests only.
+//! Faults that tests inject to show that their checks detect them. Compiled only with the feature
+//! `planted-faults`.
 
-/// A deliberate fault.
+/// A fault that can be injected into a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// An entry is forwarded and reported before it is on disk.
+    /// An entry is forwarded and reported as stored before it is on disk.
     ForwardsBeforeDurable,
-    /// A Paxos promise is sent and not stored.
+    /// A Paxos promise is sent without having been stored.
     PromiseNotDurable,
-    /// A Paxos acceptance is sent and not stored.
+    /// A Paxos acceptance is sent without having been stored.
     AcceptanceNotDurable,
-    /// An acceptor accepts a lower proposal number than the one it has promised.
+    /// An acceptor accepts a proposal with a lower number than it has promised.
     AcceptsLowerProposals,
-    /// A proposer ignores what acceptors have accepted.
+    /// A proposer ignores the proposals that acceptors report as accepted.
     IgnoresAcceptedViews,
     /// Half of the voters counts as a majority.
     HalfIsMajority,
-    /// The tail responds to a read without confirmation that its view is the latest.
+    /// The tail responds to a read without a confirmation that its view is the latest.
     ReadsWithoutConfirmation,
-    /// Messages of the chain count whatever view their sender knows.
+    /// Messages within the chain are processed even if the sender knows a different view.
     AcceptsOldViews,
-    /// A view may be led by a member that lacks committed entries.
+    /// A member that lacks committed entries may become head.
     AnyMemberLeads,
-    /// The head responds once an entry is on its own disk.
+    /// The head commits an entry, and responds, as soon as the entry is on its own disk.
     CommitsAtHead,
-    /// A committed change is not recognized when it is retried.
+    /// A retry of a committed change is not recognized by its digest.
     IgnoresDigests,
-    /// A transfer to another member lacks the history.
+    /// A state transfer omits the history of entry keys.
     TransfersWithoutHistory,
-    /// The head accepts a change whatever its base.
+    /// The head accepts a change whose base is not the current generation.
     IgnoresBase,
-    /// An empty disk gets the identity of the lost one again.
+    /// A member with an empty disk takes the identity of the lost disk again.
     ReusesLostIdentity,
-    /// A member that differs from its predecessor takes itself for synced.
+    /// A member whose newest entry differs from its predecessor's marks itself as synced.
     SyncsWithoutComparing,
-    /// A member that returns keeps an entry that the others do not know.
+    /// A restarted member keeps an uncommitted entry that the other members do not have.
     KeepsUncommitted,
-    /// A member whose disk hangs or rejects writes does not report it.
+    /// A member does not report that its disk hangs or rejects writes.
     HidesDiskFailure,
-    /// No slow disk is accepted in a chain, however few others remain.
+    /// A member with a slow disk is never accepted in the chain, even if too few others remain.
     RefusesSlowDisks,
-    /// A disk that was slow is not written to in order to learn whether it still is.
+    /// A slow disk is never probed, so it is not noticed when it becomes fast again.
     NeverProbesDisk,
-    /// A disk that has rejected a write is not tried again.
+    /// A disk that has rejected a write is never tried again.
     NeverRetriesDisk,
-    /// That a member is not heard by others is ignored.
+    /// Reports that a member is not heard by others are ignored, so partitions in one direction go unnoticed.
     IgnoresOneWayPartitions,
-    /// No member is appended to the chain again.
+    /// A member that has left the chain is never appended again.
     NeverAppends,
-    /// What was lost on its way through the chain is not sent again.
+    /// Offers to the successor are not repeated after a message was lost.
     NeverRepeatsOffers,
     /// A member outside the view never replaces a voter.
     NeverReplacesVoters,
-    /// A request is not sent again when the head has changed.
+    /// A request is never resent, for example to the new head after a view change.
     NeverRetriesRequests,
-    /// The head responds with final outcomes without confirmation that its view is the latest.
+    /// The head responds with final outcomes without a confirmation that its view is the latest.
     RespondsWithoutConfirmation,
-    /// A response to an earlier incarnation of the process counts.
+    /// A response to a request of an earlier incarnation of the process is accepted.
     AcceptsOtherIncarnations,
-    /// A member outside the chain gives up its entries before the chain is synced.
+    /// A member outside the chain discards its uncommitted entries before the chain is synced.
     CopiesTooEarly,
-    /// A forced view is led by a member that lacks what may have been committed.
+    /// A forced view may be led by a member that lacks entries that may have been committed.
     ForcesWithoutEvidence,
-    /// A promise of a member that is synced in the view in force does not prevent a forced view.
+    /// A view is forced although a promise came from a member that is synced in the view in force.
     IgnoresSyncedPromises,
-    /// A change that may have been committed and pruned is rejected.
+    /// A change that may have been committed and pruned is rejected instead of reported as too old.
     RejectsPruned,
-    /// A member that is shutting down reports that it may end once it is outside the chain.
+    /// A member that is shutting down reports that it may exit as soon as it is outside the chain.
     ShutsDownTooEarly,
 }
--- a/crates/replication/src/identifiers.rs
+++ b/crates/replication/src/identifiers.rs
@@ -1,9 +1,9 @@
-//! Numbers that name things, each as a type of its own so that one is not taken for another.
+//! Newtypes for identifiers and counters, so that one can't be passed for another.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Defines an identifier that is compared and carried, and never computed with.
+/// Defines an identifier: an opaque number that is compared and transmitted, with no arithmetic.
 macro_rules! identifier {
     ($(#[$attribute:meta])* $name:ident) => {
         $(#[$attribute])*
@@ -20,13 +20,13 @@
     };
 }
 
-/// Defines a counter that begins at 1; its default, 0, stands for none.
+/// Defines a counter that begins at 1. The default, 0, means "none".
 macro_rules! counter {
     ($(#[$attribute:meta])* $name:ident) => {
         identifier!($(#[$attribute])* #[derive(Default)] $name);
 
         impl $name {
-            /// The number before the first one.
+            /// Zero: before the first number.
             pub const NONE: Self = Self(0);
 
             /// The number after this one.
@@ -44,23 +44,23 @@
 }
 
 identifier! {
-    /// The identity of a member's disk. Drawn when the disk is first written, so that a machine that lost its disk returns as
-    /// another member.
+    /// Identifies a member. The identity is generated when its disk is initialized, so a machine that lost
+    /// its disk comes back as a different member.
     MemberId
 }
 
 identifier! {
-    /// A client request, numbered by the driver of the replica that received it.
+    /// Identifies a client request. Assigned by the driver of the replica that received the request.
     RequestId
 }
 
 identifier! {
-    /// A write to the log, numbered by the replica that ordered it.
+    /// Identifies a write to the log. Assigned by the replica that ordered the write.
     WriteId
 }
 
 counter! {
-    /// The number of a membership view. Each view has one more than the view before it.
+    /// The number of a membership view; consecutive views have consecutive numbers.
     ViewNumber
 }
 
@@ -70,7 +70,7 @@
 }
 
 counter! {
-    /// The generation of a configuration, chosen by its author. It increases from change to change, not always by one.
+    /// The generation of a configuration, chosen by its author. Increases with each change, by one or more.
     Generation
 }
 
@@ -81,19 +81,21 @@
     }
 }
 
-/// One run of a member's process, drawn at random at its start. A restarted process must not take messages for its predecessor
-/// as its own.
+/// Identifies one run of a member's process; drawn at random when the process starts. Lets a restarted
+/// process discard messages that were meant for its predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct Incarnation(pub(crate) u64);
 
-/// A round of leadership confirmation, numbered by the member that asks for it.
+/// The number of a confirmation round (see `read_index`), assigned by the member that requests the
+/// confirmation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct ConfirmationRound(u64);
 
 impl ConfirmationRound {
-    /// The number before the first round of an incarnation, so that the rounds of two incarnations differ.
+    /// The starting value for the rounds of an incarnation. Derived from the incarnation, so that the rounds
+    /// of two incarnations do not overlap.
     pub(crate) fn before_first(incarnation: Incarnation) -> Self {
         Self(incarnation.0)
     }
--- a/crates/replication/src/interface.rs
+++ b/crates/replication/src/interface.rs
@@ -1,4 +1,4 @@
-//! What a driver passes to a replica and what it performs for it.
+//! The interface between a replica and its driver: inputs, outputs, settings, status.
 
 use crate::identifiers::{Generation, MemberId, RequestId, Sequence, WriteId};
 use crate::message::Message;
@@ -8,97 +8,101 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// An event.
+/// An event that the driver reports to the replica.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// Time has passed. Expected every [`TICK_INTERVAL`].
+    /// Time has passed. The driver sends it every [`TICK_INTERVAL`].
     Tick,
-    /// A message was received. It may be old or duplicated.
+    /// A message was received. It may be delayed or duplicated.
     Received {
-        /// The address that its sender claims.
+        /// The address that the sender claims to have.
         from: SocketAddrV4,
         /// The message.
         message: Message,
     },
-    /// A record is on disk, and so is every record ordered before it.
+    /// This record and all records ordered before it are on disk.
     Stored(WriteId),
-    /// A record could not be written: the disk is full or failing. The file is intact up to the record before. Every record
-    /// ordered since is to be reported as not stored too, without an attempt, up to the next [`Output::Rewrite`].
+    /// A record could not be written because the disk is full or failing. The log is intact up to the record
+    /// before. The driver must report every record ordered after it as not stored too, without an attempt to
+    /// write it, until the next [`Output::Rewrite`].
     NotStored(WriteId),
-    /// An operator's change, at any member.
+    /// A change submitted to this member by an operator. Any member accepts changes.
     Write(RequestId, Change),
-    /// A linearizable read of the newest entry, at any member.
+    /// A linearizable read of the newest entry. Any member accepts reads.
     Read(RequestId),
-    /// A linearizable read of the sequence of the newest entry alone, at any member.
+    /// A linearizable read of only the sequence of the newest entry.
     ReadIndex(RequestId),
-    /// The client no longer waits for this request.
+    /// The client no longer waits for this request; there is no response to it.
     Cancel(RequestId),
-    /// This process will end soon: others are to take over its roles.
+    /// This process is about to exit: other members should take over its roles.
     Shutdown,
-    /// The settings name other machines that a member may be found at.
+    /// Replaces the seed addresses at which other members may be found.
     SetSeeds(Vec<SocketAddrV4>),
 }
 
 /// An effect for the driver to perform.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Send a message. It may get lost.
+    /// Send a message. Delivery is not guaranteed.
     Send {
         /// The recipient's address.
         to: SocketAddrV4,
         /// The message.
         message: Message,
     },
-    /// Append a record to the log and report when it is on disk.
+    /// Append a record to the log, and report [`Input::Stored`] once it is durable.
     Store(WriteId, Record),
-    /// Rewrite the log: these records replace all before them. To be reported as stored once the new log has replaced the old.
+    /// Rewrite the log: these records replace all earlier ones. To be reported as stored once the new log has
+    /// replaced the old one.
     Rewrite(WriteId, Vec<Record>),
     /// Respond to a client request.
     Respond(RequestId, RequestOutcome),
-    /// A new entry is committed; entries may be skipped.
+    /// A newer entry is committed. Only the newest one is reported: entries between two reports are skipped.
     Committed(Entry),
-    /// Another view is in force.
+    /// A new view is in force.
     ViewChanged(View),
 }
 
-/// How many committed changes are remembered, so that a retried one is recognized: the usual value of
-/// [`Settings::history_length`].
+/// The default for [`Settings::history_length`].
 pub const DEFAULT_HISTORY_LENGTH: usize = 4_608;
 
-/// How often [`Input::Tick`] is expected.
+/// The interval at which the driver sends [`Input::Tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a replica is started with.
+/// The configuration that a replica is started with.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where this member listens for other programs of the fleet.
+    /// The address on which this member accepts connections of the other programs of the fleet.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// The availability zone of this member.
     pub zone: String,
-    /// Machines that a member may be found at, this one perhaps among them.
+    /// Addresses at which members may be found; may contain the address of this member.
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system. If so, a member with an empty disk whose address
+    /// is among the seeds starts with a first view that consists of the seeds.
     pub bootstrap: bool,
-    /// How many members may fail at once. There are 2 x this + 1 voters, and the chain has this + 1 members at least.
+    /// The number of members that may fail at the same time, f. There are 2f + 1 voters, and a chain has at
+    /// least f + 1 members.
     pub tolerated_failures: usize,
-    /// How many keys of entries are remembered; 2 at least.
+    /// The number of entry keys that are kept to recognize retried changes; at least 2.
     pub history_length: usize,
 }
 
 /// The status of a replica, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// This member.
+    /// The identity of this member.
     pub id: MemberId,
-    /// The view that it knows.
+    /// The newest view that this member knows.
     pub view: Option<View>,
-    /// The sequence of the newest entry on its disk.
+    /// The sequence of the newest entry on this member's disk.
     pub stored: Sequence,
-    /// The sequence of the newest entry that it knows to be committed.
+    /// The sequence of the newest entry that this member knows to be committed.
     pub committed: Sequence,
-    /// The newest committed generation.
+    /// The generation of the newest entry that this member knows to be committed; 0 if there is none.
     pub generation: Generation,
-    /// Whether it has exchanged messages with a majority of the voters lately. Serialized under its old name.
+    /// Whether this member has recently exchanged messages with a majority of the voters. Serialized under
+    /// its old name.
     #[serde(rename = "in_touch")]
     pub has_quorum_contact: bool,
 }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between replicas. Types, variants and fields that were renamed are serialized under the names that deployed programs
-//! know.
+//! Messages between replicas. Renamed types, variants and fields keep the names that deployed programs expect
+//! on the wire.
 
 use crate::disk_health::DiskHealth;
 use crate::identifiers::{ConfirmationRound, Incarnation, MemberId, RequestId, Sequence, ViewNumber};
@@ -7,17 +7,17 @@
 use crate::register::{EntryKey, StateTransfer};
 use serde::{Deserialize, Serialize};
 
-/// A message between replicas. Opaque to the driver, which only transports it.
+/// A message between replicas. Opaque to the driver, which only delivers it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     pub(crate) sender: MemberId,
-    /// The number of the view that the sender knows.
+    /// The number of the newest view that the sender knows.
     pub(crate) view: ViewNumber,
     pub(crate) body: MessageBody,
 }
 
-/// The number of a Paxos proposal. The incarnation is part of it, so that a process that has forgotten its last attempt can't
-/// use the same number for another proposal.
+/// The number of a Paxos proposal. It includes the incarnation, so that a restarted process, which may have
+/// forgotten its last attempt, can't reuse a number for a different proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct ProposalNumber {
     pub(crate) round: u64,
@@ -26,7 +26,7 @@
     pub(crate) incarnation: Incarnation,
 }
 
-/// A proposed view, not yet known to be decided.
+/// A proposed view, with its proposal number. Not necessarily decided.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Proposal {
     #[serde(rename = "ballot")]
@@ -38,15 +38,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum MessageBody {
     Heartbeat(Box<Heartbeat>),
-    /// A decided view, last, preceded by the few decided before it, the oldest first.
+    /// The newest decided view as the last element, preceded by a few earlier ones, the oldest first.
     Decided(Vec<View>),
     /// Phase 1a of Paxos.
     Prepare {
         slot: ViewNumber,
         #[serde(rename = "ballot")]
         number: ProposalNumber,
-        /// Whether no member that has all committed entries is reachable: members of the chain that are not synced in this view
-        /// are to give up being synced in it.
+        /// Whether the attempt is for a forced view, because no member that has all committed entries is
+        /// reachable. Chain members that are not synced in the current view then promise not to become synced
+        /// in it.
         #[serde(rename = "rescue")]
         forced: bool,
     },
@@ -56,7 +57,7 @@
         #[serde(rename = "ballot")]
         number: ProposalNumber,
         accepted: Option<Proposal>,
-        /// Whether the sender is in the chain of this view and synced in it.
+        /// Whether the sender is in the chain of the view in force and synced in it.
         synced: bool,
     },
     /// Phase 2a of Paxos.
@@ -70,36 +71,38 @@
         #[serde(rename = "ballot")]
         number: ProposalNumber,
     },
-    /// The voter has promised a higher number.
+    /// The response of a voter that has promised a higher proposal number.
     #[serde(rename = "Refused")]
     Rejected {
         slot: ViewNumber,
         promised: ProposalNumber,
     },
-    /// To the successor in the chain: the entry after `previous`.
+    /// To the successor in the chain: the entry that follows `previous`.
     Append {
         previous: EntryKey,
         entry: Entry,
     },
-    /// To the successor in the chain: the newest entry on the sender's disk.
+    /// To the successor in the chain: the newest entry on the sender's disk, for comparison.
     Offer {
         newest: EntryKey,
     },
-    /// To the successor in the chain: what it lacks of the register.
+    /// To the successor in the chain: all of the register that it lacks.
     Sync(Box<StateTransfer>),
-    /// To the predecessor in the chain.
+    /// To the predecessor in the chain: the progress of the sender and the members after it.
     Progress(ChainProgress),
-    /// From a member outside the chain: its newest entry.
+    /// From a member outside the chain, to request a copy of the committed state: its newest entry.
     CopyRequest {
         newest: EntryKey,
     },
-    /// To a member outside the chain: what it lacks of the committed state.
+    /// To a member outside the chain: the part of the committed state that it lacks.
     Copy {
         transfer: Box<StateTransfer>,
-        /// Whether all of the chain is synced in this view, so that nothing is needed of a member outside.
+        /// Whether the whole chain is synced in this view, so that no entry of a member outside the chain is
+        /// needed any more.
         active: bool,
     },
-    /// A client request for the head (a change) or the tail (a read).
+    /// A client request for the head (a change) or the tail (a read), sent by the member that received it or
+    /// by a relay.
     Forward {
         #[serde(rename = "caller")]
         origin: RequestOrigin,
@@ -112,32 +115,33 @@
         #[serde(rename = "answer")]
         outcome: RequestOutcome,
     },
-    /// Asks a voter to confirm that the sender's view is the latest.
+    /// Requests a voter's confirmation that the sender's view is the latest.
     #[serde(rename = "Confirm")]
     ConfirmView {
         round: ConfirmationRound,
     },
-    /// The voter has accepted no view later than the one to be confirmed.
+    /// A voter's confirmation: it has accepted no view later than the one to be confirmed.
     #[serde(rename = "Confirmed")]
     ViewConfirmed {
         round: ConfirmationRound,
     },
 }
 
-/// The progress of the chain from the sender to the tail.
+/// The replication progress of the part of the chain from the sender to the tail.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ChainProgress {
-    /// The newest entry: on disk, if `synced`.
+    /// The sender's newest entry. Once `synced` is set, only entries on its disk count.
     pub(crate) newest: EntryKey,
-    /// Whether the sender has all that its predecessor had when the view began.
+    /// Whether the sender has taken over the state that its predecessor had when the view began.
     pub(crate) synced: bool,
     /// Whether every member from the sender to the tail is synced.
     pub(crate) active: bool,
-    /// The sequence of the newest entry that it knows to be committed.
+    /// The sequence of the newest entry that the sender knows to be committed.
     pub(crate) committed: Sequence,
 }
 
-/// Where a client request was received. A restarted process numbers its requests anew, so the incarnation is part of it.
+/// Identifies a client request and the process that received it. Contains the incarnation because a restarted
+/// process numbers its requests from the start again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct RequestOrigin {
     pub(crate) member: MemberId,
@@ -145,7 +149,8 @@
     pub(crate) incarnation: Incarnation,
     #[serde(rename = "call")]
     pub(crate) request: RequestId,
-    /// The member that forwarded the request, where its origin and the server can't reach each other.
+    /// The voter that forwards the request and its response, if the origin and the serving member can't reach
+    /// each other.
     pub(crate) relay: Option<MemberId>,
 }
 
@@ -158,38 +163,39 @@
     ReadIndex,
 }
 
-/// The state that a member sends to all others several times a second.
+/// The state that each member sends periodically to all others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Heartbeat {
     pub(crate) member: Member,
     #[serde(rename = "life")]
     pub(crate) incarnation: Incarnation,
-    /// The sender's clock in milliseconds.
+    /// The sender's monotonic clock at the time of sending, in milliseconds.
     #[serde(rename = "sent")]
     pub(crate) sent_ms: u64,
-    /// Whether its disk is slow, hangs or rejects writes.
+    /// Whether the sender's disk is slow, hangs or rejects writes.
     #[serde(rename = "trouble")]
     pub(crate) disk_unhealthy: bool,
-    /// Whether its disk is slow and completes writes all the same. Left out where it is not, as earlier versions did.
+    /// Whether the sender's disk is slow but still completes writes. Omitted if false, as versions without
+    /// this field did.
     #[serde(rename = "slow", default, skip_serializing_if = "std::ops::Not::not")]
     pub(crate) disk_slow: bool,
-    /// Whether its process is shutting down.
+    /// Whether the sender's process is shutting down.
     #[serde(rename = "leaving")]
     pub(crate) shutting_down: bool,
-    /// The number of the last view up to which it has all committed entries.
+    /// The number of the latest view up to which the sender has all committed entries.
     pub(crate) complete: ViewNumber,
-    /// The number of the last view in which it is synced.
+    /// The number of the latest view in which the sender is synced.
     pub(crate) synced: ViewNumber,
-    /// Whether it has given up being synced in the view that it knows.
+    /// Whether the sender has promised not to become synced in the view that it knows.
     #[serde(rename = "renounced")]
     pub(crate) gave_up_sync: bool,
-    /// Whether all from it to the tail are synced in the view that it knows.
+    /// Whether all members from the sender to the tail are synced in the view that it knows.
     pub(crate) active: bool,
-    /// The newest entry that it knows to be committed.
+    /// The newest entry that the sender knows to be committed.
     pub(crate) committed: EntryKey,
-    /// The newest entry that it has.
+    /// The newest entry on the sender's disk.
     pub(crate) newest: EntryKey,
-    /// The members whose heartbeats it receives.
+    /// The members whose heartbeats the sender receives.
     pub(crate) heard: Vec<HeardPeer>,
 }
 
@@ -208,7 +214,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HeardPeer {
     pub(crate) id: MemberId,
-    /// `sent_ms` of the last heartbeat from there; 0 if none has arrived yet.
+    /// The `sent_ms` of the last heartbeat received from that member; 0 if none has been received yet.
     #[serde(rename = "sent")]
     pub(crate) sent_ms: u64,
 }
--- a/crates/replication/src/model.rs
+++ b/crates/replication/src/model.rs
@@ -1,4 +1,4 @@
-//! What is replicated and by whom: members, views, changes, entries.
+//! The replicated data and the membership: members, views, changes, entries.
 
 use crate::identifiers::{Generation, MemberId, Sequence, ViewNumber};
 use serde::{Deserialize, Serialize};
@@ -8,89 +8,93 @@
 /// A member of the replication group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its identity.
+    /// The identity of its disk; a machine that loses its disk becomes another member.
     pub id: MemberId,
-    /// Where it listens for other programs of the fleet.
+    /// The address on which it accepts connections of the other programs of the fleet.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// Availability zone; empty in the first view, where the zones are not known yet.
     pub zone: String,
 }
 
-/// An agreed membership. A majority of `voters` decides on the next one.
+/// A membership view: who votes on the next view, and which of the voters replicate the register.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Its number; each view has one more than the one before.
+    /// One more than the number of the view before.
     pub number: ViewNumber,
-    /// Who decides on the next view.
+    /// The members that decide on the next view, by majority.
     pub voters: Vec<Member>,
-    /// The voters that replicate the register, from head to tail.
+    /// The voters that replicate the register, in chain order: the head first, the tail last.
     pub chain: Vec<MemberId>,
-    /// The number of an earlier view. In the views after it, up to the one before this, nothing was committed, so that a member
-    /// that has everything committed up to it may lead. `None` where the view before may have committed something.
+    /// Set in a forced view: the number of the latest earlier view that may have committed something. Nothing
+    /// was committed in the views between that one and this one, so a member that has everything committed up
+    /// to that view has all committed entries. `None` in all other views.
     #[serde(default)]
     pub idle_since: Option<ViewNumber>,
 }
 
-/// A change that an operator submits. Its content was validated before.
+/// A change submitted by an operator, already validated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The generation that it is based on; 0 for the first change.
+    /// The generation that the change replaces; 0 for the first change.
     pub base: Generation,
-    /// Its own generation.
+    /// The generation of the new configuration; must be higher than `base`.
     pub generation: Generation,
-    /// A digest of the base and the document, by which a retried change is recognized.
+    /// Digest of the base and the document. A retried change is recognized by it.
     pub digest: [u8; 32],
-    /// The document.
+    /// The configuration document; opaque to this package.
     pub document: Arc<serde_bytes::ByteBuf>,
 }
 
-/// A change with its position in the log.
+/// A change at its position in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its position in the order of changes, from 1.
+    /// The position in the order of changes; the first entry has 1.
     pub sequence: Sequence,
     /// The number of the view in which the head assigned the position.
     pub view: ViewNumber,
-    /// The change.
+    /// The change at this position.
     pub change: Change,
 }
 
 /// The outcome of a client request.
 ///
-/// Variants are serialized under the names that deployed programs know.
+/// Renamed variants keep the names that deployed programs expect on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
     /// The change is committed: it is on the disk of every member of the chain.
     #[serde(rename = "Taken")]
     Committed {
-        /// Its sequence.
+        /// The sequence assigned to the change.
         sequence: Sequence,
     },
-    /// A generation later than the base is current; the change never comes into force. (A change whose base has not arrived yet
-    /// waits for it and ends as [`RequestOutcome::Unknown`]: after a rejection, a copy of it in flight might still be accepted.)
+    /// A generation later than the base is already committed, so the change can never be applied. (A change
+    /// whose base has not arrived yet is not rejected: it waits for the base and may end as
+    /// [`RequestOutcome::Unknown`]. After a rejection, another copy of the change that is still in flight
+    /// could be accepted.)
     Conflict {
-        /// The current generation.
+        /// The newest committed generation.
         current: Generation,
     },
-    /// The base is current, but the generation is not higher; the change never comes into force.
+    /// The base is current, but the generation of the change is not higher. The change can never be applied.
     NotHigher {
-        /// The current generation.
+        /// The newest committed generation.
         current: Generation,
     },
-    /// The change is as old as entries whose keys were pruned: whether it was committed is no longer known.
+    /// The change is as old as entries whose keys were pruned from the history, so it is no longer known
+    /// whether it was committed.
     TooOld {
-        /// The current generation.
+        /// The newest committed generation.
         current: Generation,
     },
-    /// The newest committed entry, by a linearizable read.
+    /// The newest committed entry at the time of a linearizable read; `None` if there is none.
     Current(Option<Entry>),
-    /// The sequence of the newest committed entry, by a linearizable read; 0 if there is none.
+    /// The sequence of the newest committed entry at the time of a linearizable read; 0 if there is none.
     #[serde(rename = "Proven")]
     ReadIndex {
-        /// Its sequence.
+        /// The sequence of the newest committed entry.
         sequence: Sequence,
     },
-    /// The outcome is unknown: a change may or may not come into force.
+    /// The outcome is unknown, for example after a time-out: a change may or may not be committed later.
     #[serde(rename = "Unclear")]
     Unknown,
 }
--- a/crates/replication/src/record.rs
+++ b/crates/replication/src/record.rs
@@ -1,4 +1,4 @@
-//! The records that a replica keeps on disk. Renamed types and fields are stored under their old names.
+//! The records that a replica stores on disk. Renamed types and fields keep their stored names.
 
 use crate::identifiers::{MemberId, ViewNumber};
 use crate::message::{Proposal, ProposalNumber};
@@ -11,16 +11,17 @@
 pub struct Record(pub(crate) RecordBody);
 
 impl Record {
-    /// Roughly how many bytes it takes on disk.
+    /// An estimate of the size on disk, in bytes.
     pub(crate) fn size(&self) -> usize {
         self.0.size()
     }
 }
 
-/// The content of a record. `slot` is the number of the view to be decided.
+/// The content of a record. In the Paxos records, `slot` is the number of the view to be decided.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum RecordBody {
-    /// The identity of this disk, and the first view if the whole system started with it.
+    /// The identity of this member, and the first view if the disk was initialized while the whole system
+    /// started for the first time.
     Identity { id: MemberId, first_view: Option<View> },
     /// A decided view.
     View(View),
@@ -29,17 +30,17 @@
         slot: ViewNumber,
         #[serde(rename = "ballot")]
         number: ProposalNumber,
-        /// Whether this member will not be synced in the view before that one.
+        /// Whether this member has also promised not to become synced in the view before `slot`.
         #[serde(default, rename = "renounced")]
         gave_up_sync: bool,
     },
-    /// A Paxos acceptance.
+    /// A Paxos acceptance: this member has accepted the proposal.
     Accept { slot: ViewNumber, proposal: Proposal },
-    /// The next entry, and the number of the view in which this member is synced.
+    /// The next log entry, and the number of the view in which this member is synced by appending it.
     Entry { entry: Entry, synced: ViewNumber },
-    /// This member is synced in the view of this number.
+    /// This member is synced in the view with this number.
     Synced(ViewNumber),
-    /// State taken over from another member, and how much of the committed state this member then has.
+    /// State received from another member, and how much of the committed state this member has with it.
     Transfer {
         transfer: StateTransfer,
         #[serde(rename = "holding")]
@@ -47,14 +48,14 @@
     },
 }
 
-/// The most that a record takes on disk beside its document, in bytes.
+/// The maximum size of a record without its documents, in bytes.
 const RECORD_OVERHEAD: usize = 512;
 
-/// What the key of an entry takes on disk, in bytes.
+/// The size of an entry key on disk, in bytes.
 const KEY_BYTES: usize = 96;
 
 impl RecordBody {
-    /// Roughly how many bytes it takes on disk.
+    /// An estimate of the size on disk, in bytes.
     pub(crate) fn size(&self) -> usize {
         match self {
             RecordBody::Entry { entry, .. } => RECORD_OVERHEAD + entry.change.document.len(),
