--- a/crates/replication/src/durability.rs
+++ b/crates/replication/src/durability.rs
@@ -1,4 +1,4 @@
-//! Records on their way to the disk, and what has to wait until they are durable.
+//! Records that are being written, the actions that wait until they are durable, and the health of the disk.
 
 use crate::disk_health::DiskHealth;
 use crate::identifiers::{MemberId, WriteId};
@@ -7,39 +7,41 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long a write may take before the disk counts as slow.
-const SLOW_AFTER: Duration = Duration::from_millis(600);
+/// A write that takes longer marks the disk as slow.
+const SLOW_WRITE_THRESHOLD: Duration = Duration::from_millis(600);
 
-/// A disk that counts as slow is no longer slow with a write that takes less than this. Guards against members that leave and
-/// rejoin the chain with every other write.
-const FAST_WITHIN: Duration = Duration::from_millis(300);
+/// A write that takes less time marks a slow disk as healthy again. The gap to [`SLOW_WRITE_THRESHOLD`] keeps
+/// members from leaving and rejoining the chain with every other write.
+const FAST_WRITE_THRESHOLD: Duration = Duration::from_millis(300);
 
-/// How long nothing is written to a slow disk before a probe is. Real writes wait for a probe that is under way.
-const PROBE_AFTER: Duration = Duration::from_millis(500);
+/// How long a slow disk must have been idle before a probe is written to it. Other writes have to wait for a
+/// probe that is in progress.
+const PROBE_IDLE_TIME: Duration = Duration::from_millis(500);
 
-/// How long a write may take before the disk counts as hanging. Longer than two syncs of a disk that takes 1 s for each: a
-/// write waits for the batch before it.
+/// A write that takes longer marks the disk as failed. A write waits for the batch before it, so this must
+/// exceed two syncs of a disk that takes 1 s for each.
 const HANG_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// The most that the time of one write counts for in time-outs, so that one long stall does not delay the next view change.
+/// The maximum write time that is used to extend time-outs, so that one long stall does not delay the next
+/// view change.
 const MAX_WRITE_TIME: Duration = Duration::from_millis(1_500);
 
-/// How often a disk that rejected a write is tried again.
+/// The interval at which a disk that has rejected a write is tried again.
 const RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How many bytes may be appended before the log is rewritten, beside twice what the rewritten log takes.
+/// The log is rewritten when this many bytes, plus twice the size of the rewritten log, have been appended.
 const REWRITE_AFTER_BYTES: usize = 4 << 20;
 
-/// What is done once a record is durable.
+/// An action to perform once a record is durable.
 #[derive(Clone, Debug)]
 pub(crate) enum DurableAction {
-    /// The identity is durable: from now on the member may send messages.
+    /// The identity is durable: the member may send messages from now on.
     Activate {
         newest: EntryKey,
         progress: ReplicationProgress,
     },
     Send(MemberId, Box<MessageBody>),
-    /// The register is durable as far as this.
+    /// The register is durable up to this entry.
     AdvanceDurable {
         newest: EntryKey,
         progress: ReplicationProgress,
@@ -53,27 +55,27 @@
     action: DurableAction,
 }
 
-/// The writes of a member.
+/// Tracks the writes of a member that are not durable yet, and how long writes take.
 #[derive(Clone, Debug)]
 pub(crate) struct WriteTracker {
     next: u64,
     pending: VecDeque<PendingWrite>,
-    /// How long the write took that was completed last, from its order on.
+    /// The duration of the last completed write, from the time it was ordered.
     last_write_time: Duration,
-    /// Whether the disk was slow when a write was completed last.
+    /// Whether the disk was slow as of the last completed write.
     is_slow: bool,
-    /// When a write was completed last.
+    /// When the last write was completed.
     completed_at: Duration,
-    /// Since when the disk rejects writes.
+    /// The time of the last rejected write, if the disk rejects writes.
     rejecting_since: Option<Duration>,
-    /// The rewrite under way.
+    /// The rewrite in progress.
     rewrite: Option<WriteId>,
     appended_bytes: usize,
     rewritten_bytes: usize,
 }
 
 impl WriteTracker {
-    /// For a log that has `appended_bytes` already.
+    /// Creates a tracker for a log that contains `appended_bytes` already.
     pub(crate) fn new(appended_bytes: usize) -> Self {
         WriteTracker {
             next: 1,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Numbers a record that is to be appended.
+    /// Assigns a number to a record to be appended.
     pub(crate) fn begin_append(&mut self, now: Duration, bytes: usize, action: DurableAction) -> WriteId {
         let id = WriteId(self.next);
         self.next += 1;
@@ -97,7 +99,7 @@
         id
     }
 
-    /// Numbers a rewrite of `bytes`.
+    /// Assigns a number to a rewrite of the log with `bytes`.
     pub(crate) fn begin_rewrite(&mut self, now: Duration, bytes: usize, action: DurableAction) -> WriteId {
         let id = self.begin_append(now, 0, action);
         self.rewrite = Some(id);
@@ -106,7 +108,7 @@
         id
     }
 
-    /// Returns what is to be done now that this record, and every one before it, is durable.
+    /// Marks this write and all before it as durable; returns their actions.
     pub(crate) fn complete(&mut self, now: Duration, id: WriteId) -> Vec<DurableAction> {
         if self.rewrite.is_some_and(|rewrite| rewrite <= id) {
             self.rewrite = None;
@@ -124,14 +126,14 @@
     fn record_write_time(&mut self, now: Duration, time: Duration) {
         self.completed_at = now;
         self.last_write_time = time;
-        if time > SLOW_AFTER {
+        if time > SLOW_WRITE_THRESHOLD {
             self.is_slow = true;
-        } else if time < FAST_WITHIN {
+        } else if time < FAST_WRITE_THRESHOLD {
             self.is_slow = false;
         }
     }
 
-    /// The disk has rejected a write: nothing pending becomes durable.
+    /// Handles a rejected write: none of the pending writes will become durable.
     pub(crate) fn fail(&mut self, now: Duration, id: WriteId) {
         let is_pending = self.pending.iter().any(|write| write.id == id);
         if !is_pending {
@@ -142,44 +144,46 @@
         self.rejecting_since = Some(now);
     }
 
-    /// Whether everything that was ordered is durable.
+    /// Whether all writes that were ordered are durable.
     pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Whether records can't be appended, since the disk has rejected one.
+    /// Whether the disk has rejected a write, so that no records can be appended until a rewrite succeeds.
     pub(crate) fn is_rejecting(&self) -> bool {
         self.rejecting_since.is_some()
     }
 
-    /// Whether it is time to retry a disk that rejects writes.
+    /// Whether a disk that rejects writes is due to be tried again.
     pub(crate) fn is_retry_due(&self, now: Duration) -> bool {
         self.rewrite.is_none() && self.rejecting_since.is_some_and(|since| now >= since + RETRY_INTERVAL)
     }
 
-    /// Whether the log is long enough to be rewritten.
+    /// Whether the log is long enough for a rewrite.
     pub(crate) fn needs_rewrite(&self) -> bool {
         self.rewrite.is_none() && self.appended_bytes > REWRITE_AFTER_BYTES + 2 * self.rewritten_bytes
     }
 
-    /// Whether a write is to be ordered only to learn whether the disk is still slow: nothing was written for a while.
+    /// Whether a probe should be written to find out whether the disk is still slow: it is slow and nothing
+    /// was written for [`PROBE_IDLE_TIME`].
     pub(crate) fn needs_probe(&self, now: Duration) -> bool {
-        let has_rested = now >= self.completed_at + PROBE_AFTER;
-        self.is_slow && self.is_idle() && has_rested && !self.is_rejecting()
+        let has_been_idle = now >= self.completed_at + PROBE_IDLE_TIME;
+        self.is_slow && self.is_idle() && has_been_idle && !self.is_rejecting()
     }
 
-    /// How long a write takes at present, at most [`MAX_WRITE_TIME`]. Time-outs that wait for writes grow with it.
+    /// The duration of the last write, at most [`MAX_WRITE_TIME`]. Time-outs that wait for writes are
+    /// extended by it.
     pub(crate) fn write_time(&self) -> Duration {
         self.last_write_time.min(MAX_WRITE_TIME)
     }
 
-    /// The state of the disk.
+    /// The health of the disk, from past writes and the age of the oldest pending one.
     pub(crate) fn disk_health(&self, now: Duration) -> DiskHealth {
         let oldest =
             self.pending.front().map_or(Duration::ZERO, |first| now.saturating_sub(first.ordered_at));
         if self.is_rejecting() || oldest > HANG_TIMEOUT {
             DiskHealth::Failed
-        } else if self.is_slow || oldest > SLOW_AFTER {
+        } else if self.is_slow || oldest > SLOW_WRITE_THRESHOLD {
             DiskHealth::Slow
         } else {
             DiskHealth::Healthy
--- a/crates/replication/src/paxos.rs
+++ b/crates/replication/src/paxos.rs
@@ -1,5 +1,5 @@
-//! The agreement on the next view: one instance of the Paxos synod for each view number (Lamport, "The Part-Time Parliament",
-//! ACM TOCS 16, 1998). The voters of a view are the acceptors for the next one.
+//! Agreement on the next view by the Paxos synod (Lamport, "The Part-Time Parliament", ACM TOCS 16, 1998):
+//! one instance for each view number. The voters of a view are the acceptors for the next one.
 
 use crate::identifiers::{MemberId, ViewNumber};
 use crate::message::{Proposal, ProposalNumber};
@@ -7,22 +7,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long an attempt may take at first.
+/// The initial time-out of an attempt; it doubles with each attempt that fails.
 pub(crate) const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// An acceptor's state for the next view number.
+/// The state of an acceptor in the instance for the next view.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Acceptor {
     pub(crate) promised: Option<ProposalNumber>,
     pub(crate) accepted: Option<Proposal>,
-    /// Whether this member will not be synced in the view in force, in whose chain it is.
+    /// Whether this member, which is in the chain of the view in force, has promised not to become synced in
+    /// that view.
     pub(crate) gave_up_sync: bool,
-    /// When it accepted last.
+    /// When the last proposal was accepted.
     pub(crate) accepted_at: Duration,
 }
 
 impl Acceptor {
-    /// Whether it may promise or accept this number.
+    /// Whether the acceptor may promise or accept this number: it has promised no higher one.
     pub(crate) fn allows(&self, number: ProposalNumber) -> bool {
         self.promised.is_none_or(|promised| promised <= number)
     }
@@ -34,12 +35,13 @@
     }
 }
 
-/// What a proposer's attempt may propose.
+/// The kind of view that an attempt may propose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptKind {
-    /// A view that is led by a member with all committed entries.
+    /// A view whose head has all committed entries.
     Regular,
-    /// A forced reconfiguration: a view led by a member that lacks what the view in force may have committed.
+    /// A forced view: its head need not have what the view in force may have committed. Proposed only if the
+    /// promises show that the view in force has committed nothing.
     Forced,
 }
 
@@ -49,13 +51,13 @@
     }
 }
 
-/// An attempt of this member as proposer to have a view decided.
+/// An attempt of this member, as proposer, to get a view decided.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) slot: ViewNumber,
     pub(crate) number: ProposalNumber,
     pub(crate) started_at: Duration,
-    /// When the request of the current phase was sent last.
+    /// When the request of the current phase was last sent.
     pub(crate) requested_at: Duration,
     pub(crate) kind: AttemptKind,
     pub(crate) phase: Phase,
@@ -64,7 +66,7 @@
 /// A voter's promise.
 #[derive(Clone, Debug)]
 pub(crate) struct VoterPromise {
-    /// The proposal that the voter has accepted.
+    /// The last proposal that the voter has accepted.
     pub(crate) accepted: Option<Proposal>,
     /// Whether the voter is in the chain of the view in force and synced in it.
     pub(crate) synced: bool,
@@ -73,21 +75,23 @@
 /// The phase of an attempt.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// Phase 1: promises by voter.
+    /// Phase 1: the promises received, by voter.
     Prepare(BTreeMap<MemberId, VoterPromise>),
     /// Phase 2: the proposed view and the voters that have accepted it.
     Accept(View, BTreeSet<MemberId>),
 }
 
-/// The state of phase 1 after a promise.
+/// The result of a promise in phase 1.
 pub(crate) enum PrepareResult {
-    /// More promises are needed.
+    /// No majority yet.
     Incomplete,
-    /// A majority has promised; this view may have been decided and must be proposed again.
+    /// A majority has promised. This view has the highest number among the proposals that it reports as
+    /// accepted: it may have been decided and must be proposed again.
     Constrained(View),
-    /// A majority has promised, and none has accepted a proposal.
+    /// A majority has promised, and none of it has accepted a proposal: any view may be proposed.
     Unconstrained {
-        /// Whether one of them is in the chain and synced, so that the view in force may have committed something.
+        /// Whether one of these voters is in the chain and synced in the view in force, so that this view may
+        /// have committed something.
         any_synced: bool,
     },
 }
@@ -98,7 +102,7 @@
         Attempt { slot, number, started_at: now, requested_at: now, kind, phase }
     }
 
-    /// Records a voter's promise; `majority` is how many are needed.
+    /// Records a voter's promise. `majority` is the number of promises needed.
     pub(crate) fn record_promise(
         &mut self,
         voter: MemberId,
@@ -117,7 +121,7 @@
         PrepareResult::Unconstrained { any_synced: promises.values().any(|promise| promise.synced) }
     }
 
-    /// Records a voter's acceptance; returns the view if it is thereby decided.
+    /// Records a voter's acceptance. Returns the view if it is now decided.
     pub(crate) fn record_acceptance(&mut self, voter: MemberId, majority: usize) -> Option<View> {
         let Phase::Accept(view, voters) = &mut self.phase else { return None };
         voters.insert(voter);
--- a/crates/replication/src/pending_requests.rs
+++ b/crates/replication/src/pending_requests.rs
@@ -1,24 +1,24 @@
-//! Client requests received by this member that have no response yet, wherever head and tail are.
+//! The client requests that this member has received and not yet responded to, wherever head and tail are.
 
 use crate::identifiers::RequestId;
 use crate::message::Request;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a request may take before its outcome is given as unknown.
+/// The time after which a request ends with an unknown outcome.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// How long after it was sent a request is retried.
+/// The interval at which a request without a response is resent.
 const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The first retry interval of a request that changes nothing; it doubles up to [`RETRY_INTERVAL`]. While the members restart,
-/// what was sent to one that was not up yet is lost.
+/// The initial retry interval of reads; it doubles up to [`RETRY_INTERVAL`]. It is short because messages
+/// sent to a member that is still restarting are lost.
 const FIRST_READ_RETRY: Duration = Duration::from_millis(50);
 
-/// As [`RETRY_INTERVAL`], for a change of more than [`LARGE_BYTES`], which takes long to transmit.
-const LARGE_RETRY_INTERVAL: Duration = Duration::from_millis(1_200);
+/// The retry interval of a change with more than [`LARGE_CHANGE_BYTES`], which takes longer to transmit.
+const LARGE_CHANGE_RETRY_INTERVAL: Duration = Duration::from_millis(1_200);
 
-const LARGE_BYTES: usize = 256 << 10;
+const LARGE_CHANGE_BYTES: usize = 256 << 10;
 
 /// A request without a response.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
     request: Request,
     started_at: Duration,
     sent_at: Option<Duration>,
-    /// How often it was sent.
+    /// The number of times that it was sent.
     sends: u32,
 }
 
@@ -37,7 +37,9 @@
 
     fn retry_interval(&self) -> Duration {
         match &self.request {
-            Request::Write(change) if change.document.len() > LARGE_BYTES => LARGE_RETRY_INTERVAL,
+            Request::Write(change) if change.document.len() > LARGE_CHANGE_BYTES => {
+                LARGE_CHANGE_RETRY_INTERVAL
+            }
             Request::Write(_) => RETRY_INTERVAL,
             Request::Read | Request::ReadIndex => {
                 let doublings = self.sends.saturating_sub(1).min(8);
@@ -47,7 +49,7 @@
     }
 }
 
-/// The requests without a response.
+/// The requests without a response, by their identifier.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingRequests {
     pending: BTreeMap<RequestId, PendingRequest>,
@@ -58,7 +60,7 @@
         self.pending.insert(id, PendingRequest { request, started_at: now, sent_at: None, sends: 0 });
     }
 
-    /// Removes a request. False if it is not pending.
+    /// Removes a request. Returns whether it was pending.
     pub(crate) fn remove(&mut self, id: RequestId) -> bool {
         self.pending.remove(&id).is_some()
     }
@@ -74,7 +76,7 @@
         timed_out
     }
 
-    /// The requests that are to be sent (again) now; they count as sent.
+    /// Returns the requests that are due to be sent or resent, and marks them as sent now.
     pub(crate) fn take_due(&mut self, now: Duration) -> Vec<(RequestId, Request)> {
         let due = self.pending.iter_mut().filter(|(_, pending)| pending.is_due(now));
         due.map(|(id, pending)| {
@@ -85,12 +87,12 @@
         .collect()
     }
 
-    /// Whether a request is sent for the second time at least.
+    /// Whether the request was sent before its current transmission.
     pub(crate) fn is_retry(&self, id: RequestId) -> bool {
         self.pending.get(&id).is_some_and(|pending| pending.sent_at != Some(pending.started_at))
     }
 
-    /// Another view is in force: all requests are due.
+    /// Makes all requests due, because another view is in force.
     pub(crate) fn mark_all_due(&mut self) {
         for pending in self.pending.values_mut() {
             pending.sent_at = None;
--- a/crates/replication/src/read_index.rs
+++ b/crates/replication/src/read_index.rs
@@ -1,6 +1,7 @@
-//! Linearizable responses: a response is sent only after a majority of the voters has confirmed, since the request arrived, that
-//! this member's view is the latest. That is the read index of Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014,
-//! section 6.4), here for reads at the tail and for responses of the head that follow from what is already committed.
+//! Linearizable responses. A response is sent only after a majority of the voters has confirmed, since the
+//! request arrived, that this member's view is the latest. This is the read index of Raft (Ongaro,
+//! "Consensus: Bridging Theory and Practice", 2014, section 6.4). It is used for reads at the tail, and at
+//! the head for responses that follow from entries committed earlier.
 
 use crate::identifiers::{ConfirmationRound, Incarnation, MemberId};
 use crate::message::RequestOrigin;
@@ -8,25 +9,27 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How long after its start a round is sent again. A few round trips: voters that restart one after the other, as after a power
-/// failure, are reached within that of the last one that a majority needs.
+/// The interval at which an unfinished round is resent: a few round trips. After a power failure, when voters
+/// restart one after the other, a round completes within this time of the restart of the last voter that is
+/// needed for a majority.
 const RESEND_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How many requests may wait; more are dropped, and retried by the members that forward them.
+/// The maximum number of queued requests. Further ones are dropped, and retried by the members that forwarded
+/// them.
 const MAX_QUEUED: usize = 256;
 
-/// The response to a request once its round is confirmed.
+/// The response to send once the round of the request is confirmed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ConfirmedResponse {
     /// The newest committed entry.
     NewestEntry,
     /// The sequence of the newest committed entry.
     NewestSequence,
-    /// An outcome that no later commit can alter.
+    /// A final outcome, which no later commit can alter.
     Final(RequestOutcome),
 }
 
-/// A request that waits for confirmation.
+/// A request whose response waits for a confirmation.
 #[derive(Clone, Debug)]
 pub(crate) struct UnconfirmedRequest {
     pub(crate) origin: RequestOrigin,
@@ -41,17 +44,18 @@
     requests: Vec<UnconfirmedRequest>,
 }
 
-/// The confirmation rounds of one member, one at a time.
+/// The confirmation rounds of this member; at most one is in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct ReadIndexRounds {
     last: ConfirmationRound,
     current: Option<Round>,
-    /// Requests that arrived after the current round had begun.
+    /// Requests that arrived after the current round began; they are part of the next one.
     queued: Vec<UnconfirmedRequest>,
 }
 
 impl ReadIndexRounds {
-    /// Rounds are numbered differently in each incarnation of a member: a confirmation for an earlier one must not count.
+    /// Starts the numbering of rounds for an incarnation. The numbers differ between the incarnations of a
+    /// member, because a confirmation for an earlier incarnation must not count.
     pub(crate) fn new(incarnation: Incarnation) -> Self {
         let last = ConfirmationRound::before_first(incarnation);
         ReadIndexRounds { last, current: None, queued: Vec::new() }
@@ -64,7 +68,7 @@
         }
     }
 
-    /// Begins a round if requests are queued and no round is under way; returns its number.
+    /// Begins a round if requests are queued and none is in progress. Returns the number of the new round.
     pub(crate) fn begin(&mut self, now: Duration) -> Option<ConfirmationRound> {
         if self.current.is_some() || self.queued.is_empty() {
             return None;
@@ -76,14 +80,14 @@
         Some(self.last)
     }
 
-    /// The number of the round that is to be sent again; it counts as sent.
+    /// Returns the number of the round if it is due to be resent, and marks it as sent now.
     pub(crate) fn take_due(&mut self, now: Duration) -> Option<ConfirmationRound> {
         let round = self.current.as_mut().filter(|round| now >= round.sent_at + RESEND_INTERVAL)?;
         round.sent_at = now;
         Some(round.number)
     }
 
-    /// Records a confirmation; returns the requests that may be responded to now.
+    /// Records a voter's confirmation. Returns the requests that may now be responded to.
     pub(crate) fn record_confirmation(
         &mut self,
         number: ConfirmationRound,
@@ -100,12 +104,12 @@
         self.current.take().map(|round| round.requests).unwrap_or_default()
     }
 
-    /// Drops a request that was cancelled before its round began.
+    /// Removes a cancelled request whose round has not begun.
     pub(crate) fn cancel(&mut self, origin: RequestOrigin) {
         self.queued.retain(|request| request.origin != origin);
     }
 
-    /// Another view is in force.
+    /// Drops all requests, because another view is in force.
     pub(crate) fn clear(&mut self) {
         self.current = None;
         self.queued.clear();
--- a/crates/replication/src/register.rs
+++ b/crates/replication/src/register.rs
@@ -1,19 +1,20 @@
-//! The replicated register: the newest entry, the one before it while the newest is not committed, and the keys of older
-//! entries.
+//! The replicated register: the newest committed entry, a newer one that is not committed yet, and the keys
+//! of older entries.
 
 use crate::identifiers::{Generation, Sequence, ViewNumber};
 use crate::model::{Change, Entry};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Identifies an entry. Two members whose newest entries have the same key have the same history.
+/// Identifies an entry. If the newest entries of two members have the same key, the members have the same
+/// history.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct EntryKey {
     pub(crate) sequence: Sequence,
     pub(crate) view: ViewNumber,
     #[serde(with = "serde_bytes")]
     pub(crate) digest: [u8; 32],
-    /// The generation of the change.
+    /// The generation of the change; 0 in keys stored before this field existed.
     #[serde(default)]
     pub(crate) generation: Generation,
 }
@@ -25,31 +26,34 @@
     }
 }
 
-/// How much of the committed state a member has.
+/// The views up to which a member has the committed state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ReplicationProgress {
-    /// The number of the last view in which it has taken over the state of its predecessor.
+    /// The latest view in which the member has taken over the state of its predecessor (or which it has led).
     pub(crate) synced: ViewNumber,
-    /// The number of the last view such that nothing which was committed in it or before can be missing here. Later than
-    /// `synced` if it is in the chain of later views and is not synced in them: nothing is committed without it.
+    /// The latest view such that the member has every entry committed in it or before. Later than `synced` if
+    /// the member is in the chain of later views without being synced in them: nothing is committed there
+    /// without it.
     pub(crate) complete: ViewNumber,
 }
 
 impl ReplicationProgress {
-    /// The member is synced in a view.
+    /// Records that the member is synced in this view.
     pub(crate) fn sync(&mut self, number: ViewNumber) {
         self.synced = number;
         self.complete = number;
     }
 
-    /// A view of this number follows, and nothing was committed in the views between `since` and it.
+    /// Records that the view `number` follows, and that nothing was committed in the views between `since`
+    /// and it.
     pub(crate) fn skip_idle(&mut self, since: ViewNumber, number: ViewNumber) {
         if self.complete >= since {
             self.complete = self.complete.max(number.previous());
         }
     }
 
-    /// A view of this number, whose chain the member is in, follows the one that it knew.
+    /// Records that the view `number`, whose chain contains the member, is the newest. It is complete there
+    /// if it was complete in the view before, since nothing is committed in the new view without it.
     pub(crate) fn enter(&mut self, number: ViewNumber) {
         if self.complete.next() == number {
             self.complete = number;
@@ -57,43 +61,44 @@
     }
 }
 
-/// What one member transfers to another so that the other has the same register.
+/// The part of a register that one member sends to another, so that both have the same register.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StateTransfer {
-    /// The keys follow this one; `None` if they are all that the sender remembers.
+    /// The key before the first of `keys`, which the receiver must have; `None` if `keys` is the complete
+    /// history of the sender.
     pub(crate) base: Option<EntryKey>,
-    /// Keys in order, that of the newest entry last.
+    /// Keys in the order of their entries, the newest last.
     pub(crate) keys: Vec<EntryKey>,
     pub(crate) committed: Option<Entry>,
     pub(crate) pending: Option<Entry>,
-    /// The generation of the newest entry whose key was pruned; 0 for none. Serialized under its old name.
+    /// The highest generation whose key was pruned; 0 if none was. Serialized under its old name.
     #[serde(default, rename = "forgotten")]
     pub(crate) pruned_generation: Generation,
 }
 
 impl StateTransfer {
-    /// The key of the newest entry in it.
+    /// The key of the newest entry that the receiver has after the transfer.
     pub(crate) fn newest(&self) -> EntryKey {
         self.keys.last().copied().or(self.base).unwrap_or_default()
     }
 }
 
-/// One member's copy of the register.
+/// A member's copy of the register.
 #[derive(Clone, Debug)]
 pub(crate) struct Register {
-    /// How many keys are remembered.
+    /// The maximum number of keys that are kept.
     history_length: usize,
-    /// The generation of the newest entry whose key was pruned; 0 for none.
+    /// The highest generation whose key was pruned; 0 if none was.
     pruned_generation: Generation,
-    /// Keys in order, that of the newest entry last.
+    /// Keys in the order of their entries, the newest last.
     keys: VecDeque<EntryKey>,
     committed: Option<Entry>,
-    /// The newest entry, if it is not known to be committed.
+    /// The newest entry, unless it is known to be committed.
     pending: Option<Entry>,
 }
 
 impl Register {
-    /// An empty register that remembers so many keys, 2 at least.
+    /// Creates an empty register that keeps up to `history_length` keys, at least 2.
     pub(crate) fn new(history_length: usize) -> Self {
         let keys = VecDeque::new();
         Register {
@@ -105,17 +110,18 @@
         }
     }
 
-    /// The generation of the newest entry whose key was pruned: whether changes up to it were committed is not known.
+    /// The highest generation whose key was pruned. For changes up to it, it is not known any more whether
+    /// they were committed.
     pub(crate) fn pruned_generation(&self) -> Generation {
         self.pruned_generation
     }
 
-    /// The key of the newest entry; the default one if there is none.
+    /// The key of the newest entry, committed or not; the default key if there is none.
     pub(crate) fn newest(&self) -> EntryKey {
         self.keys.back().copied().unwrap_or_default()
     }
 
-    /// The key of the entry before the newest one.
+    /// The key of the entry before the newest one; the default key if there is none.
     pub(crate) fn before_newest(&self) -> EntryKey {
         let count = self.keys.len();
         if count < 2 { EntryKey::default() } else { self.keys[count - 2] }
@@ -138,12 +144,12 @@
         self.pending.as_ref().or(self.committed.as_ref())
     }
 
-    /// The newest committed generation.
+    /// The generation of the newest committed entry; 0 if there is none.
     pub(crate) fn generation(&self) -> Generation {
         self.committed.as_ref().map_or(Generation::NONE, |entry| entry.change.generation)
     }
 
-    /// The sequence of the committed entry with this digest.
+    /// The sequence of the committed entry with this digest, if its key is still kept.
     pub(crate) fn find_committed(&self, digest: &[u8; 32]) -> Option<Sequence> {
         let committed = self.committed_key().sequence;
         let found = self.keys.iter().rev().find(|key| key.sequence <= committed && key.digest == *digest);
@@ -160,7 +166,8 @@
         (self.keys.get(position) == Some(key)).then_some(position)
     }
 
-    /// Appends the next entry. The one before it is committed, since the head has one entry in flight at a time.
+    /// Appends the next entry. The entry before it must be committed by now, as the head has only one entry
+    /// in flight.
     pub(crate) fn append(&mut self, entry: Entry) {
         if let Some(before) = self.pending.take() {
             self.committed = Some(before);
@@ -185,19 +192,19 @@
         }
     }
 
-    /// What a member lacks whose newest entry is `theirs`.
-    pub(crate) fn transfer_to(&self, theirs: &EntryKey) -> StateTransfer {
-        self.transfer_up_to(self.keys.len(), theirs, self.pending.clone())
+    /// What a member lacks whose newest entry is `peer_newest`.
+    pub(crate) fn transfer_to(&self, peer_newest: &EntryKey) -> StateTransfer {
+        self.transfer_up_to(self.keys.len(), peer_newest, self.pending.clone())
     }
 
-    /// What a member lacks of the committed state whose newest entry is `theirs`.
-    pub(crate) fn committed_transfer_to(&self, theirs: &EntryKey) -> StateTransfer {
+    /// What a member lacks of the committed state if its newest entry is `peer_newest`.
+    pub(crate) fn committed_transfer_to(&self, peer_newest: &EntryKey) -> StateTransfer {
         let end = self.keys.len() - usize::from(self.pending.is_some());
-        self.transfer_up_to(end, theirs, None)
+        self.transfer_up_to(end, peer_newest, None)
     }
 
-    fn transfer_up_to(&self, end: usize, theirs: &EntryKey, pending: Option<Entry>) -> StateTransfer {
-        let known = self.position(theirs).filter(|position| *position < end);
+    fn transfer_up_to(&self, end: usize, peer_newest: &EntryKey, pending: Option<Entry>) -> StateTransfer {
+        let known = self.position(peer_newest).filter(|position| *position < end);
         let start = known.map_or(0, |position| position + 1);
         StateTransfer {
             base: known.map(|position| self.keys[position]),
@@ -208,18 +215,19 @@
         }
     }
 
-    /// Whether a transfer retains all entries of this register.
+    /// Whether the receiver of this transfer still has all entries of this register.
     pub(crate) fn is_retained_by(&self, transfer: &StateTransfer) -> bool {
         let newest = self.newest();
         transfer.base == Some(newest) || newest == EntryKey::default() || transfer.keys.contains(&newest)
     }
 
-    /// Applies a transfer of another member. False if its base is not known here.
+    /// Applies a transfer from another member. Returns false, without a change, if its base is not in this
+    /// register.
     ///
     /// # Panics
     ///
-    /// If the transfer has another entry at the position of a committed one: with two histories, no member may go on with
-    /// either.
+    /// If the transfer has a different entry at the position of a committed one: two histories have then been
+    /// committed, and no member may continue with either.
     pub(crate) fn apply_transfer(&mut self, transfer: &StateTransfer) -> bool {
         let committed = self.committed_key();
         match &transfer.base {
@@ -239,27 +247,32 @@
         true
     }
 
-    /// Panics where a committed entry was replaced or lost.
+    /// Panics if a committed entry was replaced or lost.
     fn assert_retains(&self, committed: &EntryKey) {
         let oldest = self.keys.front().map_or(Sequence::NONE, |key| key.sequence);
         let is_retained = committed.sequence < oldest || self.contains(committed);
         assert!(
             is_retained,
-            "entry {} is committed, and another history would take its place",
-            committed.sequence
+            "entry {} (view {}) is committed, but a state transfer replaces it by another history",
+            committed.sequence, committed.view
         );
     }
 
-    /// Panics where the parts are inconsistent.
+    /// Panics if the entries and the keys contradict each other.
     pub(crate) fn assert_consistent(&self) {
         let committed = self.committed_key().sequence;
         let follows = self.pending.as_ref().is_none_or(|pending| pending.sequence == committed.next());
-        assert!(follows, "the entry that waits does not follow {committed}, which is committed");
+        assert!(follows, "the uncommitted entry does not follow the newest committed entry, {committed}");
         let newest = self.newest_entry().map(EntryKey::of).unwrap_or_default();
-        assert!(self.newest() == newest, "the newest key is not that of the newest entry");
+        assert!(
+            self.newest() == newest,
+            "the newest key (sequence {}) is not that of the newest entry (sequence {})",
+            self.newest().sequence,
+            newest.sequence
+        );
     }
 
-    /// The complete register, for a rewrite of the log.
+    /// The complete register, as a transfer without a base.
     pub(crate) fn full_transfer(&self) -> StateTransfer {
         StateTransfer {
             base: None,
