--- a/crates/replication/src/catch_up.rs
+++ b/crates/replication/src/catch_up.rs
@@ -1,4 +1,4 @@
-//! Copies of the committed state for members outside the chain, so that they can join it.
+//! Copies of the committed state for members outside the chain, so that they are ready to join it.
 
 use crate::chain_state::ReceivedCopy;
 use crate::identifiers::{MemberId, Sequence};
@@ -8,11 +8,12 @@
 use crate::replica::Replica;
 use std::time::Duration;
 
-/// How often a member that is behind requests a copy of the register.
+/// The minimum interval between two requests for a copy of the register.
 const COPY_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Replica {
-    /// Compares with the key of an entry that is committed elsewhere: an own entry may thereby be committed, or a copy needed.
+    /// Compares the register with the newest entry that another member reports as committed. If this member
+    /// has the same entry, it is committed here too; if this member is behind, it requests a copy.
     pub(crate) fn compare_register(&mut self, sender: MemberId, committed: EntryKey) {
         if committed.sequence > Sequence::NONE && self.register.newest() == committed {
             self.register.commit(committed.sequence);
@@ -28,22 +29,22 @@
         }
     }
 
-    /// A member outside the chain requests what is committed.
+    /// A member outside the chain requests the committed state.
     pub(crate) fn receive_copy_request(&mut self, sender: MemberId, newest: EntryKey) {
         if self.register.committed().is_some() {
-            let transfer = self.with_planted_fault(self.register.committed_transfer_to(&newest));
+            let transfer = self.with_injected_fault(self.register.committed_transfer_to(&newest));
             let active = self.is_active();
             self.send(sender, MessageBody::Copy { transfer: Box::new(transfer), active });
         }
     }
 
-    /// Applies a copy outside the chain. Until all of the chain is synced, an entry that this member has from an earlier view may
-    /// be the last copy of something committed: it is not given up before.
+    /// Applies a copy outside the chain. An uncommitted entry from an earlier view is kept until the whole
+    /// chain is synced in this view: before that, it may be the only copy of an entry that was committed.
     pub(crate) fn receive_copy(&mut self, copy: ReceivedCopy) {
         let ReceivedCopy { view, transfer, active } = copy;
-        let is_dispensable = active && view == self.view_number();
+        let may_discard = active && view == self.view_number();
         let may_apply =
-            is_dispensable || self.register.is_retained_by(&transfer) || planted!(self, CopiesTooEarly);
+            may_discard || self.register.is_retained_by(&transfer) || has_fault!(self, CopiesTooEarly);
         if !may_apply {
             return;
         }
@@ -51,8 +52,8 @@
             return;
         }
         let own = self.register.committed_key().sequence;
-        let theirs = transfer.committed.as_ref().map_or(Sequence::NONE, |entry| entry.sequence);
-        let is_newer = theirs > own || (theirs == own && self.register.pending().is_some());
+        let copied = transfer.committed.as_ref().map_or(Sequence::NONE, |entry| entry.sequence);
+        let is_newer = copied > own || (copied == own && self.register.pending().is_some());
         if !is_newer || !self.register.apply_transfer(&transfer) {
             return;
         }
--- a/crates/replication/src/chain.rs
+++ b/crates/replication/src/chain.rs
@@ -1,5 +1,5 @@
-//! Replication along the chain (van Renesse and Schneider, 2004): each member feeds its successor and reports its progress to its
-//! predecessor; the tail commits.
+//! Replication along the chain (van Renesse and Schneider, 2004): each member sends entries to its successor
+//! and reports its progress to its predecessor; the tail commits.
 
 use crate::identifiers::{MemberId, ViewNumber};
 use crate::message::{ChainProgress, MessageBody};
@@ -9,13 +9,15 @@
 use crate::replica::Replica;
 use std::time::Duration;
 
-/// How long after an offer it is repeated to a successor that has not reported.
+/// The interval at which an offer is repeated to a successor that has not reported the newest entry as
+/// committed.
 const OFFER_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How long after it was sent an entry or a transfer is sent again, plus [`FEED_INTERVAL_PER_MIB`] of it.
-const FEED_INTERVAL: Duration = Duration::from_millis(300);
+/// The interval after which an unconfirmed entry or transfer is resent, plus [`RESEND_INTERVAL_PER_MIB`] for
+/// each MiB of its document.
+const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 
-const FEED_INTERVAL_PER_MIB: Duration = Duration::from_millis(300);
+const RESEND_INTERVAL_PER_MIB: Duration = Duration::from_millis(300);
 
 impl Replica {
     pub(crate) fn chain_position(&self) -> Option<usize> {
@@ -39,12 +41,13 @@
         self.chain_position().is_some() && self.successor().is_none()
     }
 
-    /// Whether all from this member to the tail are synced in this view, so that what it has is or gets committed.
+    /// Whether all members from this one to the tail are synced in this view, so that every entry of this
+    /// member is committed or will be.
     pub(crate) fn is_active(&self) -> bool {
         self.is_durably_synced_in_view() && self.chain.active
     }
 
-    /// Whether it is on disk that this member is synced in this view.
+    /// Whether this member is synced in this view according to what is on its disk.
     fn is_durably_synced_in_view(&self) -> bool {
         self.view_number() > ViewNumber::NONE && self.chain.durable_progress.synced == self.view_number()
     }
@@ -53,11 +56,16 @@
         self.view_number() > ViewNumber::NONE && self.progress.synced == self.view_number()
     }
 
-    /// Begins as the head of a view: the others take over this member's state. Also at a start, as the process may have ended
-    /// between the record of the view and that of being synced in it.
+    /// Starts as the head of a view: the other members will take over its state. Also called after a restart,
+    /// because the process may have ended after it recorded the view and before it recorded that it is
+    /// synced.
     pub(crate) fn become_head(&mut self) {
-        if self.progress.complete != self.view_number() && !planted!(self, AnyMemberLeads) {
-            log::error!("replication: became head without all committed entries");
+        if self.progress.complete != self.view_number() && !has_fault!(self, AnyMemberLeads) {
+            log::error!(
+                "replication: became head of view {} without all committed entries: complete up to view {}",
+                self.view_number(),
+                self.progress.complete
+            );
         } else if !self.is_synced_in_view() {
             self.mark_synced();
         }
@@ -72,7 +80,7 @@
         self.store(RecordBody::Synced(self.view_number()), action);
     }
 
-    /// The register is durable as far as this.
+    /// Called when the register is durable up to this entry.
     pub(crate) fn advance_durable(&mut self, newest: EntryKey, progress: ReplicationProgress) {
         let is_complete_changed = self.chain.durable_progress.complete != progress.complete;
         self.chain.durable_newest = newest;
@@ -83,7 +91,8 @@
         }
     }
 
-    /// Does what has become possible: commits at the tail, feeds the successor, reports to the predecessor.
+    /// Takes the steps that new durable entries allow: commits at the tail, sends to the successor elsewhere,
+    /// and reports to the predecessor.
     pub(crate) fn advance_chain(&mut self) {
         if !self.is_durably_synced_in_view() || self.chain_position().is_none() {
             return;
@@ -92,12 +101,13 @@
             self.chain.active = true;
             self.register.commit(self.chain.durable_newest.sequence);
         } else {
-            self.feed_successor();
+            self.replicate_to_successor();
         }
         self.after_commit();
     }
 
-    /// What follows a commit: the report to the predecessor or, at the head, the responses.
+    /// Called after entries may have been committed: reports to the predecessor or, at the head, responds to
+    /// clients.
     fn after_commit(&mut self) {
         self.report_progress_if_changed();
         if self.is_head() {
@@ -129,45 +139,46 @@
         self.send(predecessor, MessageBody::Progress(progress));
     }
 
-    /// Sends the successor what it lacks, as far as that is known.
-    pub(crate) fn feed_successor(&mut self) {
+    /// Sends the successor the entries that it lacks, or an offer while its newest entry is not known.
+    pub(crate) fn replicate_to_successor(&mut self) {
         let Some(successor) = self.successor().filter(|_| self.is_durably_synced_in_view()) else { return };
         let newest = self.chain.durable_newest;
-        let Some(theirs) = self.chain.successor_progress else { return self.offer_if_due(successor) };
-        if theirs.newest == newest {
-            if !theirs.synced {
+        let Some(progress) = self.chain.successor_progress else { return self.offer_if_due(successor) };
+        if progress.newest == newest {
+            if !progress.synced {
                 self.offer_if_due(successor);
             }
             return;
         }
-        if self.register.newest() != newest || !self.is_feed_due(newest) {
+        if self.register.newest() != newest || !self.is_send_due(newest) {
             return;
         }
-        self.chain.last_feed = Some((newest, self.now));
-        let entry = self.register.newest_entry().filter(|_| theirs.newest == self.register.before_newest());
+        self.chain.last_sent = Some((newest, self.now));
+        let entry = self.register.newest_entry().filter(|_| progress.newest == self.register.before_newest());
         let body = match entry {
-            Some(entry) => MessageBody::Append { previous: theirs.newest, entry: entry.clone() },
+            Some(entry) => MessageBody::Append { previous: progress.newest, entry: entry.clone() },
             None => {
-                let transfer = self.register.transfer_to(&theirs.newest);
-                MessageBody::Sync(Box::new(self.with_planted_fault(transfer)))
+                let transfer = self.register.transfer_to(&progress.newest);
+                MessageBody::Sync(Box::new(self.with_injected_fault(transfer)))
             }
         };
         self.send(successor, body);
     }
 
-    /// A transfer as it is sent; without its history where that fault is planted.
-    pub(crate) fn with_planted_fault(&self, mut transfer: StateTransfer) -> StateTransfer {
-        if planted!(self, TransfersWithoutHistory) {
+    /// The transfer to send: unchanged, unless the fault that omits the history is injected.
+    pub(crate) fn with_injected_fault(&self, mut transfer: StateTransfer) -> StateTransfer {
+        if has_fault!(self, TransfersWithoutHistory) {
             transfer.keys = vec![transfer.newest()];
             transfer.base = None;
         }
         transfer
     }
 
-    fn is_feed_due(&self, newest: EntryKey) -> bool {
+    fn is_send_due(&self, newest: EntryKey) -> bool {
         let size = self.register.newest_entry().map_or(0, |entry| entry.change.document.len());
-        let interval = FEED_INTERVAL + FEED_INTERVAL_PER_MIB * u32::try_from(size >> 20).unwrap_or(u32::MAX);
-        self.chain.last_feed.is_none_or(|(key, at)| key != newest || self.now >= at + interval)
+        let interval =
+            RESEND_INTERVAL + RESEND_INTERVAL_PER_MIB * u32::try_from(size >> 20).unwrap_or(u32::MAX);
+        self.chain.last_sent.is_none_or(|(key, at)| key != newest || self.now >= at + interval)
     }
 
     fn offer_if_due(&mut self, successor: MemberId) {
@@ -177,35 +188,38 @@
         }
     }
 
-    /// Repeats the offer until the successor reports that it is committed.
+    /// Repeats the offer until the successor reports that the newest entry is committed.
     pub(crate) fn tick_chain(&mut self) {
         let Some(successor) = self.successor().filter(|_| self.is_durably_synced_in_view()) else { return };
         let newest = self.chain.durable_newest;
-        let is_done = |theirs: ChainProgress| {
-            theirs.newest == newest && theirs.active && theirs.committed >= newest.sequence
+        let has_committed = |progress: ChainProgress| {
+            progress.newest == newest && progress.active && progress.committed >= newest.sequence
         };
-        if !self.chain.successor_progress.is_some_and(is_done) && !planted!(self, NeverRepeatsOffers) {
+        if !self.chain.successor_progress.is_some_and(has_committed) && !has_fault!(self, NeverRepeatsOffers)
+        {
             self.offer_if_due(successor);
         }
     }
 
-    /// The predecessor names its newest entry.
+    /// The predecessor offers its newest entry. If this member has the same one, it becomes synced; else it
+    /// reports its progress, so that the predecessor sends what is missing.
     pub(crate) fn receive_offer(&mut self, sender: MemberId, newest: EntryKey) {
         if self.predecessor() != Some(sender) || self.writes.is_rejecting() {
             return;
         }
-        let keeps_more = planted!(self, KeepsUncommitted);
-        let same = self.register.newest() == newest
-            || planted!(self, SyncsWithoutComparing)
-            || (keeps_more && self.register.newest().sequence >= newest.sequence);
-        if !self.is_synced_in_view() && same {
+        let keeps_uncommitted = has_fault!(self, KeepsUncommitted);
+        let is_same = self.register.newest() == newest
+            || has_fault!(self, SyncsWithoutComparing)
+            || (keeps_uncommitted && self.register.newest().sequence >= newest.sequence);
+        if !self.is_synced_in_view() && is_same {
             self.mark_synced();
         } else if self.is_synced_in_view() == self.is_durably_synced_in_view() {
             self.report_progress();
         }
     }
 
-    /// The predecessor sends the next entry.
+    /// The predecessor sends the next entry. It is appended if it follows the newest one here; else the
+    /// progress is reported.
     pub(crate) fn receive_append(&mut self, sender: MemberId, previous: EntryKey, entry: Entry) {
         if self.predecessor() != Some(sender) || self.writes.is_rejecting() || self.acceptor.gave_up_sync {
             return;
@@ -217,13 +231,13 @@
         }
     }
 
-    /// Appends an entry to the register and orders it to be stored.
+    /// Appends an entry to the register and stores it.
     pub(crate) fn append_entry(&mut self, entry: Entry) {
         self.progress.sync(self.view_number());
         self.register.append(entry.clone());
         let action = self.advance_durable_action();
         self.store(RecordBody::Entry { entry, synced: self.view_number() }, action);
-        if planted!(self, ForwardsBeforeDurable) {
+        if has_fault!(self, ForwardsBeforeDurable) {
             self.advance_durable(self.register.newest(), self.progress);
         }
     }
@@ -233,9 +247,9 @@
         if self.predecessor() != Some(sender) || self.writes.is_rejecting() || self.acceptor.gave_up_sync {
             return;
         }
-        let is_old =
+        let is_outdated =
             self.is_synced_in_view() && transfer.newest().sequence <= self.register.newest().sequence;
-        if is_old || !self.register.apply_transfer(&transfer) {
+        if is_outdated || !self.register.apply_transfer(&transfer) {
             return self.report_progress();
         }
         self.progress.sync(self.view_number());
@@ -248,10 +262,10 @@
         if self.successor() != Some(sender) || !self.is_durably_synced_in_view() {
             return;
         }
-        let is_older_than = |known: ChainProgress| {
+        let is_outdated_by = |known: ChainProgress| {
             known.synced && (!progress.synced || progress.newest.sequence < known.newest.sequence)
         };
-        if self.chain.successor_progress.is_some_and(is_older_than) {
+        if self.chain.successor_progress.is_some_and(is_outdated_by) {
             return;
         }
         self.chain.successor_progress = Some(progress);
@@ -259,7 +273,7 @@
             self.chain.active = true;
             self.register.commit(progress.committed);
         }
-        self.feed_successor();
+        self.replicate_to_successor();
         self.after_commit();
     }
 }
--- a/crates/replication/src/chain_state.rs
+++ b/crates/replication/src/chain_state.rs
@@ -1,25 +1,25 @@
-//! The state of a member in the chain of the view in force, and the copies that members outside the chain receive.
+//! State of this member in the chain of the view in force.
 
 use crate::identifiers::ViewNumber;
 use crate::message::ChainProgress;
 use crate::register::{EntryKey, ReplicationProgress, StateTransfer};
 use std::time::Duration;
 
-/// The state of a member of the chain in the view in force.
+/// The state of this member in the chain of the view in force.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ChainState {
-    /// The newest entry that is on disk.
+    /// The key of the newest entry on disk.
     pub(crate) durable_newest: EntryKey,
-    /// How much of the committed state this member has, as far as that is on disk.
+    /// The replication progress as recorded on disk.
     pub(crate) durable_progress: ReplicationProgress,
     /// Whether every member from this one to the tail is synced in this view.
     pub(crate) active: bool,
-    /// What the successor has reported.
+    /// The progress that the successor reported last.
     pub(crate) successor_progress: Option<ChainProgress>,
-    /// What was sent to the successor last, and when.
-    pub(crate) last_feed: Option<(EntryKey, Duration)>,
+    /// The newest entry when an entry or a transfer was last sent to the successor, and when that was.
+    pub(crate) last_sent: Option<(EntryKey, Duration)>,
     pub(crate) offered_at: Option<Duration>,
-    /// What was reported to the predecessor last.
+    /// The progress that was last reported to the predecessor.
     pub(crate) reported_progress: Option<ChainProgress>,
 }
 
@@ -30,19 +30,19 @@
         self.reset_successor();
     }
 
-    /// Forgets what is known of the successor: it is another one, or has restarted.
+    /// Resets the state of the successor, because another member is successor now or it has restarted.
     pub(crate) fn reset_successor(&mut self) {
         self.successor_progress = None;
-        self.last_feed = None;
+        self.last_sent = None;
         self.offered_at = None;
     }
 }
 
-/// A copy of the committed state, as it was received.
+/// A copy of the committed state that was received outside the chain.
 pub(crate) struct ReceivedCopy {
-    /// The view that its sender knows.
+    /// The number of the view that the sender knows.
     pub(crate) view: ViewNumber,
     pub(crate) transfer: StateTransfer,
-    /// Whether all of the chain is synced in that view.
+    /// Whether the whole chain is synced in that view.
     pub(crate) active: bool,
 }
--- a/crates/replication/src/heartbeats.rs
+++ b/crates/replication/src/heartbeats.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How often a heartbeat is sent.
+/// The interval between heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Replica {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Notifies members outside the chain of a committed entry, so that they copy it.
+    /// Notifies members outside the chain of a newly committed entry, so that they request a copy.
     pub(crate) fn send_heartbeats_outside_chain(&mut self) {
         let Some(view) = &self.view else { return };
         let outside = |peer: &&Peer| !view.chain.contains(&peer.heartbeat.member.id);
@@ -45,7 +45,7 @@
     pub(crate) fn own_heartbeat(&self) -> Heartbeat {
         let disk = self.own_disk_health();
         Heartbeat {
-            member: self.me(),
+            member: self.own_member(),
             incarnation: self.incarnation,
             sent_ms: u64::try_from(self.now.as_millis()).unwrap_or(u64::MAX),
             disk_unhealthy: disk != DiskHealth::Healthy,
@@ -61,7 +61,8 @@
         }
     }
 
-    /// The voters and the members outside the view; the seeds as well while this member is no voter or without quorum contact.
+    /// The addresses to send heartbeats to: the voters and the known members outside the view, and also the
+    /// seeds while this member is not a voter or has no contact with a majority.
     fn heartbeat_targets(&self) -> Vec<SocketAddrV4> {
         let mut targets: Vec<SocketAddrV4> = self.voters().iter().map(|voter| voter.address).collect();
         targets.extend(self.peers.iter().map(|peer| peer.heartbeat.member.address));
@@ -78,10 +79,10 @@
         self.voters().iter().filter(|voter| voter.id != self.id).cloned().collect()
     }
 
-    /// This member, the voters and the members outside the view.
+    /// This member, the voters and the known members outside the view.
     pub(crate) fn known_members(&self) -> Vec<Member> {
         let mut members = self.other_voters();
-        members.push(self.me());
+        members.push(self.own_member());
         for peer in self.peers.iter() {
             if members.iter().all(|member| member.id != peer.heartbeat.member.id) {
                 members.push(peer.heartbeat.member.clone());
@@ -99,7 +100,7 @@
         let restarted = self.peers.record_heartbeat(self.now, self.id, view, heartbeat, &members);
         if restarted && self.successor() == Some(sender) {
             self.chain.reset_successor();
-            self.feed_successor();
+            self.replicate_to_successor();
         }
         self.compare_register(sender, committed);
     }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,27 +1,29 @@
-//! One register, replicated by a chain of members under an agreed membership view.
+//! A single replicated register: a chain of members keeps it under an agreed membership view.
 //!
-//! Chain replication as of van Renesse and Schneider, "Chain Replication for Supporting High Throughput and Availability"
-//! (OSDI 2004): the head orders changes, each member writes an entry to disk before it forwards it, and the tail commits. The
-//! configuration master of the paper is replaced by an agreement of the voters: each view is decided by one instance of the
-//! Paxos synod among the voters of the view before it. Reads are linearizable: the tail responds after a majority of the voters
-//! has confirmed that its view is the latest (as a read index in Raft).
+//! The protocol is chain replication (van Renesse and Schneider, "Chain Replication for Supporting High
+//! Throughput and Availability", OSDI 2004): the head orders changes, each member writes an entry to disk
+//! before it forwards it, and the tail commits. Instead of the external configuration master of the paper,
+//! the members decide on each view themselves: view n + 1 is decided by one instance of the Paxos synod whose
+//! acceptors are the voters of view n. Reads are linearizable: the tail responds after a majority of the
+//! voters has confirmed that its view is the latest, like a read index in Raft.
 //!
-//! [`Replica`] is a state machine without I/O, clock or random source of its own: it takes an [`Input`] and the time, and
-//! returns [`Output`]s to be performed in order. `docs/design/kept-state.md` describes the protocol.
+//! [`Replica`] is a deterministic state machine that does no I/O and reads no clock or random source: it
+//! takes an [`Input`] and the current time, and returns the [`Output`]s to be performed in order.
+//! `docs/design/kept-state.md` describes the protocol.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-/// Whether a replica has this deliberate fault.
+/// Whether this fault is injected into a replica.
 #[cfg(feature = "planted-faults")]
-macro_rules! planted {
+macro_rules! has_fault {
     ($replica:expr, $fault:ident) => {
         $replica.fault == Some(crate::fault::Fault::$fault)
     };
 }
 
-/// Outside of tests there are no deliberate faults.
+/// Always false: faults can be injected only with the feature `planted-faults`.
 #[cfg(not(feature = "planted-faults"))]
-macro_rules! planted {
+macro_rules! has_fault {
     ($replica:expr, $fault:ident) => {
         false
     };
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -1,4 +1,4 @@
-//! Storing records, what follows once they are durable, and recovery from them at a start.
+//! Storing records, acting once they are durable, and recovery from them at a start.
 
 use crate::durability::{DurableAction, WriteTracker};
 use crate::identifiers::{MemberId, ViewNumber, WriteId};
@@ -9,10 +9,11 @@
 use rand::RngCore;
 use std::net::SocketAddrV4;
 
-/// Set in identities that are drawn, clear in those that are derived from an address.
+/// Set in random identities, clear in those derived from an address.
 const RANDOM_ID_BIT: u64 = 1 << 63;
 
-/// The identity of a seed when the whole system starts for the first time: every seed can derive those of all.
+/// The identity of a seed at the first start of the whole system. Derived from the address, so that every
+/// seed can compute the identities of all of them.
 fn derived_identity(address: SocketAddrV4) -> MemberId {
     let bytes = address.ip().octets().into_iter().chain(address.port().to_be_bytes());
     let hash = bytes.fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
@@ -21,7 +22,8 @@
     MemberId(hash & !RANDOM_ID_BIT)
 }
 
-/// The first view: the seeds, in the order of their addresses. Their zones are not known yet.
+/// The first view, whose chain and voters are the seeds in the order of their addresses. Their zones are not
+/// known yet.
 fn first_view(seeds: &[SocketAddrV4]) -> View {
     let mut addresses = seeds.to_vec();
     addresses.sort();
@@ -33,7 +35,7 @@
 }
 
 impl Replica {
-    /// Recovers the state on disk, or draws an identity for an empty disk.
+    /// Recovers the state from the records on disk, or creates an identity if the disk is empty.
     pub(crate) fn restore(&mut self, records: Vec<Record>) {
         let bytes = records.iter().map(Record::size).sum();
         self.writes = WriteTracker::new(bytes);
@@ -81,7 +83,11 @@
             RecordBody::Synced(number) => self.progress.sync(number),
             RecordBody::Transfer { transfer, progress } => {
                 if !self.register.apply_transfer(&transfer) {
-                    log::error!("replication: a stored transfer does not follow from the records before it");
+                    log::error!(
+                        "replication: a stored state transfer (newest sequence {}) does not follow from the \
+                         records before it; its entries are ignored",
+                        transfer.newest().sequence
+                    );
                 }
                 self.progress = progress;
             }
@@ -92,17 +98,21 @@
         let address = self.settings.address;
         let first = self.settings.bootstrap && self.settings.seeds.contains(&address);
         let first_view = first.then(|| first_view(&self.settings.seeds));
-        let derive = first || planted!(self, ReusesLostIdentity);
+        let derive = first || has_fault!(self, ReusesLostIdentity);
         self.id =
             if derive { derived_identity(address) } else { MemberId(self.random.next_u64() | RANDOM_ID_BIT) };
         self.progress.sync(ViewNumber(u64::from(first)));
         self.view = first_view.clone();
-        log::info!("replication: empty disk at {address}, now member {:x}, bootstrap {first}", self.id.get());
+        log::info!(
+            "replication: empty disk at {address}, initialized as member {:x} (first start: {first})",
+            self.id.get()
+        );
         let action = self.activate_action();
         self.store(RecordBody::Identity { id: self.id, first_view }, action);
     }
 
-    /// Orders a record to be stored, and `action` once it is durable. Nothing is ordered from a disk that rejects writes.
+    /// Orders a record to be stored, and `action` to be performed once it is durable. Does nothing while the
+    /// disk rejects writes.
     pub(crate) fn store(&mut self, record: RecordBody, action: DurableAction) {
         if self.writes.is_rejecting() {
             return;
@@ -111,7 +121,7 @@
         self.outputs.push(Output::Store(id, Record(record)));
     }
 
-    /// The action once all records ordered so far are durable.
+    /// The action to perform once all records ordered so far are durable.
     pub(crate) fn advance_durable_action(&self) -> DurableAction {
         DurableAction::AdvanceDurable { newest: self.register.newest(), progress: self.progress }
     }
@@ -139,26 +149,26 @@
     }
 
     pub(crate) fn write_failed(&mut self, id: WriteId) {
-        log::warn!("replication: the disk rejects record {}", id.get());
+        log::warn!("replication: the disk rejected write {}", id.get());
         self.writes.fail(self.now, id);
         self.send_heartbeats();
     }
 
-    /// Rewrites the log when it is long, retries a disk that rejected a write, and probes one that was slow.
+    /// Rewrites the log if it is long, retries a disk that rejected a write, and probes a slow disk.
     pub(crate) fn tick_disk(&mut self) {
-        let probes = self.identity_durable && !planted!(self, NeverProbesDisk);
+        let probes = self.identity_durable && !has_fault!(self, NeverProbesDisk);
         if probes && self.writes.needs_probe(self.now) {
             let action = self.advance_durable_action();
             self.store(RecordBody::Synced(self.progress.synced), action);
         }
         let is_long = self.writes.needs_rewrite() && !self.writes.is_rejecting();
-        let retries = !planted!(self, NeverRetriesDisk);
+        let retries = !has_fault!(self, NeverRetriesDisk);
         if (retries && self.writes.is_retry_due(self.now)) || is_long {
             self.rewrite();
         }
     }
 
-    /// Orders the log to be replaced by the state as it is now.
+    /// Orders the log to be replaced by records of the current state.
     fn rewrite(&mut self) {
         let records = self.all_records();
         let bytes = records.iter().map(RecordBody::size).sum();
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: its state, and the dispatch of inputs and messages.
+//! The state of a replica, and the dispatch of inputs and messages.
 
 use crate::chain_state::{ChainState, ReceivedCopy};
 use crate::durability::WriteTracker;
@@ -19,10 +19,10 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A gap between two inputs that only a stalled process shows.
+/// A longer gap between two inputs means that the process was stalled.
 const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 
-/// How recent the contact with a majority must be for a head to act.
+/// How recent the contact with a majority of the voters must be.
 const QUORUM_CONTACT_WINDOW: Duration = Duration::from_millis(1_000);
 
 /// A member of the replication group.
@@ -30,27 +30,29 @@
 pub struct Replica {
     pub(crate) settings: Settings,
     pub(crate) id: MemberId,
-    /// Drawn at each start, so that messages for an earlier process of this member are not taken for this one's.
+    /// Drawn at each start, so that this process discards messages meant for an earlier one of the same
+    /// member.
     pub(crate) incarnation: Incarnation,
     pub(crate) random: Pcg64Mcg,
     pub(crate) now: Duration,
-    /// Whether the identity is on disk; before that nothing is sent.
+    /// Whether the identity is on disk. Nothing is sent before it is.
     pub(crate) identity_durable: bool,
     pub(crate) shutting_down: bool,
     pub(crate) view: Option<View>,
-    /// The known views before it, the oldest first.
+    /// The known views before `view`, the oldest first.
     pub(crate) earlier_views: VecDeque<View>,
     pub(crate) acceptor: Acceptor,
     pub(crate) attempt: Option<Attempt>,
-    /// How long an attempt may take by now.
+    /// The current time-out of an attempt.
     pub(crate) attempt_timeout: Duration,
-    /// The highest known round of a proposal number.
+    /// The highest round of any known proposal number.
     pub(crate) highest_round: u64,
-    /// No attempt begins before this time, so that proposers that collided do not collide again.
+    /// No attempt begins before this time: a random backoff after a failed attempt, or time left for another
+    /// voter's proposal.
     pub(crate) no_attempt_before: Duration,
-    /// Since when another view is wanted.
-    pub(crate) view_wanted_since: Option<Duration>,
-    /// Since when no member that may lead is reachable.
+    /// Since when this member has wanted to replace the view.
+    pub(crate) view_desired_since: Option<Duration>,
+    /// Since when no member with all committed entries has been reachable.
     pub(crate) leaderless_since: Option<Duration>,
     pub(crate) register: Register,
     pub(crate) progress: ReplicationProgress,
@@ -60,28 +62,29 @@
     pub(crate) pending_requests: PendingRequests,
     pub(crate) write_queue: WriteQueue,
     pub(crate) read_index: ReadIndexRounds,
-    /// The sequence of the newest entry that was output as committed.
+    /// The sequence of the newest entry that was reported as [`Output::Committed`].
     published: Sequence,
     pub(crate) heartbeat_sent_at: Option<Duration>,
     pub(crate) view_requested_at: Option<Duration>,
     pub(crate) copy_requested_at: Option<Duration>,
     pub(crate) outputs: Vec<Output>,
-    /// Messages of this member to itself.
+    /// Messages from this member to itself, handled at the end of the step.
     pub(crate) loopback: VecDeque<Message>,
     #[cfg(feature = "planted-faults")]
     pub(crate) fault: Option<crate::fault::Fault>,
 }
 
 impl Replica {
-    /// Starts with the records on disk (none for a new disk) at `now`. `seed` feeds the draw of an identity, and has to differ at
-    /// each start.
+    /// Starts a replica at the time `now` from the records on its disk, which are none for a new disk. `seed`
+    /// is the seed of its random source: identities and incarnations are drawn from it, so it must be
+    /// different at each start.
     pub fn open(settings: Settings, records: Vec<Record>, seed: u64, now: Duration) -> (Self, Vec<Output>) {
         let mut replica = Self::empty(settings, seed, now);
         let outputs = replica.begin(records);
         (replica, outputs)
     }
 
-    /// As [`Replica::open`], with a deliberate fault.
+    /// As [`Replica::open`], with an injected fault.
     #[cfg(feature = "planted-faults")]
     pub fn open_with_fault(
         settings: Settings,
@@ -113,7 +116,7 @@
             attempt_timeout: ATTEMPT_TIMEOUT,
             highest_round: 0,
             no_attempt_before: now,
-            view_wanted_since: None,
+            view_desired_since: None,
             leaderless_since: None,
             register: Register::new(settings.history_length),
             settings,
@@ -141,7 +144,8 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Handles an event at `now`, a time that never decreases, and returns the effects to perform in order.
+    /// Handles an event and returns the effects to perform, in order. `now` is monotonic time and must not
+    /// decrease from call to call.
     pub fn handle(&mut self, now: Duration, input: Input) -> Vec<Output> {
         if now > self.now + STALL_THRESHOLD {
             self.peers.record_stall(now);
@@ -163,22 +167,24 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// The view that it knows.
+    /// The newest view that this member knows; `None` before it has joined a group.
     pub fn view(&self) -> Option<&View> {
         self.view.as_ref()
     }
 
-    /// Whether it is the head of the chain and has had contact with a majority of the voters lately.
+    /// Whether this member is the active head of the chain and has had recent contact with a majority of the
+    /// voters.
     pub fn is_acting_head(&self) -> bool {
         self.is_acting_head_at(self.now)
     }
 
-    /// The same at `now`, which may be later than the last input: the state from before a stall of the process does not count.
+    /// As [`Replica::is_acting_head`], at the time `now`, which may be later than the last input. Contact
+    /// from before a stall of the process is then too old to count.
     pub fn is_acting_head_at(&self, now: Duration) -> bool {
         self.is_head() && self.is_active() && !self.shutting_down && self.has_quorum_contact_at(now)
     }
 
-    /// Its status, for operators.
+    /// The status for operators.
     pub fn status(&self) -> Status {
         Status {
             id: self.id,
@@ -203,7 +209,7 @@
         self.send_heartbeats();
     }
 
-    /// Does what follows immediately from an event: handles messages to itself, publishes a committed entry.
+    /// Finishes the handling of an input: delivers messages to itself and publishes a newly committed entry.
     fn finish_step(&mut self) {
         while let Some(message) = self.loopback.pop_front() {
             self.receive(self.settings.address, message);
@@ -212,7 +218,7 @@
         self.register.assert_consistent();
     }
 
-    /// Outputs the newest committed entry, and notifies members outside the chain.
+    /// Outputs the newest committed entry if it is a new one, and notifies members outside the chain.
     fn publish_committed(&mut self) {
         let Some(entry) = self.register.committed().filter(|entry| entry.sequence > self.published) else {
             return;
@@ -227,7 +233,7 @@
     fn receive(&mut self, from: SocketAddrV4, message: Message) {
         self.compare_views(from, &message);
         let Message { sender, view, body } = message;
-        let same_view = view == self.view_number() || planted!(self, AcceptsOldViews);
+        let same_view = view == self.view_number() || has_fault!(self, AcceptsOldViews);
         match body {
             MessageBody::Heartbeat(heartbeat) => self.receive_heartbeat(sender, view, *heartbeat),
             MessageBody::Decided(views) => self.adopt_all(views),
@@ -242,7 +248,7 @@
         }
     }
 
-    /// Messages that count only between members that know the same view.
+    /// Handles a message that is valid only if sender and receiver know the same view.
     fn receive_in_view(&mut self, sender: MemberId, body: MessageBody) {
         match body {
             MessageBody::Prepare { slot, number, forced } => {
@@ -278,13 +284,13 @@
     }
 
     pub(crate) fn majority(&self) -> usize {
-        if planted!(self, HalfIsMajority) {
+        if has_fault!(self, HalfIsMajority) {
             return self.voters().len().div_ceil(2).max(1) - usize::from(self.voters().len() > 2);
         }
         self.voters().len() / 2 + 1
     }
 
-    /// Whether messages have gone both ways between this member and a majority of the voters lately.
+    /// Whether this member has recently had two-way contact with a majority of the voters.
     pub(crate) fn has_quorum_contact(&self) -> bool {
         self.has_quorum_contact_at(self.now)
     }
--- a/crates/replication/src/request_routing.rs
+++ b/crates/replication/src/request_routing.rs
@@ -1,4 +1,5 @@
-//! Routing of client requests: from the member that received them to the head or the tail, and of responses back.
+//! Routing of client requests from the member that received them to the head or the tail, and of the
+//! responses back.
 
 use crate::identifiers::{MemberId, RequestId};
 use crate::interface::Output;
@@ -9,7 +10,7 @@
 use crate::replica::Replica;
 
 impl Replica {
-    /// Accepts a client request.
+    /// Accepts a client request at this member.
     pub(crate) fn submit(&mut self, id: RequestId, request: Request) {
         self.pending_requests.insert(self.now, id, request);
         self.send_due_requests();
@@ -26,7 +27,7 @@
         RequestOrigin { member: self.id, incarnation: self.incarnation, request, relay: None }
     }
 
-    /// Times out and retries requests, and sends the confirmation round again.
+    /// Times out and retries requests, and resends the confirmation request.
     pub(crate) fn tick_requests(&mut self) {
         for id in self.pending_requests.remove_timed_out(self.now) {
             self.outputs.push(Output::Respond(id, RequestOutcome::Unknown));
@@ -39,14 +40,14 @@
         self.begin_confirmation_round();
     }
 
-    /// Sends the requests that are due to the head or the tail.
+    /// Sends the requests that are due, to the head or the tail.
     pub(crate) fn send_due_requests(&mut self) {
         let Some(view) = &self.view else { return };
         let (Some(head), Some(tail)) = (view.chain.first().copied(), view.chain.last().copied()) else {
             return;
         };
         for (id, request) in self.pending_requests.take_due(self.now) {
-            if planted!(self, NeverRetriesRequests) && self.pending_requests.is_retry(id) {
+            if has_fault!(self, NeverRetriesRequests) && self.pending_requests.is_retry(id) {
                 continue;
             }
             let origin = self.own_origin(id);
@@ -67,7 +68,8 @@
         }
     }
 
-    /// A voter that hears a server with which this member has no two-way contact.
+    /// A voter through which to reach `server`, if this member has no two-way contact with it: one with
+    /// two-way contact to this member that receives the heartbeats of `server`.
     fn relay_for(&self, server: MemberId) -> Option<MemberId> {
         if self.peers.has_two_way_contact(self.now, server, HEARTBEAT_TIMEOUT) {
             return None;
@@ -77,7 +79,7 @@
         others.filter(reached).find(|id| self.peers.reports_hearing(self.now, *id, server))
     }
 
-    /// Forwards a request for a member that can't reach the server itself.
+    /// Relays a request of a member that can't reach the server itself.
     fn relay(&mut self, origin: RequestOrigin, request: Request) {
         let Some(view) = &self.view else { return };
         let server = match &request {
@@ -90,12 +92,12 @@
         }
     }
 
-    /// Serves a request as the head or the tail, or relays it.
+    /// Serves a request as the head or the tail; elsewhere, relays it.
     pub(crate) fn receive_request(&mut self, origin: RequestOrigin, request: Request) {
         match request {
             Request::Write(change) if self.is_head() => self.receive_change(origin, change),
             Request::Read if self.is_tail() => {
-                if planted!(self, ReadsWithoutConfirmation) {
+                if has_fault!(self, ReadsWithoutConfirmation) {
                     return self.respond(origin, RequestOutcome::Current(self.register.committed().cloned()));
                 }
                 self.respond_once_confirmed(origin, ConfirmedResponse::NewestEntry);
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Sends a response to the origin of a request, the way that the request came.
+    /// Sends a response to the origin of a request, through the relay if there was one.
     pub(crate) fn respond(&mut self, origin: RequestOrigin, outcome: RequestOutcome) {
         if origin.member == self.id {
             self.receive_response(origin, outcome);
@@ -118,12 +120,12 @@
         }
     }
 
-    /// The response to a request of this member, or to one that it has relayed.
+    /// Handles a response to a request of this member or to one that it relayed.
     pub(crate) fn receive_response(&mut self, origin: RequestOrigin, outcome: RequestOutcome) {
         if origin.relay == Some(self.id) && origin.member != self.id {
             self.send(origin.member, MessageBody::Response { origin, outcome });
         } else if origin.member == self.id
-            && (origin.incarnation == self.incarnation || planted!(self, AcceptsOtherIncarnations))
+            && (origin.incarnation == self.incarnation || has_fault!(self, AcceptsOtherIncarnations))
             && self.pending_requests.remove(origin.request)
         {
             self.outputs.push(Output::Respond(origin.request, outcome));
--- a/crates/replication/src/request_serving.rs
+++ b/crates/replication/src/request_serving.rs
@@ -1,4 +1,4 @@
-//! Client requests at the members that serve them: changes at the head, and the confirmation before a response.
+//! Serving of client requests: changes at the head, and confirmation of the view before a response.
 
 use crate::identifiers::{ConfirmationRound, MemberId};
 use crate::message::{MessageBody, RequestOrigin};
@@ -10,7 +10,7 @@
 impl Replica {
     pub(crate) fn receive_change(&mut self, origin: RequestOrigin, change: Change) {
         let committed = self.register.find_committed(&change.digest);
-        if let Some(sequence) = committed.filter(|_| !planted!(self, IgnoresDigests)) {
+        if let Some(sequence) = committed.filter(|_| !has_fault!(self, IgnoresDigests)) {
             return self.respond_finally(origin, RequestOutcome::Committed { sequence });
         }
         let pending = self.register.pending().map(|entry| entry.change.digest);
@@ -21,12 +21,13 @@
         self.serve_writes();
     }
 
-    /// Responds to the origins of the change that was committed, and decides on queued changes until one is in flight.
+    /// Responds to the requests whose change was committed, then decides on queued changes until one of them
+    /// is in flight.
     pub(crate) fn serve_writes(&mut self) {
         if !self.is_active() || self.writes.is_rejecting() {
             return;
         }
-        if planted!(self, CommitsAtHead) {
+        if has_fault!(self, CommitsAtHead) {
             self.register.commit(self.chain.durable_newest.sequence);
         }
         while self.register.pending().is_none() {
@@ -43,38 +44,39 @@
                         .into_iter()
                         .for_each(|origin| self.respond_finally(origin, outcome.clone()));
                 }
-                WriteDecision::WaitForBase => self.write_queue.retain_early(write),
+                WriteDecision::WaitForBase => self.write_queue.push_awaiting_base(write),
             }
         }
     }
 
     fn decide(&self, change: &Change) -> WriteDecision {
         let current = self.register.generation();
-        if planted!(self, IgnoresBase) && change.generation > current {
+        if has_fault!(self, IgnoresBase) && change.generation > current {
             return WriteDecision::Append;
         }
-        if planted!(self, IgnoresDigests) && change.base < current {
+        if has_fault!(self, IgnoresDigests) && change.base < current {
             return WriteDecision::Respond(RequestOutcome::Conflict { current });
         }
         match decide(&self.register, change) {
-            WriteDecision::Respond(RequestOutcome::TooOld { current }) if planted!(self, RejectsPruned) => {
+            WriteDecision::Respond(RequestOutcome::TooOld { current }) if has_fault!(self, RejectsPruned) => {
                 WriteDecision::Respond(RequestOutcome::Conflict { current })
             }
             decision => decision,
         }
     }
 
-    /// Assigns the next position to a change.
+    /// Appends a change as the next entry.
     fn append_change(&mut self, change: Change, origins: Vec<RequestOrigin>) {
         let sequence = self.register.newest().sequence.next();
         self.write_queue.in_flight = origins;
         self.append_entry(Entry { sequence, view: self.view_number(), change });
     }
 
-    /// Responds with an outcome that no later commit can alter. Although it is true in any case, a partitioned head does not
-    /// respond: its client should find a member that knows what is current.
+    /// Responds with an outcome that no later commit can alter. Although the outcome is correct without a
+    /// confirmation, a partitioned head does not send it: its client should turn to a member that knows the
+    /// current state.
     fn respond_finally(&mut self, origin: RequestOrigin, outcome: RequestOutcome) {
-        if planted!(self, RespondsWithoutConfirmation) {
+        if has_fault!(self, RespondsWithoutConfirmation) {
             return self.respond(origin, outcome);
         }
         self.respond_once_confirmed(origin, ConfirmedResponse::Final(outcome));
@@ -95,7 +97,8 @@
         }
     }
 
-    /// Confirms to another member that its view, which is this one's too, is the latest.
+    /// Confirms to another member, which knows the same view, that this view is the latest. Not confirmed
+    /// once this voter has accepted a proposal for the next view.
     pub(crate) fn receive_confirmation_request(&mut self, sender: MemberId, round: ConfirmationRound) {
         if self.is_voter(self.id) && self.acceptor.accepted.is_none() {
             self.send(sender, MessageBody::ViewConfirmed { round });
--- a/crates/replication/src/transport.rs
+++ b/crates/replication/src/transport.rs
@@ -1,4 +1,4 @@
-//! Sending messages to other members, and to this member itself.
+//! Sending messages to other members and to this member itself.
 
 use crate::identifiers::MemberId;
 use crate::interface::Output;
@@ -8,11 +8,11 @@
 use std::net::SocketAddrV4;
 
 impl Replica {
-    pub(crate) fn me(&self) -> Member {
+    pub(crate) fn own_member(&self) -> Member {
         Member { id: self.id, address: self.settings.address, zone: self.settings.zone.clone() }
     }
 
-    /// The address of a member: as the view has it or, for members outside the view, from their heartbeats.
+    /// The address of a member: from the view if it is a voter, else from its heartbeats.
     fn address(&self, id: MemberId) -> Option<SocketAddrV4> {
         let voter = self.voters().iter().find(|voter| voter.id == id).map(|voter| voter.address);
         voter.or_else(|| self.peers.get(id).map(|peer| peer.heartbeat.member.address))
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Sends nothing before the identity is durable.
+    /// Sends a message, unless the identity is not durable yet.
     pub(crate) fn send_to(&mut self, to: SocketAddrV4, body: MessageBody) {
         if self.identity_durable {
             let message = Message { sender: self.id, view: self.view_number(), body };
--- a/crates/replication/src/view_adoption.rs
+++ b/crates/replication/src/view_adoption.rs
@@ -1,4 +1,4 @@
-//! Learning decided views and entering them.
+//! Learning of decided views, and entering them.
 
 use crate::identifiers::MemberId;
 use crate::interface::Output;
@@ -10,14 +10,15 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How many views before the one in force are sent with it, so that a member that was away learns whether it was in them.
+/// The number of earlier views that are sent with the one in force. A member that was away learns from them
+/// whether it was in their chains.
 const EARLIER_VIEWS: usize = 6;
 
-/// How often a member that is behind requests the view.
+/// The minimum interval between two requests for the view.
 const VIEW_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Replica {
-    /// Sends the view to a sender that is behind, and requests it from one that is ahead.
+    /// Sends the known views to a sender that is behind, and requests them from a sender that is ahead.
     pub(crate) fn compare_views(&mut self, from: SocketAddrV4, message: &Message) {
         let own = self.view_number();
         if message.sender == self.id || matches!(message.body, MessageBody::Decided(_)) {
@@ -35,21 +36,22 @@
         }
     }
 
-    /// The views that this member knows, the oldest first; the last one is in force.
+    /// The views that this member knows, the oldest first and the one in force last.
     pub(crate) fn known_views(&self) -> Vec<View> {
         self.earlier_views.iter().chain(&self.view).cloned().collect()
     }
 
-    /// The same, followed by one that was just decided.
+    /// The known views, followed by a newly decided one.
     pub(crate) fn known_views_up_to(&self, decided: &View) -> Vec<View> {
         let mut views = self.known_views();
         views.push(decided.clone());
         views
     }
 
-    /// Adopts decided views, the oldest first: the last one comes into force if it is a later one. A member that is in the chains
-    /// of those before it has all that was committed in them, although it never acted in them: nothing is committed in a view
-    /// before all its chain is synced.
+    /// Adopts decided views, the oldest first. The last one comes into force if it is newer than the one
+    /// known here. The earlier ones are recorded: if this member is in all their chains, it has everything
+    /// that was committed in them although it never acted in them, because nothing is committed in a view
+    /// before its whole chain is synced.
     pub(crate) fn adopt_all(&mut self, mut views: Vec<View>) {
         let Some(last) = views.pop() else { return };
         if last.number <= self.view_number() {
@@ -61,7 +63,7 @@
         self.adopt(last);
     }
 
-    /// Records a view that is no longer in force.
+    /// Records a decided view that has already been superseded.
     fn skip_view(&mut self, view: View) {
         if view.number != self.view_number().next() {
             return;
@@ -71,7 +73,7 @@
         self.store(RecordBody::View(view), action);
     }
 
-    /// Records a view as the newest, without entering it.
+    /// Records a view as the newest one, without the steps of entering it.
     pub(crate) fn record_view(&mut self, view: &View) {
         if let Some(since) = view.idle_since {
             self.progress.skip_idle(since, view.number);
@@ -85,18 +87,18 @@
         }
     }
 
-    /// Enters a decided view, if it is a later one.
+    /// Enters a decided view if it is newer than the one known here.
     pub(crate) fn adopt(&mut self, view: View) {
         if view.number <= self.view_number() {
             return;
         }
-        log::info!("replication: view {} with chain {:x?}", view.number, view.chain);
+        log::info!("replication: entering view {} with chain {:x?}", view.number, view.chain);
         let is_head = view.chain.first() == Some(&self.id);
         self.record_view(&view);
         self.acceptor = Default::default();
         self.attempt = None;
         self.attempt_timeout = ATTEMPT_TIMEOUT;
-        self.view_wanted_since = None;
+        self.view_desired_since = None;
         self.leaderless_since = None;
         self.write_queue.clear();
         self.read_index.clear();
@@ -111,14 +113,14 @@
         self.send_due_requests();
     }
 
-    /// Whether this member may end without loss: it is outside the chain, and all of the chain reports that it has the committed
-    /// state.
+    /// Whether this member may exit without data loss: it is outside the chain, and the head reports that the
+    /// whole chain has the committed state.
     pub fn has_handed_over(&self) -> bool {
         let Some(view) = self.view.as_ref().filter(|_| self.chain_position().is_none()) else { return false };
         let reports_active = |id: &MemberId| {
             let peer = self.peers.get(*id).filter(|_| self.peers.hears(self.now, *id));
             peer.is_some_and(|peer| peer.view == view.number && peer.heartbeat.active)
         };
-        view.chain.first().is_some_and(reports_active) || planted!(self, ShutsDownTooEarly)
+        view.chain.first().is_some_and(reports_active) || has_fault!(self, ShutsDownTooEarly)
     }
 }
--- a/crates/replication/src/view_change.rs
+++ b/crates/replication/src/view_change.rs
@@ -1,4 +1,4 @@
-//! View changes: this member as acceptor and as proposer of the next view, in the Paxos synod of the voters.
+//! View changes: the proposer and the acceptor of the Paxos synod that decides on the next view.
 
 use crate::disk_health::DiskHealth;
 use crate::durability::DurableAction;
@@ -12,38 +12,41 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// How much longer each next member waits before it proposes, so that the first is done by then.
+/// The additional delay of each further member before it proposes a view, so that the proposal of the one
+/// before it is decided by then.
 const RANK_DELAY: Duration = Duration::from_millis(120);
 
-/// The most that an attempt may take. The timeout doubles with each attempt that fails, as disks may be slow, and an attempt
-/// needs two writes one after the other at each of a majority.
+/// The maximum time-out of an attempt. The time-out doubles with each attempt that fails, because disks may
+/// be slow and an attempt needs two consecutive writes at each voter of a majority.
 const MAX_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(6_400);
 
-/// The least that an attempt may take on a slow disk, in writes of this member: two one after the other, each of which may wait
-/// for the one before it.
+/// The minimum time-out of an attempt, in expected write times: it needs two consecutive writes, and each may
+/// have to wait for an earlier one.
 const ATTEMPT_TIMEOUT_IN_WRITES: u32 = 4;
 
-/// How long a write of a voter is expected to take that reports a slow disk.
+/// The expected duration of a write at a voter that reports a slow disk.
 const SLOW_WRITE_TIME: Duration = Duration::from_millis(800);
 
-/// For how many writes of this member another voter's proposal is left alone, so that proposers on slow disks do not preempt each
-/// other for ever.
+/// How long this member leaves another voter's proposal alone, in expected write times, so that proposers on
+/// slow disks do not preempt each other forever.
 const PROPOSAL_TIME_IN_WRITES: u32 = 2;
 
-/// How often the request of an attempt is sent again.
+/// The interval at which the request of an attempt is resent.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// The longest backoff after a failed attempt.
+/// The maximum random backoff after a failed attempt.
 const MAX_BACKOFF: Duration = Duration::from_millis(250);
 
-/// How long an accepted view may be undecided before another voter proposes it again: its proposer may have failed.
+/// How long an accepted view may remain undecided before another voter proposes it again, because its
+/// proposer may have failed.
 const UNDECIDED_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How long no member that may lead must have been reachable before a reconfiguration is forced. Most that are away return sooner.
+/// How long no member with all committed entries must have been reachable before a view is forced. Most
+/// failed members return within this time.
 const FORCED_AFTER: Duration = Duration::from_millis(2_000);
 
 impl Replica {
-    /// Proposes a view if one is wanted and it is this member's turn.
+    /// Proposes a view if the one in force should be replaced and it is this member's turn to propose.
     pub(crate) fn tick_view_change(&mut self) {
         let timeout = self.attempt_timeout.max(self.expected_write_time() * ATTEMPT_TIMEOUT_IN_WRITES);
         if self.attempt.as_ref().is_some_and(|attempt| self.now >= attempt.started_at + timeout) {
@@ -54,16 +57,17 @@
         if !may_propose || self.attempt.is_some() || self.peers.in_grace_period(self.now) {
             return;
         }
-        let wanted = self.wanted_view();
-        self.view_wanted_since = wanted.as_ref().map(|_| self.view_wanted_since.unwrap_or(self.now));
-        let is_turn = wanted.is_some_and(|view| self.is_my_turn(&view));
-        if (is_turn || self.is_undecided_overdue()) && self.now >= self.no_attempt_before {
+        let desired = self.desired_view();
+        self.view_desired_since = desired.as_ref().map(|_| self.view_desired_since.unwrap_or(self.now));
+        let is_turn = desired.is_some_and(|view| self.is_own_turn(&view));
+        if (is_turn || self.is_decision_overdue()) && self.now >= self.no_attempt_before {
             return self.begin_attempt(AttemptKind::Regular);
         }
         self.tick_forced_view_change();
     }
 
-    /// Proposes a forced reconfiguration once no member that may lead was reachable for long.
+    /// Proposes a forced view once no member with all committed entries has been reachable for
+    /// [`FORCED_AFTER`].
     fn tick_forced_view_change(&mut self) {
         let forced = self.forced_view();
         self.leaderless_since = forced.as_ref().map(|_| self.leaderless_since.unwrap_or(self.now));
@@ -73,7 +77,7 @@
         }
     }
 
-    /// Sends the request of the attempt under way again: it may have been lost.
+    /// Resends the request of the attempt in progress, which may have been lost.
     fn resend_attempt(&mut self) {
         let now = self.now;
         let due = self.attempt.as_mut().filter(|attempt| now >= attempt.requested_at + RESEND_INTERVAL);
@@ -89,40 +93,42 @@
         self.send_to_voters(&request);
     }
 
-    fn is_my_turn(&self, wanted: &View) -> bool {
-        let delay = self.rank_delay(wanted);
-        self.view_wanted_since.is_some_and(|since| self.now >= since + delay)
+    fn is_own_turn(&self, desired: &View) -> bool {
+        let delay = self.rank_delay(desired);
+        self.view_desired_since.is_some_and(|since| self.now >= since + delay)
     }
 
-    /// How much longer than the first this member waits before it proposes a view.
-    fn rank_delay(&self, wanted: &View) -> Duration {
-        let in_chain = wanted.chain.iter().position(|id| *id == self.id);
-        let rank = in_chain.unwrap_or(wanted.chain.len() + self.voter_rank());
+    /// How long this member waits, after the first one in rank, before it proposes a view.
+    fn rank_delay(&self, desired: &View) -> Duration {
+        let in_chain = desired.chain.iter().position(|id| *id == self.id);
+        let rank = in_chain.unwrap_or(desired.chain.len() + self.voter_rank());
         self.proposal_time(RANK_DELAY) * u32::try_from(rank).unwrap_or(u32::MAX)
     }
 
-    /// How long another voter's proposal may take on disks like this member's, and on those that its own attempts have shown
-    /// to be slow: at least `shortest`.
+    /// How long another voter's proposal may take, at least `shortest`: on disks like the one of this member,
+    /// and on those that failed attempts of this member have shown to be slow.
     fn proposal_time(&self, shortest: Duration) -> Duration {
         let on_known_disks = self.expected_write_time() * PROPOSAL_TIME_IN_WRITES;
         let after_failures = shortest.mul_f64(self.attempt_timeout.div_duration_f64(ATTEMPT_TIMEOUT));
         on_known_disks.max(after_failures)
     }
 
-    /// How long a voter's write is expected to take: as long as one of this member, or of a slow disk where a voter has one.
+    /// The expected duration of a write at a voter: that of this member, or that of a slow disk if some voter
+    /// has one.
     fn expected_write_time(&self) -> Duration {
         let is_slow = |voter: &Member| {
             self.peers.get(voter.id).is_some_and(|peer| peer.heartbeat.disk_health() == DiskHealth::Slow)
         };
-        let of_others = if self.voters().iter().any(is_slow) { SLOW_WRITE_TIME } else { Duration::ZERO };
-        self.writes.write_time().max(of_others)
+        let others_write_time =
+            if self.voters().iter().any(is_slow) { SLOW_WRITE_TIME } else { Duration::ZERO };
+        self.writes.write_time().max(others_write_time)
     }
 
     fn voter_rank(&self) -> usize {
         self.voters().iter().position(|voter| voter.id == self.id).unwrap_or(0)
     }
 
-    fn is_undecided_overdue(&self) -> bool {
+    fn is_decision_overdue(&self) -> bool {
         let rank = u32::try_from(self.voter_rank()).unwrap_or(u32::MAX);
         let delay = self.proposal_time(UNDECIDED_TIMEOUT) + self.proposal_time(RANK_DELAY) * rank;
         self.acceptor.accepted.is_some() && self.now >= self.acceptor.accepted_at + delay
@@ -160,7 +166,7 @@
             return self.reject(sender, slot);
         }
         if self.acceptor.accepted.as_ref().is_some_and(|accepted| accepted.number == number) {
-            // The request is old: its proposer is in phase 2 already.
+            // The request is outdated: its proposer has already entered phase 2.
             return;
         }
         let is_repeated = self.acceptor.promised == Some(number);
@@ -170,10 +176,10 @@
         let in_chain = self.chain_position().is_some();
         let synced = in_chain && self.progress.synced == self.view_number();
         self.acceptor.gave_up_sync |=
-            kind.is_forced() && in_chain && !synced && !planted!(self, ForcesWithoutEvidence);
+            kind.is_forced() && in_chain && !synced && !has_fault!(self, ForcesWithoutEvidence);
         let gave_up_sync = self.acceptor.gave_up_sync;
         let promise = MessageBody::Promise { slot, number, accepted, synced };
-        if planted!(self, PromiseNotDurable) || (is_repeated && self.writes.is_idle()) {
+        if has_fault!(self, PromiseNotDurable) || (is_repeated && self.writes.is_idle()) {
             return self.send(sender, promise);
         }
         if is_repeated {
@@ -183,8 +189,8 @@
         self.store(RecordBody::Promise { slot, number, gave_up_sync }, action);
     }
 
-    /// Leaves another voter the time to have its proposal decided, before this member makes one of its own. Where disks are not
-    /// slow and no attempt has failed, the delay by rank is enough.
+    /// Delays this member's own attempts to give another voter's proposal time to be decided. If no disk is
+    /// slow and no attempt has failed, the delay by rank is sufficient.
     fn defer_to_proposer(&mut self, proposer: MemberId) {
         if proposer != self.id {
             let until = self.now + self.proposal_time(RANK_DELAY).saturating_sub(RANK_DELAY);
@@ -203,7 +209,7 @@
         let is_repeated = self.acceptor.accepted.as_ref() == Some(&proposal);
         self.acceptor.accept(self.now, proposal.clone());
         let accepted = MessageBody::Accepted { slot, number: proposal.number };
-        if planted!(self, AcceptanceNotDurable) || (is_repeated && self.writes.is_idle()) {
+        if has_fault!(self, AcceptanceNotDurable) || (is_repeated && self.writes.is_idle()) {
             return self.send(sender, accepted);
         }
         if is_repeated {
@@ -214,7 +220,7 @@
     }
 
     fn allows(&self, number: ProposalNumber) -> bool {
-        self.acceptor.allows(number) || planted!(self, AcceptsLowerProposals)
+        self.acceptor.allows(number) || has_fault!(self, AcceptsLowerProposals)
     }
 
     fn may_vote(&self, sender: MemberId, slot: ViewNumber) -> bool {
@@ -235,7 +241,7 @@
         }
     }
 
-    /// The attempt under way, if a voter's response is for it.
+    /// The attempt in progress, if a voter's response belongs to it.
     fn matching_attempt(
         &mut self,
         sender: MemberId,
@@ -260,16 +266,16 @@
         let is_forced = attempt.kind.is_forced();
         let proposed = match attempt.record_promise(sender, promise, majority) {
             PrepareResult::Incomplete => return,
-            PrepareResult::Constrained(_) if planted!(self, IgnoresAcceptedViews) => self.wanted_view(),
+            PrepareResult::Constrained(_) if has_fault!(self, IgnoresAcceptedViews) => self.desired_view(),
             PrepareResult::Constrained(view) => Some(view),
             PrepareResult::Unconstrained { any_synced: false } if is_forced => self.forced_view(),
-            PrepareResult::Unconstrained { .. } if is_forced && planted!(self, ForcesWithoutEvidence) => {
+            PrepareResult::Unconstrained { .. } if is_forced && has_fault!(self, ForcesWithoutEvidence) => {
                 self.forced_view()
             }
-            PrepareResult::Unconstrained { .. } if is_forced && planted!(self, IgnoresSyncedPromises) => {
+            PrepareResult::Unconstrained { .. } if is_forced && has_fault!(self, IgnoresSyncedPromises) => {
                 self.forced_view()
             }
-            PrepareResult::Unconstrained { .. } => self.wanted_view(),
+            PrepareResult::Unconstrained { .. } => self.desired_view(),
         };
         match proposed {
             Some(view) => self.propose(slot, number, view),
@@ -292,7 +298,7 @@
         }
     }
 
-    /// Announces the decision to the voters of both views.
+    /// Announces a decided view to the voters of the old and the new view.
     fn decide_view(&mut self, view: View) {
         self.send_to_voters(&MessageBody::Decided(self.known_views_up_to(&view)));
         let before: Vec<MemberId> = self.voters().iter().map(|voter| voter.id).collect();
--- a/crates/replication/src/view_planning.rs
+++ b/crates/replication/src/view_planning.rs
@@ -1,4 +1,5 @@
-//! Reconfiguration: which view is to follow, as a pure function of the view in force and of what one member knows of the others.
+//! Reconfiguration: the choice of the next view, as a pure function of the view in force and of what one
+//! member knows about the others.
 
 use crate::disk_health::DiskHealth;
 use crate::identifiers::{MemberId, ViewNumber};
@@ -6,53 +7,54 @@
 use crate::register::ReplicationProgress;
 use std::collections::VecDeque;
 
-/// What is known of a member.
+/// What one member knows about a member.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberStatus {
     pub(crate) member: Member,
-    /// It is heard (by this member, or by a member of the chain that is), and it is not shutting down.
+    /// Whether its heartbeats arrive, here or at a chain member that reports so, and it is not shutting down.
     pub(crate) reachable: bool,
-    /// The state of its disk.
+    /// The health of its disk.
     pub(crate) disk: DiskHealth,
-    /// It has all committed entries.
+    /// Whether it has all committed entries.
     pub(crate) complete: bool,
-    /// How much of the committed state it reports to have.
+    /// The replication progress that it reports.
     pub(crate) progress: ReplicationProgress,
-    /// It has given up being synced in the view that it knows.
+    /// Whether it has promised not to become synced in the view that it knows.
     pub(crate) gave_up_sync: bool,
-    /// It is heard, and knows the view in force.
+    /// Whether its heartbeats arrive and it knows the view in force.
     pub(crate) in_view: bool,
-    /// Its heartbeats are steady and it has copied the register: it may be appended to the chain.
+    /// Whether it may be appended to the chain: its heartbeats are stable and it has a recent copy of the
+    /// register.
     pub(crate) appendable: bool,
-    /// Its process is shutting down.
+    /// Whether its process is shutting down.
     pub(crate) shutting_down: bool,
-    /// No member has heard it for long.
+    /// Whether its heartbeats have arrived at no member for a while.
     pub(crate) departed: bool,
 }
 
-/// Which members count as healthy although their disks are slow.
+/// Which members with slow disks may be in the chain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AcceptedSlowDisks {
     None,
-    /// Those of these members: too few others remain.
+    /// These ones, because too few members with healthy disks remain.
     Of(Vec<MemberId>),
     All,
 }
 
-/// What one member knows of the group.
+/// What one member knows about the group.
 #[derive(Clone)]
 pub(crate) struct ClusterState {
-    pub(crate) me: MemberId,
+    pub(crate) own_id: MemberId,
     pub(crate) tolerated_failures: usize,
-    /// Voters and others.
+    /// The voters and the known members outside the view.
     pub(crate) members: Vec<MemberStatus>,
-    /// Which slow disks are accepted.
+    /// The members whose slow disks are accepted in the chain.
     pub(crate) accepted_slow_disks: AcceptedSlowDisks,
-    /// A deliberate fault: no slow disk is ever accepted.
+    /// Injected fault: no slow disk is ever accepted.
     pub(crate) refuses_slow_disks: bool,
-    /// A deliberate fault: a healthy member with all committed entries does not prevent a forced view.
+    /// Injected fault: a healthy member with all committed entries does not prevent a forced view.
     pub(crate) ignores_evidence: bool,
-    /// Pairs of which the first does not hear the second.
+    /// Pairs of members of which the first does not receive the heartbeats of the second.
     pub(crate) disconnected: Vec<(MemberId, MemberId)>,
 }
 
@@ -62,10 +64,10 @@
     }
 
     fn is_healthy(&self, id: MemberId) -> bool {
-        self.status(id).is_some_and(|status| self.meets_requirements(status))
+        self.status(id).is_some_and(|status| self.is_eligible(status))
     }
 
-    fn meets_requirements(&self, status: &MemberStatus) -> bool {
+    fn is_eligible(&self, status: &MemberStatus) -> bool {
         if status.disk == DiskHealth::Slow && self.refuses_slow_disks {
             return false;
         }
@@ -77,17 +79,19 @@
         status.reachable && has_disk
     }
 
-    fn accepting(&self, accepted_slow_disks: AcceptedSlowDisks) -> ClusterState {
+    fn with_accepted_slow_disks(&self, accepted_slow_disks: AcceptedSlowDisks) -> ClusterState {
         ClusterState { accepted_slow_disks, ..self.clone() }
     }
 
-    /// How many members a chain needs, so that what it commits survives the failures that are tolerated.
+    /// The minimum length of a chain, so that entries that it commits survive the tolerated number of
+    /// failures.
     fn required_length(&self, voters: usize) -> usize {
         self.tolerated_failures.min(voters.saturating_sub(1)) + 1
     }
 
-    /// As many members with slow disks as a chain needs beside those with healthy ones. A change waits for each disk of the
-    /// chain in turn, so that more of them would only delay it.
+    /// As many members with slow disks as the minimum length of a chain requires in addition to the healthy
+    /// ones. A change is written to the disks of the chain one after the other, so further slow ones would
+    /// only delay it.
     fn fewest_slow_disks(&self, view: &View) -> AcceptedSlowDisks {
         let voters = view.voters.iter().map(|voter| voter.id);
         let in_order: Vec<MemberId> = view.chain.iter().copied().chain(voters).collect();
@@ -107,31 +111,32 @@
         self.status(id).is_some_and(|status| status.complete)
     }
 
-    fn linked(&self, one: MemberId, other: MemberId) -> bool {
+    fn are_connected(&self, one: MemberId, other: MemberId) -> bool {
         !self.disconnected.iter().any(|pair| *pair == (one, other) || *pair == (other, one))
     }
 
-    fn linked_to_all(&self, one: MemberId, others: &[MemberId]) -> bool {
-        others.iter().all(|other| *other == one || self.linked(one, *other))
+    fn is_connected_to_all(&self, one: MemberId, others: &[MemberId]) -> bool {
+        others.iter().all(|other| *other == one || self.are_connected(one, *other))
     }
 }
 
-/// What should become of the view in force.
+/// The result of planning for the view in force.
 enum Plan {
-    /// It is as it should be.
+    /// The view in force needs no change.
     Keep,
-    /// This one should follow.
+    /// The view in force should be replaced by this one.
     Change(View),
-    /// No view is possible that commits anything.
+    /// No view is possible that can commit changes.
     Impossible,
 }
 
-/// The view that should follow; `None` if this one is as it should be or no better one is possible. Members with slow disks are
-/// left out as long as enough others remain. Where they don't, a slow chain is better than none.
-pub(crate) fn next_view(view: &View, known: &ClusterState) -> Option<View> {
-    let choices = [AcceptedSlowDisks::None, known.fewest_slow_disks(view), AcceptedSlowDisks::All];
+/// The view that should replace the one in force; `None` if that one needs no change or no better one is
+/// possible. Members with slow disks are left out as long as enough others remain; otherwise a slow chain is
+/// better than none.
+pub(crate) fn next_view(view: &View, cluster: &ClusterState) -> Option<View> {
+    let choices = [AcceptedSlowDisks::None, cluster.fewest_slow_disks(view), AcceptedSlowDisks::All];
     for accepted in choices {
-        match plan(view, &known.accepting(accepted)) {
+        match plan(view, &cluster.with_accepted_slow_disks(accepted)) {
             Plan::Change(next) => return Some(next),
             Plan::Keep => return None,
             Plan::Impossible => {}
@@ -140,58 +145,59 @@
     None
 }
 
-fn plan(view: &View, known: &ClusterState) -> Plan {
-    let Some(survivors) = survivors(view, known) else { return Plan::Impossible };
-    let is_in_chain = view.chain.contains(&known.me);
-    let voters = if is_in_chain { voters(view, known, &survivors) } else { view.voters.clone() };
+fn plan(view: &View, cluster: &ClusterState) -> Plan {
+    let Some(survivors) = survivors(view, cluster) else { return Plan::Impossible };
+    let is_in_chain = view.chain.contains(&cluster.own_id);
+    let voters = if is_in_chain { next_voters(view, cluster, &survivors) } else { view.voters.clone() };
     let retained: Vec<MemberId> = survivors.iter().copied().filter(|id| is_among(&voters, *id)).collect();
     let has_failures = survivors.len() < view.chain.len();
-    let chain = if is_in_chain || has_failures { with_appended(&retained, &voters, known) } else { retained };
-    // A member that gave up being synced in this view can be synced in the next one only.
-    let gave_up_sync = |id: &MemberId| known.status(*id).is_some_and(|status| status.gave_up_sync);
+    let chain =
+        if is_in_chain || has_failures { with_ready_voters(&retained, &voters, cluster) } else { retained };
+    // A member that has promised not to become synced in this view can become synced only in the next one.
+    let gave_up_sync = |id: &MemberId| cluster.status(*id).is_some_and(|status| status.gave_up_sync);
     if chain == view.chain && voters == view.voters && !chain.iter().any(gave_up_sync) {
         return Plan::Keep;
     }
-    let chain = complete_first(chain, known);
-    let enough = chain.len() >= known.required_length(voters.len());
-    let is_led_by_complete = chain.first().is_some_and(|head| known.is_complete(*head));
+    let chain = complete_first(chain, cluster);
+    let enough = chain.len() >= cluster.required_length(voters.len());
+    let is_led_by_complete = chain.first().is_some_and(|head| cluster.is_complete(*head));
     if !enough || !is_led_by_complete {
         return Plan::Impossible;
     }
     Plan::Change(View { number: view.number.next(), voters, chain, idle_since: None })
 }
 
-/// A forced reconfiguration: the view that should follow where no healthy member has all committed entries. Among the voters that
-/// are healthy and hear each other, one leads that has all entries up to an earlier view after which nothing was committed. Nothing
-/// was committed in a view if a member of its chain was never synced in it; for the view in force, the voters' promises have to show
-/// that.
-pub(crate) fn forced_view(view: &View, earlier: &VecDeque<View>, known: &ClusterState) -> Option<View> {
-    let known = &known.accepting(AcceptedSlowDisks::All);
+/// The forced view that should replace the one in force if no healthy member has all committed entries. Its
+/// chain is a largest set of healthy voters that hear each other, and its head has all entries up to an
+/// earlier view after which nothing was committed. Nothing was committed in a view if a member of its chain
+/// was never synced in it; for the view in force, the voters' promises have to show this.
+pub(crate) fn forced_view(view: &View, earlier: &VecDeque<View>, cluster: &ClusterState) -> Option<View> {
+    let cluster = &cluster.with_accepted_slow_disks(AcceptedSlowDisks::All);
     let healthy: Vec<MemberId> =
-        view.voters.iter().map(|voter| voter.id).filter(|id| known.is_healthy(*id)).collect();
-    let may_commit = healthy.iter().any(|id| known.is_complete(*id)) && !known.ignores_evidence;
-    if may_commit || !healthy.contains(&known.me) {
+        view.voters.iter().map(|voter| voter.id).filter(|id| cluster.is_healthy(*id)).collect();
+    let may_commit = healthy.iter().any(|id| cluster.is_complete(*id)) && !cluster.ignores_evidence;
+    if may_commit || !healthy.contains(&cluster.own_id) {
         return None;
     }
-    let since = idle_since(view, earlier, known);
-    let leads = |id: &MemberId| known.status(*id).is_some_and(|status| status.progress.complete >= since);
+    let since = idle_since(view, earlier, cluster);
+    let leads = |id: &MemberId| cluster.status(*id).is_some_and(|status| status.progress.complete >= since);
     let is_connected = |subset: &Vec<MemberId>| {
-        subset.iter().all(|id| known.linked_to_all(*id, subset)) && subset.contains(&known.me)
+        subset.iter().all(|id| cluster.is_connected_to_all(*id, subset)) && subset.contains(&cluster.own_id)
     };
     let possible =
         subsets(&healthy).into_iter().filter(|subset| is_connected(subset) && subset.iter().any(leads));
     let mut chain = possible.max_by_key(Vec::len)?;
     let head = chain.remove(chain.iter().position(leads)?);
     chain.insert(0, head);
-    let enough = chain.len() >= known.required_length(view.voters.len());
+    let enough = chain.len() >= cluster.required_length(view.voters.len());
     let (number, voters) = (view.number.next(), view.voters.clone());
     enough.then_some(View { number, voters, chain, idle_since: Some(since) })
 }
 
-/// The number of the earliest view such that nothing was committed in any after it, but for the one in force.
-fn idle_since(view: &View, earlier: &VecDeque<View>, known: &ClusterState) -> ViewNumber {
+/// The earliest view such that nothing was committed in any later one, leaving aside the view in force.
+fn idle_since(view: &View, earlier: &VecDeque<View>, cluster: &ClusterState) -> ViewNumber {
     let was_never_synced = |number: ViewNumber, id: MemberId| {
-        known.status(id).is_some_and(|status| status.in_view && status.progress.synced < number)
+        cluster.status(id).is_some_and(|status| status.in_view && status.progress.synced < number)
     };
     let was_idle = |earlier: &&View| earlier.chain.iter().any(|id| was_never_synced(earlier.number, *id));
     let mut since = view.number.previous();
@@ -204,18 +210,19 @@
     since
 }
 
-/// The largest part of the chain whose members are healthy and hear each other, the first in the order of the chain among equals.
-/// One of them has all committed entries. A healthy member of the chain retains itself.
-fn survivors(view: &View, known: &ClusterState) -> Option<Vec<MemberId>> {
-    let healthy: Vec<MemberId> = view.chain.iter().copied().filter(|id| known.is_healthy(*id)).collect();
-    let must_contain_me = healthy.contains(&known.me);
+/// The largest subset of the chain whose members are healthy and hear each other, and of which one has all
+/// committed entries; among equals, the one with the members that are first in the chain. If this member is a
+/// healthy member of the chain, the subset contains it.
+fn survivors(view: &View, cluster: &ClusterState) -> Option<Vec<MemberId>> {
+    let healthy: Vec<MemberId> = view.chain.iter().copied().filter(|id| cluster.is_healthy(*id)).collect();
+    let must_contain_self = healthy.contains(&cluster.own_id);
     let mut best: Option<Vec<MemberId>> = None;
     for subset in subsets(&healthy) {
-        let is_connected = subset.iter().all(|id| known.linked_to_all(*id, &subset));
-        let contains_me = !must_contain_me || subset.contains(&known.me);
-        let has_complete = subset.iter().any(|id| known.is_complete(*id));
+        let is_connected = subset.iter().all(|id| cluster.is_connected_to_all(*id, &subset));
+        let contains_self = !must_contain_self || subset.contains(&cluster.own_id);
+        let has_complete = subset.iter().any(|id| cluster.is_complete(*id));
         let larger = best.as_ref().is_none_or(|best| subset.len() > best.len());
-        if is_connected && contains_me && has_complete && larger {
+        if is_connected && contains_self && has_complete && larger {
             let all = subset.len() == healthy.len();
             best = Some(subset);
             if all {
@@ -226,16 +233,16 @@
     best
 }
 
-/// Moves the first complete member to the front.
-fn complete_first(mut members: Vec<MemberId>, known: &ClusterState) -> Vec<MemberId> {
-    if let Some(position) = members.iter().position(|id| known.is_complete(*id)) {
+/// Moves the first member with all committed entries to the front.
+fn complete_first(mut members: Vec<MemberId>, cluster: &ClusterState) -> Vec<MemberId> {
+    if let Some(position) = members.iter().position(|id| cluster.is_complete(*id)) {
         let head = members.remove(position);
         members.insert(0, head);
     }
     members
 }
 
-/// All subsets, so that of two of one size the one with earlier members comes first.
+/// All non-empty subsets. Of two with the same size, the one with earlier members comes first.
 fn subsets(members: &[MemberId]) -> Vec<Vec<MemberId>> {
     let count = members.len().min(16);
     let masks = (1_u32..1 << count).rev();
@@ -247,41 +254,45 @@
     members.iter().any(|member| member.id == id)
 }
 
-/// The voters, with departed ones replaced by members outside the view.
-fn voters(view: &View, known: &ClusterState, survivors: &[MemberId]) -> Vec<Member> {
+/// The voters of the next view: departed ones are replaced by members outside the view, and missing ones are
+/// added.
+fn next_voters(view: &View, cluster: &ClusterState, survivors: &[MemberId]) -> Vec<Member> {
     let mut voters = view.voters.clone();
-    let outside = known.members.iter().filter(|status| !is_among(&view.voters, status.member.id));
-    for newcomer in outside.filter(|status| known.meets_requirements(status) && status.appendable) {
-        if !known.linked_to_all(newcomer.member.id, survivors) {
+    let outside = cluster.members.iter().filter(|status| !is_among(&view.voters, status.member.id));
+    for candidate in outside.filter(|status| cluster.is_eligible(status) && status.appendable) {
+        if !cluster.is_connected_to_all(candidate.member.id, survivors) {
             continue;
         }
-        match position_to_replace(newcomer, &voters, known) {
-            Some(position) => voters[position] = newcomer.member.clone(),
-            None if voters.len() < 2 * known.tolerated_failures + 1 => voters.push(newcomer.member.clone()),
+        match position_to_replace(candidate, &voters, cluster) {
+            Some(position) => voters[position] = candidate.member.clone(),
+            None if voters.len() < 2 * cluster.tolerated_failures + 1 => {
+                voters.push(candidate.member.clone());
+            }
             None => {}
         }
     }
     voters
 }
 
-/// The position of the voter that a newcomer replaces: the one whose address it has, one that is shutting down, one that has departed.
-fn position_to_replace(newcomer: &MemberStatus, voters: &[Member], known: &ClusterState) -> Option<usize> {
-    let same_address = voters.iter().position(|voter| voter.address == newcomer.member.address);
-    let having = |test: fn(&MemberStatus) -> bool| {
-        voters.iter().position(|voter| known.status(voter.id).is_some_and(test))
+/// The position of the voter that a candidate replaces: one with the same address, else one that is shutting
+/// down, else one that has departed.
+fn position_to_replace(candidate: &MemberStatus, voters: &[Member], cluster: &ClusterState) -> Option<usize> {
+    let same_address = voters.iter().position(|voter| voter.address == candidate.member.address);
+    let position_where = |test: fn(&MemberStatus) -> bool| {
+        voters.iter().position(|voter| cluster.status(voter.id).is_some_and(test))
     };
     same_address
-        .or_else(|| having(|status| status.shutting_down))
-        .or_else(|| having(|status| status.departed))
+        .or_else(|| position_where(|status| status.shutting_down))
+        .or_else(|| position_where(|status| status.departed))
 }
 
-/// The chain, with the voters appended that may be.
-fn with_appended(retained: &[MemberId], voters: &[Member], known: &ClusterState) -> Vec<MemberId> {
+/// The retained chain, followed by the voters that are ready to be appended.
+fn with_ready_voters(retained: &[MemberId], voters: &[Member], cluster: &ClusterState) -> Vec<MemberId> {
     let mut chain = retained.to_vec();
     for voter in voters {
         let is_ready =
-            known.is_healthy(voter.id) && known.status(voter.id).is_some_and(|status| status.appendable);
-        if is_ready && !chain.contains(&voter.id) && known.linked_to_all(voter.id, &chain) {
+            cluster.is_healthy(voter.id) && cluster.status(voter.id).is_some_and(|status| status.appendable);
+        if is_ready && !chain.contains(&voter.id) && cluster.is_connected_to_all(voter.id, &chain) {
             chain.push(voter.id);
         }
     }
