--- a/crates/record-log/src/folder.rs
+++ b/crates/record-log/src/folder.rs
@@ -1,53 +1,53 @@
-//! Access to the files of a log, behind traits so that tests can simulate a disk.
+//! File system access of a log, behind traits so that tests can simulate a disk.
 
 use std::fs::{self, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder of files.
+/// A directory that contains only files.
 pub trait Folder {
-    /// A file in it.
+    /// The type of its open files.
     type File: File;
 
-    /// The names of the files in it, in any order.
+    /// The names of all files, in no particular order.
     fn names(&self) -> io::Result<Vec<String>>;
 
-    /// Creates an empty file, or truncates the one of this name.
+    /// Creates a file for reading and writing. An existing file of this name is truncated.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
     /// Opens an existing file for reading and writing.
     fn open(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Removes a file.
+    /// Removes a file. Fails with [`io::ErrorKind::NotFound`] if there is none of this name.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Makes creations and removals durable.
+    /// Makes all creations and removals of files durable.
     fn sync(&self) -> io::Result<()>;
 }
 
 /// An open file.
 pub trait File {
-    /// All bytes in it.
+    /// Reads the whole content.
     fn read_all(&mut self) -> io::Result<Vec<u8>>;
 
-    /// Writes all `bytes` from `offset` on.
+    /// Writes `bytes` at `offset`. After an error, some of them may have been written.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
-    /// Truncates or extends the file to this length.
+    /// Truncates the file to this length in bytes, or extends it with zeros.
     fn set_len(&mut self, length: u64) -> io::Result<()>;
 
-    /// Makes everything written durable.
+    /// Makes the content and length of the file durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A directory of the file system.
+/// A directory in the file system.
 #[derive(Debug)]
 pub struct DiskFolder {
     path: PathBuf,
 }
 
 impl DiskFolder {
-    /// The directory at `path`, which is created if it does not exist.
+    /// Opens the directory at `path`; creates it if it does not exist.
     pub fn new(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         Ok(DiskFolder { path: path.to_path_buf() })
@@ -81,7 +81,7 @@
     }
 }
 
-/// A file of the file system.
+/// A file in the file system.
 #[derive(Debug)]
 pub struct DiskFile(fs::File);
 
--- a/crates/record-log/src/frame.rs
+++ b/crates/record-log/src/frame.rs
@@ -1,24 +1,25 @@
-//! The frame of a batch of records: a header of a magic number, the batch number, the length of the records and a CRC-32 of
-//! everything else in the frame; then each record, preceded by its length. All numbers are little-endian.
+//! The encoding of a batch of records as a frame: a header with a magic number, the batch number, the length
+//! of the records and a CRC-32 of all other bytes of the frame; then each record, preceded by its length. All
+//! integers are little-endian.
 
-/// The magic number that a frame begins with.
+/// The first bytes of a frame.
 const MAGIC: [u8; 4] = *b"mwrl";
 
-/// The length of the header, in bytes. Its last four are the checksum.
+/// The length of the header, in bytes. The last four bytes are the checksum.
 const HEADER_LEN: usize = 20;
 
-/// The length of the number before each record, in bytes.
+/// The length of the length field before each record, in bytes.
 const RECORD_HEADER_LEN: usize = 4;
 
 /// A decoded frame.
 pub(crate) struct Frame {
     pub(crate) batch: u64,
     pub(crate) records: Vec<Vec<u8>>,
-    /// Its length in the file, in bytes.
+    /// The length of the encoded frame, in bytes.
     pub(crate) length: usize,
 }
 
-/// Encodes a batch; `None` if its records have more than 4 GiB.
+/// Encodes a batch. `None` if its records and their length fields take 4 GiB or more.
 pub(crate) fn encode(batch: u64, records: &[&[u8]]) -> Option<Vec<u8>> {
     let length: usize = records.iter().map(|record| RECORD_HEADER_LEN + record.len()).sum();
     let mut bytes = Vec::with_capacity(HEADER_LEN + length);
@@ -42,7 +43,7 @@
     hasher.finalize()
 }
 
-/// The frame at the start of `bytes`; `None` if it is incomplete or damaged.
+/// Decodes the frame at the start of `bytes`. `None` if it is incomplete or damaged.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Frame> {
     if bytes.get(..MAGIC.len())? != MAGIC {
         return None;
@@ -72,7 +73,8 @@
     usize::try_from(u32::from_le_bytes(bytes.try_into().ok()?)).ok()
 }
 
-/// The batch number of the first intact frame anywhere in `bytes` whose batch is `batch` or a later one.
+/// Searches `bytes` at every offset for intact frames; returns the batch number of the first one that is at
+/// least `batch`.
 pub(crate) fn find_from(bytes: &[u8], batch: u64) -> Option<u64> {
     let starts =
         (0..bytes.len().saturating_sub(HEADER_LEN)).filter(|start| bytes[*start..].starts_with(&MAGIC));
--- a/crates/record-log/src/log.rs
+++ b/crates/record-log/src/log.rs
@@ -6,66 +6,70 @@
 use std::io;
 
 quick_error! {
-    /// A failure of a log.
+    /// An error of a log operation.
     #[derive(Debug)]
     pub enum LogError {
-        /// An operation on the disk failed.
+        /// A file operation failed: which one, and why.
         Disk(step: &'static str, cause: io::Error) {
-            display("record log: {step}: {cause}")
+            display("record log: failed to {step}: {cause}")
             source(cause)
         }
-        /// An acknowledged batch is damaged: a later one follows it.
+        /// An acknowledged batch is damaged, since an intact later batch follows it: the file, the offset of
+        /// the damaged batch in it, and the number of the later batch.
         Damaged(name: String, offset: u64, later: u64) {
-            display("record log: {name} is damaged at byte {offset}, before batch {later}")
+            display("record log: {name} is damaged at byte {offset}, before the intact batch {later}")
         }
-        /// A batch has more than 4 GiB.
+        /// The records of one batch take 4 GiB or more.
         TooLong {
-            display("record log: a batch is too long")
+            display("record log: the records of one batch must take less than 4 GiB")
         }
-        /// A rewrite failed in a way that may have left its file: only another rewrite is accepted now.
+        /// An earlier rewrite failed and may have left its file. Appends are rejected until a rewrite
+        /// succeeds.
         NeedsRewrite {
-            display("record log: takes nothing but a rewrite after one that failed")
+            display("record log: append rejected: a rewrite has failed and must succeed first")
         }
     }
 }
 
-/// The prefix of the name of a file, before its epoch.
+/// The prefix of file names; the epoch follows.
 const PREFIX: &str = "records-";
 
-/// The number of the first batch of each file, which the rewrite has written.
+/// The number of the first batch in each file: the one that a rewrite writes.
 const FIRST_BATCH: u64 = 1;
 
 /// An open log.
 #[derive(Debug)]
 pub struct Log<F: Folder> {
     folder: F,
-    /// The file with the highest epoch; none before the first write.
+    /// The current file; `None` before the first write.
     file: Option<F::File>,
-    /// The epoch of that file.
+    /// The epoch of the current file.
     file_epoch: u64,
-    /// The highest epoch ever used.
+    /// The highest epoch used so far, also by failed rewrites.
     epoch: u64,
-    /// The length of the acknowledged batches, in bytes.
+    /// The length of the acknowledged batches in the current file, in bytes.
     length: u64,
     next_batch: u64,
     /// Whether bytes of a failed append may follow the acknowledged batches.
     has_torn_tail: bool,
-    /// Whether a failed rewrite may have left a file that would count as the newest one.
+    /// Whether a failed rewrite may have left a file that would be taken for the current one at the next
+    /// start.
     needs_rewrite: bool,
 }
 
-/// The content of a file.
+/// The decoded content of a file.
 struct Content {
     records: Vec<Vec<u8>>,
     length: u64,
     next_batch: u64,
-    /// Whether bytes follow that are no intact batch.
+    /// Whether bytes that are not an intact batch follow.
     torn: bool,
 }
 
 impl<F: Folder> Log<F> {
-    /// Opens the log in a folder and returns its records in order. A batch that was not acknowledged may be missing, but
-    /// never a part of one. Fails if the disk can't be read, or if an acknowledged batch is damaged.
+    /// Opens the log in a folder and returns it with its records, in order. A batch that was not acknowledged
+    /// may be missing, but never only a part of it. Fails if the disk can't be read or an acknowledged batch
+    /// is damaged.
     pub fn open(folder: F) -> Result<(Self, Vec<Vec<u8>>), LogError> {
         let epochs = epochs(&folder)?;
         let mut log = Log {
@@ -93,16 +97,17 @@
         Ok((log, records))
     }
 
-    /// Syncs the recovered file: a process that was killed may have left it written but not synced.
+    /// Syncs the recovered file, because a process that was killed may have written it without syncing it.
     fn make_durable(&mut self) -> Result<(), LogError> {
         if let Some(file) = &mut self.file {
-            file.sync().map_err(|error| LogError::Disk("sync what was found", error))?;
-            self.folder.sync().map_err(|error| LogError::Disk("sync the folder", error))?;
+            file.sync().map_err(|error| LogError::Disk("sync the recovered file", error))?;
+            self.folder.sync().map_err(|error| LogError::Disk("sync the directory", error))?;
         }
         Ok(())
     }
 
-    /// Reads the file of an epoch as the newest one, unless it was left by an interrupted rewrite.
+    /// Reads the file of an epoch as the current one. `None` if it has no intact batch, for example because a
+    /// rewrite was interrupted.
     fn recover(&mut self, epoch: u64) -> Result<Option<Vec<Vec<u8>>>, LogError> {
         let name = file_name(epoch);
         let mut file = self.folder.open(&name).map_err(|error| LogError::Disk("open a file", error))?;
@@ -119,18 +124,18 @@
         Ok(Some(content.records))
     }
 
-    /// Removes a superseded file. It does no harm if that fails.
+    /// Removes a superseded file. Errors are ignored, as the next start tries again.
     fn remove(&self, epoch: u64) {
         let _ = self.folder.remove(&file_name(epoch));
     }
 
-    /// The length of the acknowledged batches, in bytes.
+    /// The length of the acknowledged batches in the current file, in bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
 
-    /// Appends records as one batch and syncs it. After success all of them are durable; after an error or a crash all or
-    /// none.
+    /// Appends records as one batch and syncs it. After success all of them are durable; after an error or a
+    /// crash, either all or none are.
     pub fn append(&mut self, records: &[&[u8]]) -> Result<(), LogError> {
         if self.needs_rewrite {
             return Err(LogError::NeedsRewrite);
@@ -139,25 +144,25 @@
         let Some(file) = &mut self.file else { return self.rewrite(records) };
         let bytes = frame::encode(self.next_batch, records).ok_or(LogError::TooLong)?;
         self.has_torn_tail = true;
-        file.write_at(self.length, &bytes).map_err(|error| LogError::Disk("append", error))?;
-        file.sync().map_err(|error| LogError::Disk("sync what was appended", error))?;
+        file.write_at(self.length, &bytes).map_err(|error| LogError::Disk("append a batch", error))?;
+        file.sync().map_err(|error| LogError::Disk("sync an appended batch", error))?;
         self.has_torn_tail = false;
         self.length += bytes.len() as u64;
         self.next_batch += 1;
         Ok(())
     }
 
-    /// Truncates what a failed append has left.
+    /// Truncates the bytes that a failed append has left after the acknowledged batches.
     fn truncate_torn_tail(&mut self) -> Result<(), LogError> {
         let Some(file) = self.file.as_mut().filter(|_| self.has_torn_tail) else { return Ok(()) };
-        file.set_len(self.length).map_err(|error| LogError::Disk("cut off a torn batch", error))?;
-        file.sync().map_err(|error| LogError::Disk("sync the cut", error))?;
+        file.set_len(self.length).map_err(|error| LogError::Disk("truncate a torn batch", error))?;
+        file.sync().map_err(|error| LogError::Disk("sync the truncation of a torn batch", error))?;
         self.has_torn_tail = false;
         Ok(())
     }
 
-    /// Replaces all records by `records`. After an error the log holds either the old or the new ones; unless it is certain of
-    /// the old ones, it then accepts nothing but another rewrite.
+    /// Replaces all records by `records`. After an error the log has either the old or the new records.
+    /// Unless it certainly has the old ones, it then accepts only another rewrite.
     pub fn rewrite(&mut self, records: &[&[u8]]) -> Result<(), LogError> {
         let bytes = frame::encode(FIRST_BATCH, records).ok_or(LogError::TooLong)?;
         self.epoch += 1;
@@ -182,14 +187,15 @@
 
     fn write_new_file(&self, bytes: &[u8]) -> Result<F::File, LogError> {
         let created = self.folder.create(&file_name(self.epoch));
-        let mut file = created.map_err(|error| LogError::Disk("make a file", error))?;
-        file.write_at(0, bytes).map_err(|error| LogError::Disk("write a file anew", error))?;
-        file.sync().map_err(|error| LogError::Disk("sync a file written anew", error))?;
-        self.folder.sync().map_err(|error| LogError::Disk("sync the folder", error))?;
+        let mut file = created.map_err(|error| LogError::Disk("create a file", error))?;
+        file.write_at(0, bytes).map_err(|error| LogError::Disk("write a rewritten file", error))?;
+        file.sync().map_err(|error| LogError::Disk("sync a rewritten file", error))?;
+        self.folder.sync().map_err(|error| LogError::Disk("sync the directory", error))?;
         Ok(file)
     }
 
-    /// Makes sure that the file of a failed rewrite does not count at the next start.
+    /// Removes the file of a failed rewrite, so that it is not taken for the current one at the next start.
+    /// If that is not certain to be durable, another rewrite is required.
     fn discard_failed_rewrite(&mut self) {
         let removed = self.folder.remove(&file_name(self.epoch));
         let is_removed =
@@ -202,16 +208,16 @@
     format!("{PREFIX}{epoch:016}")
 }
 
-/// The epochs of the files in the folder, in order.
+/// The epochs of the files in the folder, in ascending order.
 fn epochs<F: Folder>(folder: &F) -> Result<Vec<u64>, LogError> {
-    let names = folder.names().map_err(|error| LogError::Disk("read the folder", error))?;
+    let names = folder.names().map_err(|error| LogError::Disk("list the directory", error))?;
     let numbers = names.iter().filter_map(|name| name.strip_prefix(PREFIX)?.parse().ok());
     let mut epochs: Vec<u64> = numbers.collect();
     epochs.sort_unstable();
     Ok(epochs)
 }
 
-/// Decodes a file. Fails where a damaged batch is followed by an intact one.
+/// Decodes a file. Fails if a damaged batch is followed by an intact one.
 fn decode_file(name: &str, bytes: &[u8]) -> Result<Content, LogError> {
     let mut content = Content { records: Vec::new(), length: 0, next_batch: FIRST_BATCH, torn: false };
     let mut offset = 0;
