--- a/crates/range-digest/src/range.rs
+++ b/crates/range-digest/src/range.rs
@@ -2,12 +2,12 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How many parts a range is divided into.
+/// The number of parts into which a range is divided.
 pub const FAN_OUT: usize = 16;
-/// The bits of a key that name one of these parts.
+/// The number of key bits that select one of these parts.
 const FAN_OUT_BITS: u32 = FAN_OUT.trailing_zeros();
 
-/// All keys that share a prefix of bits.
+/// A range of keys: all keys with a common prefix of bits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyRange {
     first: u64,
@@ -15,56 +15,57 @@
 }
 
 impl KeyRange {
-    /// Every key.
+    /// The range of all keys.
     pub const ALL: KeyRange = KeyRange { first: 0, bits: 0 };
 
-    /// The keys whose first `bits` bits are those of `first`. `None` where `first` has other bits set as well, or
-    /// where `bits` is not a whole number of divisions.
+    /// The range of keys whose first `bits` bits equal those of `first`. `None` if `first` has other bits
+    /// set, or if `bits` is more than 64 or not a multiple of 4 (the bits of one division).
     pub fn new(first: u64, bits: u32) -> Option<Self> {
         let range = KeyRange { first, bits };
         let is_aligned = bits <= u64::BITS && bits.is_multiple_of(FAN_OUT_BITS);
         (is_aligned && first & range.suffix_mask() == 0).then_some(range)
     }
 
-    /// The first key.
+    /// The lowest key.
     pub fn first(self) -> u64 {
         self.first
     }
 
-    /// The last key.
+    /// The highest key (inclusive).
     pub fn last(self) -> u64 {
         self.first | self.suffix_mask()
     }
 
-    /// The length of the prefix that its keys share, in bits.
+    /// The length of the common prefix, in bits.
     pub fn bits(self) -> u32 {
         self.bits
     }
 
-    /// Whether a key is in it.
+    /// Whether the range contains a key.
     pub fn contains(self, key: u64) -> bool {
         (self.first..=self.last()).contains(&key)
     }
 
-    /// Its sixteen parts in order; none where it is a single key.
+    /// The sixteen parts of the range in ascending order; none if it is a single key.
     pub fn parts(self) -> impl Iterator<Item = KeyRange> {
         let bits = self.bits + FAN_OUT_BITS;
         let count = if bits <= u64::BITS { FAN_OUT as u64 } else { 0 };
         (0..count).map(move |part| KeyRange { first: self.first | part << (u64::BITS - bits), bits })
     }
 
-    /// The bits in which its keys may differ.
+    /// The mask of the bits in which the keys may differ.
     fn suffix_mask(self) -> u64 {
         u64::MAX.checked_shr(self.bits).unwrap_or(0)
     }
 }
 
-/// The number of items and the sum of their hashes, which does not depend on the order of insertion.
+/// The digest of a range: the number of items and the sum of their hashes. Independent of the order of
+/// insertion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeDigest {
     /// The number of items.
     pub count: u64,
-    /// The sum of their hashes.
+    /// The wrapping sum of the hashes of the items.
     pub sum: u64,
 }
 
@@ -75,7 +76,7 @@
         self.sum = self.sum.wrapping_add(hash_of(key, value));
     }
 
-    /// Subtracts an item that was added before.
+    /// Subtracts an item, which must have been added before.
     pub fn subtract(&mut self, key: u64, value: u64) {
         self.count -= 1;
         self.sum = self.sum.wrapping_sub(hash_of(key, value));
@@ -102,8 +103,8 @@
     mixed(mixed(key).wrapping_add(value))
 }
 
-/// A hash of a number: the finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014), by which every bit of the result depends
-/// on every bit of the value. The same in every process and release.
+/// A hash of a 64-bit number: the finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014), in which
+/// every bit of the result depends on every bit of the value. It is the same in every process and release.
 pub fn mixed(value: u64) -> u64 {
     let mut bits = value.wrapping_add(0x9E37_79B9_7F4A_7C15);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/range-digest/src/walk.rs
+++ b/crates/range-digest/src/walk.rs
@@ -1,11 +1,12 @@
-//! The walk down the ranges to where two sets differ.
+//! The walk from the range of all keys down to the items in which two sets differ.
 
 use crate::range::{FAN_OUT, KeyRange, RangeDigest};
 use crate::set::{DigestedSet, RangeContent};
 use quick_error::quick_error;
 use std::collections::BTreeSet;
 
-/// How many ranges may wait to be requested. Guards against a remote side that claims to differ everywhere.
+/// The maximum number of ranges that wait to be requested. Limits the memory that a remote side can cause by
+/// differing everywhere.
 const MAX_PENDING: usize = 4096;
 
 /// An item in which the two sets differ.
@@ -13,33 +14,35 @@
 pub struct Difference {
     /// Its key.
     pub key: u64,
-    /// The value in the own set; `None` if the key is absent.
+    /// The value in the local set; `None` if the key is absent.
     pub own: Option<u64>,
-    /// The value in the other set; `None` if the key is absent.
+    /// The value in the remote set; `None` if the key is absent.
     pub other: Option<u64>,
 }
 
 quick_error! {
-    /// Why a response of the other side is rejected.
+    /// The reason why a response of the remote side was rejected.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum WalkError {
-        /// This range was not requested.
-        Unsolicited(range: KeyRange) { display("an answer for keys from {:016x}, which were not asked for", range.first()) }
-        /// It does not have sixteen parts.
+        /// The range was not requested.
+        Unsolicited(range: KeyRange) {
+            display("an answer for keys from {:016x}, which were not asked for", range.first())
+        }
+        /// The response does not have the digests of sixteen parts.
         WrongPartCount(count: usize) { display("{count} parts of a range, there are {FAN_OUT}") }
-        /// A range of one key can't be divided.
+        /// The response has parts, but the range is a single key and has none.
         Indivisible(key: u64) { display("parts of the single key {key:016x}") }
-        /// A key lies outside of the range.
+        /// A key is outside the requested range.
         OutsideRange(key: u64) { display("key {key:016x} is not in the range that was asked for") }
-        /// Keys are not in ascending order.
+        /// The keys are not in strictly ascending order.
         Unordered(key: u64) { display("key {key:016x} does not rise above the one before it") }
-        /// More ranges differ than a walk tracks.
+        /// More ranges differ than the walk can track.
         TooManyRanges { display("more than {MAX_PENDING} ranges differ") }
     }
 }
 
-/// Compares an own set with another one, range by range. The own set may change meanwhile: each response is compared with
-/// the set as it is when the response arrives.
+/// Compares the local set with a remote one, range by range. The local set may change in the meantime: each
+/// response is compared with the set as it is at that time.
 #[derive(Clone, Debug, Default)]
 pub struct Walk {
     pending: BTreeSet<KeyRange>,
@@ -48,7 +51,8 @@
 }
 
 impl Walk {
-    /// Begins with the digest of the complete other set. Where it equals the own one, the walk is finished immediately.
+    /// Begins a walk with the digest of the whole remote set. If the local set has the same digest, the walk
+    /// is finished immediately.
     pub fn begin(own: &DigestedSet, other: RangeDigest) -> Self {
         let mut walk = Walk::default();
         if own.digest(KeyRange::ALL) != other {
@@ -57,25 +61,25 @@
         walk
     }
 
-    /// The next range whose content is to be requested.
+    /// The next range to request the content of; `None` if no request is due at present.
     pub fn next_request(&mut self) -> Option<KeyRange> {
         let range = self.pending.pop_first()?;
         self.requested.insert(range);
         Some(range)
     }
 
-    /// Whether all differences have been found.
+    /// Whether no request is due and no response is outstanding: all differences have been found.
     pub fn is_finished(&self) -> bool {
         self.pending.is_empty() && self.requested.is_empty()
     }
 
-    /// How many responses were applied.
+    /// The number of responses to requested ranges so far, including rejected ones.
     pub fn responses(&self) -> u32 {
         self.responses
     }
 
-    /// Applies the content of a range in the other set. Returns the items found to differ. After an error the response is counted
-    /// and the range no longer counts as requested; nothing else has changed.
+    /// Applies the content of a range in the remote set. Returns the items that differ. After an error the
+    /// response is counted and the range no longer counts as requested; nothing else has changed.
     pub fn apply_response(
         &mut self,
         own: &DigestedSet,
@@ -115,7 +119,7 @@
     }
 }
 
-/// The differences within a range, given the items of the other set.
+/// The differences within a range, given the items of the remote set in it.
 fn differences(
     own: &DigestedSet,
     range: KeyRange,
