--- a/crates/record-log/tests/golden.rs
+++ b/crates/record-log/tests/golden.rs
@@ -1,18 +1,19 @@
-//! The files of a log, byte for byte as they were when they were kept.
+//! The files of a log are compared byte for byte with golden files.
 //!
-//! A golden file is written on purpose only, by `GOLDEN=write cargo test -p record-log --test golden`; without that a file that is
-//! missing or differs fails with the place of the first difference. Each folder in `tests/golden` is that of a log:
+//! Golden files are written only by `GOLDEN=write cargo test -p record-log --test golden`. Otherwise a
+//! missing or different file fails the test, which prints the first difference. Each folder in `tests/golden`
+//! is the folder of a log:
 //!
-//! - `appended`: batches of one, several and no records, of empty ones and of one with all bytes.
-//! - `rewritten`: the same, rewritten and appended to.
-//! - `rewritten-often`: one of a two-digit epoch.
-//! - `torn`: as `appended`, the last batch cut off in its middle.
-//! - `interrupted`: as `rewritten`, beside the file that an interrupted rewrite has left.
-//! - `superseded`: as `rewritten`, beside the file that it has replaced and that was not removed.
-//! - `damaged`: as `appended`, with one byte changed that was acknowledged.
-//! - `empty`: nothing but an empty file, as a loss of power at the first write leaves it.
+//! - `appended`: batches of one, several and no records, of empty records, and of one with all byte values.
+//! - `rewritten`: the same log after a rewrite and an append.
+//! - `rewritten-often`: a log whose epoch has two digits.
+//! - `torn`: as `appended`, with an incomplete last batch.
+//! - `interrupted`: as `rewritten`, with a file that an interrupted rewrite has left.
+//! - `superseded`: as `rewritten`, with the old file that was not removed.
+//! - `damaged`: as `appended`, with one changed byte in an acknowledged batch.
+//! - `empty`: only an empty file, as a power loss during the first write leaves it.
 //!
-//! `errors.txt` holds what is said of each failure.
+//! `errors.txt` has the message of each error.
 
 use record_log::{DiskFolder, Log, LogError, open};
 use std::collections::BTreeMap;
@@ -21,7 +22,7 @@
 
 type Records = Vec<Vec<u8>>;
 
-/// What is in a folder, by name.
+/// The contents of the files of a folder, by name.
 type Files = BTreeMap<String, Vec<u8>>;
 
 const FIRST_FILE: &str = "records-0000000000000001";
@@ -52,34 +53,40 @@
     }
 }
 
-/// Holds that a golden folder has these files and no other ones.
-fn approve(name: &str, now: &Files) {
+/// Asserts that a golden folder has exactly these files; in writing mode, writes it.
+fn assert_matches_golden(name: &str, actual: &Files) {
     let folder = golden(name);
     if is_writing() {
         let _ = std::fs::remove_dir_all(&folder);
-        return write(&folder, now);
+        return write(&folder, actual);
     }
-    let kept = files(&folder);
-    assert!(kept.keys().eq(now.keys()), "{name}: kept {:?}, now {:?}", kept.keys(), now.keys());
-    for (file, bytes) in &kept {
-        hold_same(&format!("{name}/{file}"), bytes, &now[file]);
+    let expected = files(&folder);
+    assert!(
+        expected.keys().eq(actual.keys()),
+        "{name}: expected {:?}, actual {:?}",
+        expected.keys(),
+        actual.keys()
+    );
+    for (file, bytes) in &expected {
+        assert_same_bytes(&format!("{name}/{file}"), bytes, &actual[file]);
     }
 }
 
-fn hold_same(name: &str, kept: &[u8], now: &[u8]) {
-    if kept != now {
-        let same = kept.iter().zip(now).take_while(|(kept, now)| kept == now).count();
+fn assert_same_bytes(name: &str, expected: &[u8], actual: &[u8]) {
+    if expected != actual {
+        let same = expected.iter().zip(actual).take_while(|(expected, actual)| expected == actual).count();
         let part = |bytes: &[u8]| bytes[same..bytes.len().min(same + 16)].to_vec();
-        let (old, new) = (part(kept), part(now));
+        let (old, new) = (part(expected), part(actual));
         panic!(
-            "{name}: {} bytes kept, {} now; they differ at byte {same}: {old:?}, {new:?}",
-            kept.len(),
-            now.len()
+            "{name}: expected {} bytes, actual {}; first difference at byte {same}: {old:?}, {new:?}",
+            expected.len(),
+            actual.len()
         );
     }
 }
 
-/// A copy of a golden folder, as tests must not change it. While golden files are written, one of what is written.
+/// A copy of a golden folder, so that tests do not change the original. In writing mode, a copy of the folder
+/// to be written.
 fn copy(name: &str, fresh: fn() -> Files) -> TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     write(folder.path(), &if is_writing() { fresh() } else { files(&golden(name)) });
@@ -99,7 +106,7 @@
     ]
 }
 
-/// What `rewritten` holds: what was rewritten, then what was appended.
+/// The batches of `rewritten`: the rewritten one, then the appended one.
 fn rewritten_batches() -> Vec<Records> {
     vec![vec![b"all".to_vec(), b"anew".to_vec()], vec![b"and more".to_vec()]]
 }
@@ -108,7 +115,7 @@
     records.iter().map(Vec::as_slice).collect()
 }
 
-/// What a log writes in an empty folder.
+/// The files that a log writes in an empty folder.
 fn written(steps: impl Fn(&mut Log<DiskFolder>)) -> Files {
     let folder = tempfile::tempdir().expect("a folder");
     let (mut log, found) = open(folder.path()).expect("opens");
@@ -171,10 +178,10 @@
     Files::from([(FIRST_FILE.into(), Vec::new())])
 }
 
-/// The folders that can be opened: what writes them, and how many batches of which list are found.
-type Kept = (&'static str, fn() -> Files, Vec<Records>);
+/// The folders that can be opened: the name, the function that writes it, and the expected batches.
+type GoldenLog = (&'static str, fn() -> Files, Vec<Records>);
 
-fn kept() -> Vec<Kept> {
+fn golden_logs() -> Vec<GoldenLog> {
     let mut without_last = batches();
     without_last.pop();
     vec![
@@ -190,24 +197,24 @@
 
 #[test]
 fn logs_are_written_byte_for_byte_as_before() {
-    for (name, fresh, _) in kept() {
-        approve(name, &fresh());
+    for (name, fresh, _) in golden_logs() {
+        assert_matches_golden(name, &fresh());
     }
-    approve("damaged", &damaged());
+    assert_matches_golden("damaged", &damaged());
     assert_eq!(rewritten().into_keys().collect::<Vec<_>>(), [SECOND_FILE]);
     assert_eq!(rewritten_often().into_keys().collect::<Vec<_>>(), ["records-0000000000000012"]);
 }
 
 #[test]
 fn golden_logs_are_read() {
-    for (name, fresh, batches) in kept() {
+    for (name, fresh, batches) in golden_logs() {
         let folder = copy(name, fresh);
         let (_, found) = open(folder.path()).expect("opens");
         assert_eq!(found, batches.concat(), "{name}");
     }
 }
 
-/// What is read of a kept log and written anew, batch by batch, has the bytes that were kept.
+/// A log that is read and written again, batch by batch, has the same bytes.
 #[test]
 fn golden_logs_are_rewritten_with_the_same_bytes() {
     let folder = copy("appended", appended);
@@ -215,14 +222,14 @@
     let sizes = batches().into_iter().map(|batch| batch.len());
     let read: Vec<Records> = sizes.map(|size| found.drain(..size).collect()).collect();
     assert!(found.is_empty());
-    let now = written(|log| read.iter().for_each(|batch| log.append(&slices(batch)).expect("appends")));
-    hold_same("appended", &files(folder.path())[FIRST_FILE], &now[FIRST_FILE]);
+    let actual = written(|log| read.iter().for_each(|batch| log.append(&slices(batch)).expect("appends")));
+    assert_same_bytes("appended", &files(folder.path())[FIRST_FILE], &actual[FIRST_FILE]);
 }
 
-/// What a kept log takes further is as if it had never been closed.
+/// Records can be appended to a golden log as if it had never been closed.
 #[test]
 fn golden_logs_can_be_appended_to() {
-    for (name, fresh, mut batches) in kept() {
+    for (name, fresh, mut batches) in golden_logs() {
         let folder = copy(name, fresh);
         let (mut log, _) = open(folder.path()).expect("opens");
         let more = vec![b"more".to_vec(), b"and still more".to_vec()];
@@ -239,14 +246,18 @@
     let folder = copy("torn", torn);
     let (mut log, _) = open(folder.path()).expect("opens");
     log.append(&slices(&batches()[batches().len() - 1])).expect("appends");
-    hold_same("torn, and its last batch again", &appended()[FIRST_FILE], &files(folder.path())[FIRST_FILE]);
+    assert_same_bytes(
+        "torn, with its last batch appended again",
+        &appended()[FIRST_FILE],
+        &files(folder.path())[FIRST_FILE],
+    );
 }
 
 #[test]
 fn error_texts_are_unchanged() {
     let cause = || std::io::Error::other("the cause");
     let folder = copy("damaged", damaged);
-    let error = open(folder.path()).map(|(_, found)| found).expect_err("a log that is damaged");
+    let error = open(folder.path()).map(|(_, found)| found).expect_err("the log is damaged");
     let name = |error: &LogError| match error {
         LogError::Disk(..) => "disk",
         LogError::Damaged(..) => "damaged",
@@ -259,5 +270,5 @@
     if is_writing() {
         return std::fs::write(path, text).expect("written");
     }
-    hold_same("errors.txt", &std::fs::read(path).expect("errors.txt"), text.as_bytes());
+    assert_same_bytes("errors.txt", &std::fs::read(path).expect("errors.txt"), text.as_bytes());
 }
--- a/crates/record-log/tests/log.rs
+++ b/crates/record-log/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log on the machine's disk and on a simulated one.
+//! The log on a real disk and on a simulated one.
 
 mod simulated;
 
@@ -39,12 +39,12 @@
     assert_eq!(std::fs::read_dir(&path).expect("a folder").count(), 1);
 }
 
-/// A log under test, with what it has to hold.
+/// A log under test, with the records that it must contain.
 struct Trial {
     disk: Disk,
     log: Log<Disk>,
     acknowledged: Records,
-    /// What else it may hold after a crash, as calls have failed since.
+    /// Other contents that it may have after a crash, because of calls that failed since then.
     possible: Vec<Records>,
     random: Pcg64Mcg,
 }
@@ -59,35 +59,35 @@
 
     fn step(&mut self) {
         if self.random.random_range(0..5) == 0 {
-            let steps = self.random.random_range(0..4);
-            self.disk.0.borrow_mut().steps_left = Some(steps);
+            let operations = self.random.random_range(0..4);
+            self.disk.0.borrow_mut().operations_left = Some(operations);
         }
         match self.random.random_range(0..10) {
             0..6 => self.append(),
             6..8 => self.rewrite(),
-            8 => self.start_again(),
+            8 => self.reopen(),
             _ => {
                 self.disk.lose_power(&mut self.random);
-                self.start_again();
+                self.reopen();
             }
         }
-        self.disk.0.borrow_mut().steps_left = None;
+        self.disk.0.borrow_mut().operations_left = None;
     }
 
     fn append(&mut self) {
         let records = some_records(&mut self.random);
         let after = [self.acknowledged.clone(), records.clone()].concat();
         let result = self.log.append(&slices(&records));
-        self.done(result, after);
+        self.record_result(result, after);
     }
 
     fn rewrite(&mut self) {
         let records = some_records(&mut self.random);
         let result = self.log.rewrite(&slices(&records));
-        self.done(result, records);
+        self.record_result(result, records);
     }
 
-    fn done(&mut self, result: Result<(), LogError>, after: Records) {
+    fn record_result(&mut self, result: Result<(), LogError>, after: Records) {
         if result.is_ok() {
             self.acknowledged = after;
             self.possible.clear();
@@ -96,13 +96,13 @@
         }
     }
 
-    fn start_again(&mut self) {
-        self.disk.0.borrow_mut().steps_left = None;
+    fn reopen(&mut self) {
+        self.disk.0.borrow_mut().operations_left = None;
         let (log, found) = Log::open(self.disk.clone()).expect("opens");
         self.log = log;
         assert!(
             found == self.acknowledged || self.possible.contains(&found),
-            "what was found was never written"
+            "the recovered records were never written"
         );
         self.acknowledged = found;
         self.possible.clear();
@@ -110,11 +110,11 @@
 }
 
 quickcheck! {
-    fn what_was_acknowledged_survives_crashes_refusals_and_losses_of_power(seed: u64) -> bool {
+    fn acknowledged_records_survive_crashes_failed_operations_and_power_losses(seed: u64) -> bool {
         println!("seed {seed}");
         let mut trial = Trial::new(seed);
         (0..60).for_each(|_| trial.step());
-        trial.start_again();
+        trial.reopen();
         true
     }
 
@@ -156,10 +156,10 @@
     let disk = Disk::default();
     let (mut log, _) = Log::open(disk.clone()).expect("opens");
     log.append(&[b"one"]).expect("appends");
-    disk.0.borrow_mut().steps_left = Some(0);
+    disk.0.borrow_mut().operations_left = Some(0);
     assert!(log.append(&[b"two"]).is_err());
     assert!(log.rewrite(&[b"two"]).is_err());
-    disk.0.borrow_mut().steps_left = None;
+    disk.0.borrow_mut().operations_left = None;
     log.rewrite(&[b"three"]).expect("rewrites");
     log.append(&[b"four"]).expect("appends");
     let (_, found) = Log::open(disk).expect("opens");
--- a/crates/record-log/tests/simulated/mod.rs
+++ b/crates/record-log/tests/simulated/mod.rs
@@ -1,4 +1,4 @@
-//! A disk that, at a loss of power, tears, drops and reorders what was not synced: bytes and names.
+//! A simulated disk that on power loss tears, drops and reorders unsynced changes of contents and file names.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -8,7 +8,7 @@
 use std::io;
 use std::rc::Rc;
 
-/// What a write is torn into.
+/// The unit in which writes are torn, in bytes.
 const SECTOR: usize = 64;
 
 #[derive(Clone)]
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Applies it as a loss of power leaves it: whole, not at all, or torn.
+    /// Applies the change as a power loss leaves it: completely, not at all, or torn.
     fn apply_torn(&self, bytes: &mut Vec<u8>, random: &mut Pcg64Mcg) {
         match (random.random_range(0..3), self) {
             (0, _) => {}
@@ -49,9 +49,9 @@
 struct Stored {
     synced: Vec<u8>,
     unsynced: Vec<Change>,
-    /// Whether its name endures.
-    named: bool,
-    /// Whether it is removed, and that not synced yet.
+    /// Whether its creation is durable.
+    name_durable: bool,
+    /// Whether it is removed and the removal is not durable yet.
     removed: bool,
 }
 
@@ -66,13 +66,13 @@
 #[derive(Default)]
 pub struct State {
     files: BTreeMap<String, Stored>,
-    /// How many steps succeed before they fail; none fails without.
-    pub steps_left: Option<u32>,
+    /// The number of operations that succeed before all further ones fail; `None` if none fails.
+    pub operations_left: Option<u32>,
 }
 
 impl State {
-    fn step(&mut self) -> io::Result<()> {
-        match &mut self.steps_left {
+    fn count_operation(&mut self) -> io::Result<()> {
+        match &mut self.operations_left {
             None => Ok(()),
             Some(0) => Err(io::Error::from(io::ErrorKind::StorageFull)),
             Some(left) => {
@@ -89,21 +89,24 @@
 impl Disk {
     pub fn lose_power(&self, random: &mut Pcg64Mcg) {
         let mut state = self.0.borrow_mut();
-        let everything_gone = random.random_range(0..4) == 0;
+        let loses_all_unsynced = random.random_range(0..4) == 0;
         let files = std::mem::take(&mut state.files);
         for (name, file) in files {
             let mut bytes = file.synced;
-            let unsynced = if everything_gone { Vec::new() } else { file.unsynced };
+            let unsynced = if loses_all_unsynced { Vec::new() } else { file.unsynced };
             unsynced.iter().for_each(|change| change.apply_torn(&mut bytes, random));
-            let kept =
-                if file.removed { file.named && random.random() } else { file.named || random.random() };
+            let kept = if file.removed {
+                file.name_durable && random.random()
+            } else {
+                file.name_durable || random.random()
+            };
             if kept {
-                state.files.insert(name, Stored { synced: bytes, named: true, ..Stored::default() });
+                state.files.insert(name, Stored { synced: bytes, name_durable: true, ..Stored::default() });
             }
         }
     }
 
-    /// The bytes of the only file.
+    /// The name and content of the only file.
     pub fn only_file(&self) -> (String, Vec<u8>) {
         let state = self.0.borrow();
         let mut present = state.files.iter().filter(|(_, file)| !file.removed);
@@ -113,7 +116,7 @@
     }
 
     pub fn put(&self, name: &str, bytes: Vec<u8>) {
-        let file = Stored { synced: bytes, named: true, ..Stored::default() };
+        let file = Stored { synced: bytes, name_durable: true, ..Stored::default() };
         self.0.borrow_mut().files.insert(name.to_string(), file);
     }
 }
@@ -128,7 +131,7 @@
 
     fn create(&self, name: &str) -> io::Result<OpenFile> {
         let mut state = self.0.borrow_mut();
-        state.step()?;
+        state.count_operation()?;
         let file = state.files.entry(name.to_string()).or_default();
         file.removed = false;
         file.unsynced.push(Change::SetLength(0));
@@ -141,7 +144,7 @@
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.0.borrow_mut();
-        state.step()?;
+        state.count_operation()?;
         let file = state.files.get_mut(name).filter(|file| !file.removed);
         file.ok_or(io::ErrorKind::NotFound)?.removed = true;
         Ok(())
@@ -149,9 +152,9 @@
 
     fn sync(&self) -> io::Result<()> {
         let mut state = self.0.borrow_mut();
-        state.step()?;
+        state.count_operation()?;
         state.files.retain(|_, file| !file.removed);
-        state.files.values_mut().for_each(|file| file.named = true);
+        state.files.values_mut().for_each(|file| file.name_durable = true);
         Ok(())
     }
 }
@@ -178,25 +181,25 @@
 
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let offset = usize::try_from(offset).expect("small files");
-        let failed = self.disk.0.borrow_mut().step().err();
+        let failed = self.disk.0.borrow_mut().count_operation().err();
         let written = if failed.is_some() { bytes.len() / 2 } else { bytes.len() };
         self.change(Change::Write(offset, bytes[..written].to_vec()));
         failed.map_or(Ok(()), Err)
     }
 
     fn set_len(&mut self, length: u64) -> io::Result<()> {
-        self.disk.0.borrow_mut().step()?;
+        self.disk.0.borrow_mut().count_operation()?;
         self.change(Change::SetLength(usize::try_from(length).expect("small files")));
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
         let mut state = self.disk.0.borrow_mut();
-        state.step()?;
+        state.count_operation()?;
         if let Some(file) = state.files.get_mut(&self.name) {
             file.synced = file.bytes();
             file.unsynced.clear();
-            file.named = true;
+            file.name_durable = true;
         }
         Ok(())
     }
