--- a/crates/range-digest/tests/walks.rs
+++ b/crates/range-digest/tests/walks.rs
@@ -1,10 +1,10 @@
-//! Two sets are compared until all differences are found.
+//! Comparison of two sets until all differences are found.
 
 use quickcheck::{TestResult, quickcheck};
 use range_digest::{Difference, DigestedSet, KeyRange, RangeContent, RangeDigest, Walk, WalkError};
 use std::collections::BTreeMap;
 
-/// Spreads small numbers over all keys.
+/// Spreads small numbers over the range of all keys.
 fn key(number: u64) -> u64 {
     number.wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
@@ -13,7 +13,7 @@
     (0..count).map(|number| (key(number), number)).collect()
 }
 
-/// Walks to the end. Returns the differences and how many responses it took.
+/// Completes a walk. Returns the differences and the number of responses.
 fn walk(own: &DigestedSet, other: &DigestedSet) -> (Vec<Difference>, u32) {
     let mut walk = Walk::begin(own, other.digest(KeyRange::ALL));
     let mut found = Vec::new();
@@ -39,32 +39,32 @@
     other.insert(key(200_000), 5);
     other.insert(key(99), 1);
     let (found, responses) = walk(&own, &other);
-    let mut wanted = vec![
+    let mut expected = vec![
         Difference { key: key(77), own: Some(77), other: None },
         Difference { key: key(200_000), own: None, other: Some(5) },
         Difference { key: key(99), own: Some(99), other: Some(1) },
     ];
-    wanted.sort_unstable();
-    assert_eq!(found, wanted);
+    expected.sort_unstable();
+    assert_eq!(found, expected);
     assert!(responses <= 3 * 5, "{responses} responses for three differences in 100,000 items");
 }
 
 quickcheck! {
-    /// Whatever two sets are, the walk finds exactly what differs.
+    /// For any two sets, the walk finds exactly the differences.
     fn a_walk_finds_exactly_what_differs(own: BTreeMap<u64, u64>, other: BTreeMap<u64, u64>, near: bool) -> bool {
-        // Keys near each other differ only in ranges far down.
+        // Keys that are close to each other differ only in small ranges.
         let place = |number: u64| if near { number >> 50 } else { number };
         let own: BTreeMap<u64, u64> = own.into_iter().map(|(key, value)| (place(key), value)).collect();
         let other: BTreeMap<u64, u64> = other.into_iter().map(|(key, value)| (place(key), value)).collect();
         let keys: std::collections::BTreeSet<u64> = own.keys().chain(other.keys()).copied().collect();
         let differs = |key: &u64| own.get(key) != other.get(key);
-        let wanted: Vec<Difference> = keys.into_iter().filter(differs)
+        let expected: Vec<Difference> = keys.into_iter().filter(differs)
             .map(|key| Difference { key, own: own.get(&key).copied(), other: other.get(&key).copied() })
             .collect();
-        walk(&own.into_iter().collect(), &other.into_iter().collect()).0 == wanted
+        walk(&own.into_iter().collect(), &other.into_iter().collect()).0 == expected
     }
 
-    /// Precomputed digests equal those of all items, after any changes.
+    /// Precomputed digests equal those computed from the items, after any changes.
     fn digests_follow_changes(changes: Vec<(u16, Option<u8>)>, size: u16) -> TestResult {
         let mut set: DigestedSet = set(u64::from(size) % 2000);
         for (number, value) in changes {
@@ -73,10 +73,10 @@
                 None => set.remove(key(u64::from(number))),
             };
         }
-        let anew: DigestedSet = set.iter().collect();
+        let rebuilt: DigestedSet = set.iter().collect();
         let mut counted = RangeDigest::default();
         set.iter().for_each(|(key, value)| counted.add(key, value));
-        let parts = KeyRange::ALL.parts().all(|part| set.digest(part) == anew.digest(part));
+        let parts = KeyRange::ALL.parts().all(|part| set.digest(part) == rebuilt.digest(part));
         TestResult::from_bool(parts && set.digest(KeyRange::ALL) == counted)
     }
 }
