--- a/crates/coordinator/tests/one_world/fleet.rs
+++ b/crates/coordinator/tests/one_world/fleet.rs
@@ -189,7 +189,7 @@
 
     /// The rule that was broken, if any was.
     pub fn broken(&self) -> Option<String> {
-        self.broken.clone().or_else(|| self.schedule.world.checker.broken.clone())
+        self.broken.clone().or_else(|| self.schedule.world.checker.violation.clone())
     }
 
     pub fn configuration_of(&self, frontend: usize) -> u64 {
@@ -227,7 +227,7 @@
         self.join_frontends();
         self.platform.heal();
         self.keep_blocks();
-        while !self.schedule.is_calm() && self.broken().is_none() {
+        while !self.schedule.are_failures_over() && self.broken().is_none() {
             self.schedule.step(false);
             self.step();
         }
@@ -316,8 +316,10 @@
 
     fn begin_and_end_processes(&mut self) {
         for machine in 0..self.schedule.world.machines.len() {
-            let (life, address) =
-                (self.schedule.world.machines[machine].life, self.schedule.world.machines[machine].address);
+            let (life, address) = (
+                self.schedule.world.machines[machine].incarnation,
+                self.schedule.world.machines[machine].address,
+            );
             let now = self.now();
             if machine == self.coordinators.len() {
                 self.coordinators.push(Coordinator::start(life, address, now));
@@ -325,7 +327,7 @@
                 self.coordinators[machine] = Coordinator::start(life, address, now);
             }
         }
-        let ended = |link: &Link| self.schedule.world.machines[link.machine].life != link.life;
+        let ended = |link: &Link| self.schedule.world.machines[link.machine].incarnation != link.life;
         let ended: Vec<u64> = self.links.iter().filter(|(_, link)| ended(link)).map(|(id, _)| *id).collect();
         for id in ended {
             self.drop_link(id);
@@ -636,9 +638,9 @@
     fn confirm_read_index(&mut self, machine: usize) {
         let now = self.now();
         if let Some(PendingReadIndex { call, ticket }) = self.coordinators[machine].read_index {
-            let answer = self.schedule.world.proofs.get(&call).cloned().flatten();
+            let answer = self.schedule.world.read_index_outcomes.get(&call).cloned().flatten();
             let Some(answer) = answer else { return };
-            self.schedule.world.proofs.remove(&call);
+            self.schedule.world.read_index_outcomes.remove(&call);
             let coordinator = &mut self.coordinators[machine];
             coordinator.read_index = None;
             match answer {
@@ -652,7 +654,7 @@
             return;
         }
         if let Some(ticket) = self.coordinators[machine].requests.begin_read_index() {
-            let call = self.schedule.world.prove(machine);
+            let call = self.schedule.world.request_read_index(machine);
             self.coordinators[machine].read_index = Some(PendingReadIndex { call, ticket });
         }
     }
--- a/crates/coordinator/tests/one_world/main.rs
+++ b/crates/coordinator/tests/one_world/main.rs
@@ -9,7 +9,7 @@
 
 use fleet::{Fleet, ListCounts, PlantedFault, PlatformTrouble};
 use simulation::operators::change;
-use simulation::schedule::{Schedule, draw_overlaps, draw_storm, draw_world};
+use simulation::schedule::{Schedule, draw_frequent_failures, draw_overlaps, draw_world};
 use simulation::{World, ms, seeds};
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 fn played(seed: u64, fault: Option<PlantedFault>) -> Fleet {
     let schedule = match seed % 3 {
         0 => Schedule::new(draw_world(seed)),
-        1 => draw_storm(seed),
+        1 => draw_frequent_failures(seed),
         _ => draw_overlaps(seed),
     };
     let mut fleet = Fleet::new(schedule, FRONTENDS, fault);
@@ -96,7 +96,7 @@
 /// Three machines whose chain has taken one change; agents have it.
 fn calm(fault: Option<PlantedFault>) -> Fleet {
     let mut world = World::new(5, 3, 1);
-    world.run_until_holds(ms(4_000), World::whole).expect("three seeds form a chain");
+    world.run_until_holds(ms(4_000), World::all_in_chain).expect("three seeds form a chain");
     let head = world.head().expect("a head");
     world.write(head, change(0, 1, 1, 100));
     let mut fleet = Fleet::new(Schedule::new(world), FRONTENDS, fault);
--- a/crates/replication/tests/cut_off.rs
+++ b/crates/replication/tests/cut_off.rs
@@ -1,114 +1,124 @@
-//! A member that is cut off from the others for 20 s says nothing clear: it hands out no configuration, refuses none and
-//! confirms none, whatever it knew before.
+//! A member that is partitioned from the others for 20 s gives no definite response: it returns no
+//! configuration, and neither rejects nor confirms a change, whatever it knew before.
 
 mod simulation;
 
 use replication::{Fault, RequestId};
-use simulation::operators::{Order, change};
+use simulation::operators::{Operation, change};
 use simulation::{World, ms};
 use std::time::Duration;
 
-const CUT: Duration = Duration::from_secs(20);
+const PARTITION_TIME: Duration = Duration::from_secs(20);
 
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum Partition {
     Both,
-    /// What it says arrives nowhere.
+    /// No message from it arrives.
     Out,
-    /// It hears nothing.
+    /// No message arrives at it.
     In,
-    /// Cut for a moment, joined for a moment, over and over.
+    /// Partitioned and connected in quick succession.
     Flapping,
 }
 
-const WAYS: [Way; 4] = [Way::Both, Way::Out, Way::In, Way::Flapping];
+const PARTITIONS: [Partition; 4] = [Partition::Both, Partition::Out, Partition::In, Partition::Flapping];
 
-/// Three machines with two changes taken, from head to tail. Nobody sends again by itself.
+/// Three machines with two committed changes, ordered from head to tail. Operators do not retry.
 fn world(fault: Option<Fault>) -> (World, Vec<usize>) {
     let mut world = World::new(9, 3, 1);
     world.fault = fault;
-    world.operators.patience = ms(600_000);
-    world.run_until_holds(ms(4_000), World::whole).expect("three seeds form a chain");
+    world.operators.retry_after = ms(600_000);
+    world.run_until_holds(ms(4_000), World::all_in_chain).expect("three seeds form a chain");
     let ids = world.view().expect("a view").chain;
     let chain: Vec<usize> = ids.into_iter().filter_map(|id| world.machine_of(id)).collect();
-    take(&mut world, chain[0], 0, 1);
-    take(&mut world, chain[0], 1, 2);
+    commit_change(&mut world, chain[0], 0, 1);
+    commit_change(&mut world, chain[0], 1, 2);
     (world, chain)
 }
 
-fn take(world: &mut World, machine: usize, base: u64, generation: u64) {
-    let before = world.checker.taken;
+fn commit_change(world: &mut World, machine: usize, base: u64, generation: u64) {
+    let before = world.checker.acknowledged;
     world.write(machine, change(base, generation, generation, 100));
-    let taken = world.run_until_holds(ms(4_000), |world| world.checker.taken > before);
-    assert!(taken.is_some(), "generation {generation} was not taken: {:?}", world.checker.broken);
+    let acknowledged = world.run_until_holds(ms(4_000), |world| world.checker.acknowledged > before);
+    assert!(
+        acknowledged.is_some(),
+        "generation {generation} was not acknowledged: {:?}",
+        world.checker.violation
+    );
 }
 
-fn cut_off(world: &mut World, machine: usize, way: Way) {
+fn cut_off(world: &mut World, machine: usize, partition: Partition) {
     for other in (0..3).filter(|other| *other != machine) {
-        if !matches!(way, Way::In) {
+        if !matches!(partition, Partition::In) {
             world.cut(machine, other);
         }
-        if !matches!(way, Way::Out) {
+        if !matches!(partition, Partition::Out) {
             world.cut(other, machine);
         }
     }
 }
 
-/// One call of each kind: a change that was taken, one on a base that is gone, one that is not higher, the next one, a read, a
-/// question for the newest sequence.
+/// One request of each kind: a committed change, a change with an outdated base, one whose generation is not
+/// higher, a valid change, a read, a read index.
 fn one_of_each(world: &mut World, machine: usize) -> Vec<RequestId> {
     let changes = [change(1, 2, 2, 100), change(1, 3, 71, 10), change(2, 2, 72, 10), change(2, 9, 73, 10)];
-    let mut calls: Vec<RequestId> = changes.into_iter().map(|change| world.write(machine, change)).collect();
-    calls.push(world.order(machine, Order::Read));
-    calls.push(world.order(machine, Order::Prove));
-    calls
+    let mut requests: Vec<RequestId> =
+        changes.into_iter().map(|change| world.write(machine, change)).collect();
+    requests.push(world.submit(machine, Operation::Read));
+    requests.push(world.submit(machine, Operation::ReadIndex));
+    requests
 }
 
-/// The calls to a machine that got a clear answer although it was cut off from before they came.
-fn answered_while_cut_off(place: usize, way: Way, fault: Option<Fault>) -> usize {
+/// The number of requests to a partitioned machine, sent after the partition began, that got a definite
+/// response.
+fn definite_responses_while_partitioned(
+    position: usize,
+    partition: Partition,
+    fault: Option<Fault>,
+) -> usize {
     let (mut world, chain) = world(fault);
-    let machine = chain[place];
-    cut_off(&mut world, machine, way);
-    // What had been on its way to the machine has arrived.
+    let machine = chain[position];
+    cut_off(&mut world, machine, partition);
+    // Messages that were in flight have arrived.
     world.run_for(ms(5));
-    let calls = one_of_each(&mut world, machine);
-    let end = world.now + CUT;
+    let requests = one_of_each(&mut world, machine);
+    let end = world.now + PARTITION_TIME;
     let mut generation = 2;
     while world.now < end {
-        if matches!(way, Way::Flapping) {
-            // Joined too shortly for a question and its answer.
+        if matches!(partition, Partition::Flapping) {
+            // Connected for less than the time of a round trip.
             world.cuts.clear();
             world.run_until(world.now + Duration::from_micros(800));
-            cut_off(&mut world, machine, way);
+            cut_off(&mut world, machine, partition);
         }
-        let other = chain[(place + 1) % 3];
-        let call = world.write(other, change(generation, generation + 1, 100 + generation, 10));
+        let other = chain[(position + 1) % 3];
+        let request = world.write(other, change(generation, generation + 1, 100 + generation, 10));
         world.run_for(ms(500));
-        if !world.operators.open.contains_key(&call) {
+        if !world.operators.pending.contains_key(&request) {
             generation += 1;
         }
     }
-    assert!(generation > 10, "the others went on to {generation} only");
-    assert_eq!(world.checker.broken, None);
-    let clear = calls.iter().filter(|call| !world.operators.open.contains_key(call)).count();
-    // Healed, it knows what it missed.
+    assert!(generation > 10, "the others committed changes only up to generation {generation}");
+    assert_eq!(world.checker.violation, None);
+    let definite = requests.iter().filter(|request| !world.operators.pending.contains_key(request)).count();
+    // After the partition it receives what it missed.
     world.cuts.clear();
     world.run_for(ms(3_000));
-    world.order(machine, Order::Read);
+    world.submit(machine, Operation::Read);
     world.run_for(ms(1_000));
-    assert!(world.whole());
-    assert_eq!(world.checker.broken, None);
-    clear
+    assert!(world.all_in_chain());
+    assert_eq!(world.checker.violation, None);
+    definite
 }
 
 #[test]
 fn a_partitioned_member_gives_no_definite_response() {
-    for place in 0..3 {
-        for way in WAYS {
+    for position in 0..3 {
+        for partition in PARTITIONS {
             assert_eq!(
-                answered_while_cut_off(place, way, None),
+                definite_responses_while_partitioned(position, partition, None),
                 0,
-                "place {place} in the chain, cut {way:?}"
+                "position {position} in the chain, partition {partition:?}"
             );
         }
     }
@@ -116,38 +126,44 @@
 
 #[test]
 fn a_head_that_responds_without_confirmation_is_detected() {
-    assert!(answered_while_cut_off(0, Way::Both, Some(Fault::RespondsWithoutConfirmation)) > 0);
+    assert!(
+        definite_responses_while_partitioned(0, Partition::Both, Some(Fault::RespondsWithoutConfirmation))
+            > 0
+    );
 }
 
 #[test]
 fn a_tail_that_reads_without_confirmation_is_detected() {
-    assert!(answered_while_cut_off(2, Way::Both, Some(Fault::ReadsWithoutConfirmation)) > 0);
+    assert!(
+        definite_responses_while_partitioned(2, Partition::Both, Some(Fault::ReadsWithoutConfirmation)) > 0
+    );
 }
 
-/// The question is on its way, or answered by some, as the process stands still; others go on without it meanwhile.
+/// The process stalls while its confirmation round is in flight or partly confirmed, and the others go on
+/// without it.
 #[test]
 fn a_member_that_was_stalled_gives_no_stale_response() {
-    for place in 0..3 {
+    for position in 0..3 {
         for moment in 0..30 {
             let (mut world, chain) = world(None);
-            let machine = chain[place];
+            let machine = chain[position];
             one_of_each(&mut world, machine);
             world.run_until(world.now + Duration::from_micros(150 * moment));
-            world.freeze(machine, CUT);
+            world.freeze(machine, PARTITION_TIME);
             world.run_for(ms(2_000));
-            let other = chain[(place + 1) % 3];
-            // One of the calls may have become the third change.
+            let other = chain[(position + 1) % 3];
+            // One of the requests may have been committed as the third change.
             let generation = world.checker.generation();
-            take(&mut world, other, generation, generation + 10);
-            world.run_until(world.now + CUT);
+            commit_change(&mut world, other, generation, generation + 10);
+            world.run_until(world.now + PARTITION_TIME);
             one_of_each(&mut world, machine);
             world.run_for(ms(3_500));
-            assert_eq!(world.checker.broken, None, "place {place}, moment {moment}");
+            assert_eq!(world.checker.violation, None, "position {position}, moment {moment}");
         }
     }
 }
 
-/// The driver asks at the moment of the effect, whatever was true before the process stood still.
+/// The driver calls this at the time of an effect, whatever the state was before a stall.
 #[test]
 fn a_head_that_was_stalled_is_no_longer_the_acting_head() {
     let (world, chain) = world(None);
@@ -156,13 +172,14 @@
     assert!(!head.is_acting_head_at(world.now + ms(1_500)));
 }
 
-/// The halves of a core of five, whatever is tolerated: the larger goes on, the smaller says nothing.
+/// A group of five that tolerates two failures is split: the larger side continues, the smaller one gives no
+/// definite response.
 #[test]
 fn at_most_one_side_of_a_split_group_makes_progress() {
     let mut world = World::new(3, 5, 2);
-    world.operators.patience = ms(600_000);
-    world.run_until_holds(ms(6_000), World::whole).expect("five form a chain");
-    take(&mut world, 0, 0, 1);
+    world.operators.retry_after = ms(600_000);
+    world.run_until_holds(ms(6_000), World::all_in_chain).expect("five form a chain");
+    commit_change(&mut world, 0, 0, 1);
     for one in [0, 1] {
         for other in [2, 3, 4] {
             world.cut(one, other);
@@ -173,8 +190,8 @@
     let small: Vec<RequestId> =
         [0, 1].into_iter().flat_map(|machine| one_of_each(&mut world, machine)).collect();
     world.run_for(ms(3_000));
-    take(&mut world, 3, 1, 5);
-    world.run_for(CUT);
-    assert!(small.iter().all(|call| world.operators.open.contains_key(call)));
-    assert_eq!(world.checker.broken, None);
+    commit_change(&mut world, 3, 1, 5);
+    world.run_for(PARTITION_TIME);
+    assert!(small.iter().all(|request| world.operators.pending.contains_key(request)));
+    assert_eq!(world.checker.violation, None);
 }
--- a/crates/replication/tests/disks.rs
+++ b/crates/replication/tests/disks.rs
@@ -1,25 +1,26 @@
-//! Disks that are slow, from the start or from a moment on, and disks that are full: some of them or all.
+//! Disks that are slow, from the start or later, and disks that are full: some of them or all.
 
 mod simulation;
 
 use replication::Fault;
-use simulation::operators::{Order, change};
+use simulation::operators::{Operation, change};
 use simulation::{World, ms, seeds};
 use std::time::Duration;
 
-/// The longest time of a sync in ms, from an ordinary disk to one that is badly overloaded; each is drawn from half of it on.
+/// The longest time of a sync in ms, from that of an ordinary disk to that of a badly overloaded one. Each
+/// sync takes between half of it and all of it.
 const SYNCS_MS: [u64; 7] = [5, 50, 200, 300, 400, 700, 1_000];
 
-/// Within this a change has to be acknowledged while no machine is lost, as operators are owed it.
+/// Operators are promised an acknowledgement within this time while no machine is lost.
 const ACKNOWLEDGED_WITHIN: Duration = Duration::from_millis(6_000);
 
-/// Within this a change has to be acknowledged while the chain is shortened, as its disks have just shown to be slow.
+/// The same while the chain is being shortened because its disks have just become slow.
 const ADJUSTED_WITHIN: Duration = Duration::from_millis(10_000);
 
-/// How many changes may pass until the chain is shortened.
+/// The number of changes until the chain must have been shortened.
 const ADJUSTING_CHANGES: u64 = 3;
 
-/// A group and which of its disks are slow.
+/// The size of a group, and how many of its disks are slow.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     machines: usize,
@@ -45,42 +46,43 @@
         world
     }
 
-    /// A world whose machines form one chain.
-    fn whole_world(&self, seed: u64) -> World {
+    /// A world in which all machines are in one chain.
+    fn formed_world(&self, seed: u64) -> World {
         let mut world = self.world(seed);
-        world.run_until_holds(ms(10_000), World::whole).expect("they form a chain");
+        world.run_until_holds(ms(10_000), World::all_in_chain).expect("they form a chain");
         world
     }
 
-    /// Slows its disks down; the first one is that of the head of the first chain.
-    fn slow_down(&self, world: &mut World) {
+    /// Slows down the disks; the first one is that of the head of the first chain.
+    fn slow_disks(&self, world: &mut World) {
         for machine in world.machines.iter_mut().take(self.slow) {
             // The simulated disk draws from 0.8 to 1.5 times its setting.
-            machine.disk.sync = ms(self.sync_ms) * 2 / 3;
+            machine.disk.sync_time = ms(self.sync_ms) * 2 / 3;
         }
     }
 }
 
-/// Has a change taken, by an operator who sends it again as long as it isn't; returns how long that took.
-fn take(world: &mut World, machine: usize, generation: u64, limit: Duration) -> Option<Duration> {
-    let (begun, before) = (world.now, world.checker.taken);
-    while world.now < begun + limit {
+/// Has an operator submit a change, again every 10 s, until it is acknowledged. Returns how long that took;
+/// `None` if it took longer than `limit`.
+fn commit_change(world: &mut World, machine: usize, generation: u64, limit: Duration) -> Option<Duration> {
+    let (started_at, before) = (world.now, world.checker.acknowledged);
+    while world.now < started_at + limit {
         world.write(machine, change(generation - 1, generation, generation, 100));
-        if world.run_until_holds(ms(10_000), |world| world.checker.taken > before).is_some() {
-            return Some(world.now - begun);
+        if world.run_until_holds(ms(10_000), |world| world.checker.acknowledged > before).is_some() {
+            return Some(world.now - started_at);
         }
     }
     None
 }
 
-/// Has changes taken from `first` on; returns what took too long.
-fn too_slow(world: &mut World, case: Case, first: u64) -> Option<(u64, Option<Duration>)> {
+/// Commits changes from the generation `first` on. Returns the first one that took too long.
+fn first_late_change(world: &mut World, case: Case, first: u64) -> Option<(u64, Option<Duration>)> {
     for generation in first..first + 8 {
         let bound =
             if generation < first + ADJUSTING_CHANGES { ADJUSTED_WITHIN } else { ACKNOWLEDGED_WITHIN };
-        let taken = take(world, case.machines - 1, generation, ms(60_000));
-        if taken.is_none_or(|taken| taken > bound) {
-            return Some((generation, taken));
+        let acknowledged = commit_change(world, case.machines - 1, generation, ms(60_000));
+        if acknowledged.is_none_or(|acknowledged| acknowledged > bound) {
+            return Some((generation, acknowledged));
         }
     }
     None
@@ -92,10 +94,10 @@
     for case in cases() {
         for seed in seeds(3) {
             let mut world = case.world(seed);
-            case.slow_down(&mut world);
+            case.slow_disks(&mut world);
             world.run_for(ms(15_000));
-            failed.extend(too_slow(&mut world, case, 1).map(|late| (case, seed, late)));
-            assert_eq!(world.checker.broken, None, "{case:?} seed {seed}");
+            failed.extend(first_late_change(&mut world, case, 1).map(|late| (case, seed, late)));
+            assert_eq!(world.checker.violation, None, "{case:?} seed {seed}");
         }
     }
     assert!(failed.is_empty(), "{failed:#?}");
@@ -106,88 +108,95 @@
     let mut failed = Vec::new();
     for case in cases() {
         for seed in seeds(3) {
-            let mut world = case.whole_world(seed);
-            case.slow_down(&mut world);
-            failed.extend(too_slow(&mut world, case, 1).map(|late| (case, seed, late)));
-            assert_eq!(world.checker.broken, None, "{case:?} seed {seed}");
+            let mut world = case.formed_world(seed);
+            case.slow_disks(&mut world);
+            failed.extend(first_late_change(&mut world, case, 1).map(|late| (case, seed, late)));
+            assert_eq!(world.checker.violation, None, "{case:?} seed {seed}");
         }
     }
     assert!(failed.is_empty(), "{failed:#?}");
 }
 
-/// As many members with slow disks as may be lost are left out of the chain: the others are as quick as without them.
+/// As many members with slow disks as are tolerated to fail are left out of the chain, so that commits are as
+/// fast as without them.
 #[test]
 fn a_slow_disk_that_can_be_spared_delays_no_change() {
-    /// What a change takes on disks that are not slow, and some.
-    const QUICK: Duration = Duration::from_millis(100);
+    /// More than a commit takes on disks that are not slow.
+    const FAST_COMMIT: Duration = Duration::from_millis(100);
     for (machines, tolerated) in [(3, 1), (5, 2)] {
         for seed in seeds(5) {
             let case = Case { machines, tolerated, slow: tolerated, sync_ms: 1_500 };
-            let mut world = case.whole_world(seed);
-            case.slow_down(&mut world);
-            take(&mut world, machines - 1, 1, ms(20_000)).expect("a change while its disk shows to be slow");
+            let mut world = case.formed_world(seed);
+            case.slow_disks(&mut world);
+            commit_change(&mut world, machines - 1, 1, ms(20_000))
+                .expect("a change is committed while the disk is found to be slow");
             world.run_for(ms(5_000));
             for generation in 2..=8 {
-                let taken = take(&mut world, machines - 1, generation, ms(20_000));
-                assert!(taken.is_some_and(|taken| taken <= QUICK), "{case:?} seed {seed}: {taken:?}");
+                let acknowledged = commit_change(&mut world, machines - 1, generation, ms(20_000));
+                assert!(
+                    acknowledged.is_some_and(|acknowledged| acknowledged <= FAST_COMMIT),
+                    "{case:?} seed {seed}: {acknowledged:?}"
+                );
             }
-            assert_eq!(world.checker.broken, None, "{case:?} seed {seed}");
+            assert_eq!(world.checker.violation, None, "{case:?} seed {seed}");
         }
     }
 }
 
-/// How long it takes until all are in the chain again once all disks are as quick as before, without a change to try them.
-fn whole_again(seed: u64, fault: Option<Fault>) -> Option<Duration> {
+/// How long it takes until all members are in the chain again after all disks have become fast, without
+/// changes that would show this.
+fn time_until_all_rejoined(seed: u64, fault: Option<Fault>) -> Option<Duration> {
     let case = Case { machines: 3, tolerated: 1, slow: 3, sync_ms: 1_000 };
     let mut world = case.world(seed);
     world.fault = fault;
-    world.run_until_holds(ms(10_000), World::whole).expect("they form a chain");
-    case.slow_down(&mut world);
+    world.run_until_holds(ms(10_000), World::all_in_chain).expect("they form a chain");
+    case.slow_disks(&mut world);
     for generation in 1..=4 {
-        take(&mut world, 2, generation, ms(60_000)).expect("a change on slow disks");
+        commit_change(&mut world, 2, generation, ms(60_000)).expect("a change is committed on slow disks");
     }
-    world.machines.iter_mut().for_each(|machine| machine.disk.sync = ms(2));
-    world.run_until_holds(ms(10_000), World::whole)
+    world.machines.iter_mut().for_each(|machine| machine.disk.sync_time = ms(2));
+    world.run_until_holds(ms(10_000), World::all_in_chain)
 }
 
 #[test]
 fn members_rejoin_the_chain_once_their_disks_are_quick_again() {
     for seed in seeds(10) {
-        let took = whole_again(seed, None);
+        let took = time_until_all_rejoined(seed, None);
         assert!(took.is_some_and(|took| took <= ms(4_000)), "seed {seed}: {took:?}");
     }
 }
 
 #[test]
 fn never_probing_a_slow_disk_is_detected() {
-    assert!(seeds(10).any(|seed| whole_again(seed, Some(Fault::NeverProbesDisk)).is_none()));
+    assert!(seeds(10).any(|seed| time_until_all_rejoined(seed, Some(Fault::NeverProbesDisk)).is_none()));
 }
 
-/// A machine of the chain is lost while disks are slow: how long it takes until the next view is decided on these, and a change
-/// is acknowledged in it.
+/// A machine of the chain fails while disks are slow. Returns how long it takes until the next view is
+/// decided on these disks and a change is acknowledged in it.
 fn recovery(case: Case, seed: u64, fault: Option<Fault>) -> Option<Duration> {
     let mut world = case.world(seed);
     world.fault = fault;
-    case.slow_down(&mut world);
+    case.slow_disks(&mut world);
     world.run_for(ms(15_000));
     let lost = if seed.is_multiple_of(2) { world.head() } else { world.tail() };
     world.stop(lost.expect("a chain"));
     let other = world.running()[0];
-    let taken = take(&mut world, other, 1, ms(60_000));
-    assert_eq!(world.checker.broken, None, "{case:?} seed {seed}");
-    taken
+    let acknowledged = commit_change(&mut world, other, 1, ms(60_000));
+    assert_eq!(world.checker.violation, None, "{case:?} seed {seed}");
+    acknowledged
 }
 
 #[test]
 fn a_view_is_decided_where_disks_are_slow() {
-    /// On the slowest disks. A view change takes three writes one after the other, joining the chain one for each member.
+    /// For the slowest disks: a view change takes three consecutive writes, joining the chain one for each
+    /// member.
     const RECOVERED_WITHIN: Duration = Duration::from_secs(20);
     let mut failed = Vec::new();
     for case in cases() {
         for seed in seeds(3) {
-            let taken = recovery(case, seed, None);
-            if taken.is_none_or(|taken| taken > RECOVERED_WITHIN) {
-                failed.push((case, seed, taken));
+            let acknowledged = recovery(case, seed, None);
+            if acknowledged.is_none_or(|acknowledged| acknowledged > RECOVERED_WITHIN) {
+                failed.push((case, seed, acknowledged));
             }
         }
     }
@@ -200,46 +209,53 @@
     assert!(seeds(5).all(|seed| recovery(case, seed, Some(Fault::RefusesSlowDisks)).is_none()));
 }
 
-/// Which disks are full.
+/// The disks that are full.
 #[derive(Clone, Copy, Debug)]
-enum Full {
+enum FullDisks {
     One(usize),
     Two(usize),
     All,
 }
 
-impl Full {
-    const ALL: [Full; 7] =
-        [Full::One(0), Full::One(1), Full::One(2), Full::Two(0), Full::Two(1), Full::Two(2), Full::All];
+impl FullDisks {
+    const ALL: [FullDisks; 7] = [
+        FullDisks::One(0),
+        FullDisks::One(1),
+        FullDisks::One(2),
+        FullDisks::Two(0),
+        FullDisks::Two(1),
+        FullDisks::Two(2),
+        FullDisks::All,
+    ];
 
-    /// Whether it is the disk of this machine of three.
+    /// Whether the disk of this machine of three is full.
     fn contains(self, machine: usize) -> bool {
         match self {
-            Full::One(one) => machine == one,
-            Full::Two(other) => machine != other,
-            Full::All => true,
+            FullDisks::One(one) => machine == one,
+            FullDisks::Two(other) => machine != other,
+            FullDisks::All => true,
         }
     }
 }
 
-/// How many records fit at most before a disk is full: more than a start, some changes and a view change write.
-const MOST_ROOM: usize = 24;
+/// The maximum capacity, in records. More than is written by a start, some changes and a view change.
+const MAX_CAPACITY: usize = 24;
 
-/// Has an operator read at each machine. The answers are checked as they come.
+/// Submits a read to each machine. The checker checks the responses as they arrive.
 fn read_at_all(world: &mut World) {
     for machine in 0..world.machines.len() {
-        world.order(machine, Order::Read);
+        world.submit(machine, Operation::Read);
     }
 }
 
-/// Disks fill up at a record boundary while changes and reads go on and a machine is restarted; then there is room again.
-/// Returns how long it takes until a change is acknowledged after that.
-fn fill_up(seed: u64, full: Full, room: usize, fault: Option<Fault>) -> Option<Duration> {
+/// Disks become full at a record boundary while changes and reads continue and a machine restarts; later
+/// there is space again. Returns how long it then takes until a change is acknowledged.
+fn fill_up(seed: u64, full: FullDisks, capacity: usize, fault: Option<Fault>) -> Option<Duration> {
     let mut world = World::new(seed, 3, 1);
     world.fault = fault;
     world.checks_votes = true;
     for (number, machine) in world.machines.iter_mut().enumerate() {
-        machine.disk.room = full.contains(number).then_some(room);
+        machine.disk.capacity = full.contains(number).then_some(capacity);
     }
     for generation in 1..=10 {
         let machine = usize::try_from(generation).expect("small") % 3;
@@ -252,38 +268,44 @@
     }
     world.run_for(ms(3_000));
     for machine in &mut world.machines {
-        machine.disk.free();
+        machine.disk.make_room();
     }
-    let begun = world.now;
-    // Operators have sent again what was not acknowledged.
-    let taken = world.run_until_holds(ms(10_000), |world| world.checker.generation() == 10);
-    let taken = taken.and_then(|_| take(&mut world, 0, 11, ms(10_000))).map(|_| world.now - begun);
+    let started_at = world.now;
+    // Operators have retried what was not acknowledged.
+    let acknowledged = world.run_until_holds(ms(10_000), |world| world.checker.generation() == 10);
+    let acknowledged = acknowledged
+        .and_then(|_| commit_change(&mut world, 0, 11, ms(10_000)))
+        .map(|_| world.now - started_at);
     read_at_all(&mut world);
     world.run_for(ms(2_000));
-    assert_eq!(world.checker.broken, None, "seed {seed}: {full:?} with room for {room} records");
-    taken
+    assert_eq!(world.checker.violation, None, "seed {seed}: {full:?}, capacity of {capacity} records");
+    acknowledged
 }
 
 #[test]
-fn full_disks_lose_nothing_and_changes_return_with_the_room() {
-    /// A full disk is tried again each second; a member that has missed changes copies them before it counts.
-    const RETURNED_WITHIN: Duration = Duration::from_millis(4_000);
+fn full_disks_lose_nothing_and_commits_resume_when_there_is_space() {
+    /// A full disk is retried every second, and a member that has missed changes has to copy them before it
+    /// counts.
+    const RESUMED_WITHIN: Duration = Duration::from_millis(4_000);
     let mut longest = Duration::ZERO;
-    for full in Full::ALL {
-        for room in 0..MOST_ROOM {
+    for full in FullDisks::ALL {
+        for capacity in 0..MAX_CAPACITY {
             for seed in seeds(2) {
-                let taken = fill_up(seed, full, room, None);
-                let taken =
-                    taken.unwrap_or_else(|| panic!("seed {seed}: {full:?} with room for {room} records"));
-                longest = longest.max(taken);
+                let acknowledged = fill_up(seed, full, capacity, None);
+                let acknowledged = acknowledged
+                    .unwrap_or_else(|| panic!("seed {seed}: {full:?} with room for {capacity} records"));
+                longest = longest.max(acknowledged);
             }
         }
     }
     println!("longest {longest:?}");
-    assert!(longest <= RETURNED_WITHIN, "{longest:?}");
+    assert!(longest <= RESUMED_WITHIN, "{longest:?}");
 }
 
 #[test]
 fn never_retrying_a_full_disk_is_detected() {
-    assert!((0..MOST_ROOM).any(|room| fill_up(1, Full::All, room, Some(Fault::NeverRetriesDisk)).is_none()));
+    assert!(
+        (0..MAX_CAPACITY)
+            .any(|capacity| fill_up(1, FullDisks::All, capacity, Some(Fault::NeverRetriesDisk)).is_none())
+    );
 }
--- a/crates/replication/tests/exhaustive.rs
+++ b/crates/replication/tests/exhaustive.rs
@@ -1,53 +1,54 @@
-//! Every order of messages, disk writes and losses in a small world, to a depth: three members, two operators under one number,
-//! somebody who asks for the newest entry. Each search begins in a situation that was brought about step by step.
+//! Exhaustive search, up to a depth, over the orders of messages, disk writes and failures in a small model:
+//! three members, two operators with changes of the same generation, and read requests. Each search starts in
+//! a prepared scenario.
 //!
-//! `DEPTH=8 cargo test --release -p replication --test exhaustive -- --ignored --nocapture` searches further; a depth more takes six times as
-//! long and as much memory (520,000 states and 1.7 GB at 8).
+//! `DEPTH=8 cargo test --release -p replication --test exhaustive -- --ignored --nocapture` searches deeper.
+//! Each further level takes six times as long and as much memory (520,000 states and 1.7 GB at depth 8).
 
 mod small;
 
-use small::{Limits, Situation, SmallWorld};
+use small::{Limits, Scenario, SmallWorld};
 use stateright::{Checker, HasDiscoveries, Model};
 use std::time::{Duration, Instant};
 
-/// How many steps are searched from each situation by the test that is always run.
+/// The depth of the search from each scenario in the regular test.
 const DEPTH: usize = 7;
-/// The same where nothing is lost, so that there is less to be searched.
-const DEPTH_WITHOUT_LOSSES: usize = 60;
-/// Guards against a search without end.
-const LONGEST: Duration = Duration::from_secs(600);
+/// The depth without failures, where far fewer states exist.
+const DEPTH_WITHOUT_FAILURES: usize = 60;
+/// Limits the time of one search.
+const SEARCH_TIMEOUT: Duration = Duration::from_secs(600);
 
 fn search(
-    situation: Situation,
+    scenario: Scenario,
     limits: Limits,
     depth: usize,
     fault: Option<replication::Fault>,
 ) -> (usize, Option<String>) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let threads = std::thread::available_parallelism().map_or(2, |cores| cores.get().min(4));
-    let checker = SmallWorld { situation, limits, fault }
+    let checker = SmallWorld { scenario, limits, fault }
         .checker()
         .threads(threads)
         .target_max_depth(depth)
-        .timeout(LONGEST)
+        .timeout(SEARCH_TIMEOUT)
         .finish_when(HasDiscoveries::Any)
         .spawn_bfs()
         .join();
     let states = checker.unique_state_count();
-    let found = checker.discovery(small::RULES).map(|path| {
-        let broken = path.last_state().broken().unwrap_or_default().to_string();
-        format!("{broken}, after {:?}", path.into_actions())
+    let found = checker.discovery(small::INVARIANTS).map(|path| {
+        let violation = path.last_state().violation().unwrap_or_default().to_string();
+        format!("{violation}, after {:?}", path.into_actions())
     });
-    println!("{situation:?}: {states} states to depth {depth} in {:.1?}", begun.elapsed());
+    println!("{scenario:?}: {states} states to depth {depth} in {:.1?}", started_at.elapsed());
     (states, found)
 }
 
 #[test]
 fn no_sequence_of_steps_violates_an_invariant() {
     let mut all = 0;
-    for situation in Situation::ALL {
-        let (states, found) = search(situation, Limits::default(), DEPTH, None);
-        assert_eq!(found, None, "{situation:?}");
+    for scenario in Scenario::ALL {
+        let (states, found) = search(scenario, Limits::default(), DEPTH, None);
+        assert_eq!(found, None, "{scenario:?}");
         all += states;
     }
     println!("{all} states");
@@ -56,9 +57,9 @@
 
 #[test]
 fn no_order_of_messages_and_writes_violates_an_invariant() {
-    for situation in Situation::ALL {
-        let (_, found) = search(situation, Limits::NONE, DEPTH_WITHOUT_LOSSES, None);
-        assert_eq!(found, None, "{situation:?}");
+    for scenario in Scenario::ALL {
+        let (_, found) = search(scenario, Limits::NONE, DEPTH_WITHOUT_FAILURES, None);
+        assert_eq!(found, None, "{scenario:?}");
     }
 }
 
@@ -67,26 +68,26 @@
 fn no_longer_sequence_of_steps_violates_an_invariant() {
     let depth = std::env::var("DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(8);
     let mut all = 0;
-    for situation in Situation::ALL {
-        let (states, found) = search(situation, Limits::default(), depth, None);
-        assert_eq!(found, None, "{situation:?}");
+    for scenario in Scenario::ALL {
+        let (states, found) = search(scenario, Limits::default(), depth, None);
+        assert_eq!(found, None, "{scenario:?}");
         all += states;
     }
     println!("{all} states");
 }
 
 #[test]
-fn the_search_finds_planted_faults() {
+fn the_search_detects_injected_faults() {
     use replication::Fault;
-    let planted = [
-        (Fault::ReadsWithoutConfirmation, Situation::TailCutOff),
-        (Fault::IgnoresBase, Situation::TwoOperators),
-        (Fault::CommitsAtHead, Situation::HeadCutOff),
-        (Fault::IgnoresDigests, Situation::TwoOperators),
+    let injected = [
+        (Fault::ReadsWithoutConfirmation, Scenario::TailCutOff),
+        (Fault::IgnoresBase, Scenario::TwoOperators),
+        (Fault::CommitsAtHead, Scenario::HeadCutOff),
+        (Fault::IgnoresDigests, Scenario::TwoOperators),
     ];
-    for (fault, situation) in planted {
-        let (_, found) = search(situation, Limits::NONE, DEPTH_WITHOUT_LOSSES, Some(fault));
+    for (fault, scenario) in injected {
+        let (_, found) = search(scenario, Limits::NONE, DEPTH_WITHOUT_FAILURES, Some(fault));
         println!("{fault:?}: {found:?}");
-        assert!(found.is_some(), "{fault:?} is not found in {situation:?}");
+        assert!(found.is_some(), "{fault:?} is not found in {scenario:?}");
     }
 }
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -1,25 +1,29 @@
-//! The messages between replicas and the records on disk, byte for byte as in the golden files.
+//! Messages between replicas and records on disk are compared byte for byte with golden files.
 //!
-//! A golden file is written on purpose only, by `GOLDEN=write cargo test -p replication --test golden`; without that a file that
-//! is missing or differs fails with the place of the first difference. The files are in `tests/golden`:
+//! Golden files are written only by `GOLDEN=write cargo test -p replication --test golden`. Otherwise a
+//! missing or different file fails the test, which prints the first difference. The files are in
+//! `tests/golden`:
 //!
-//! - `messages.txt` and `records.txt`: messages and records as CBOR, in every form that they took in the plays of
-//!   `golden_files/plays.rs`. Each line of hexadecimal digits is one; the comment above it says the same in words. `messages.txt`
-//!   is as it was before members told of slow disks, and is not written anew: the plays still take all of its forms.
-//! - `slow-disk-messages.txt`: messages of the forms that came with slow disks.
-//! - `old-messages.txt` and `old-records.txt`: the same as older programs wrote them, without the fields that came later.
-//! - `leniency.txt`: which fields may be missing, and where fields that are not known are passed over.
-//! - `values.txt`: the values that the driver of a replica sees.
-//! - `plays.txt`: what was ordered in each play, with a digest of all of it. It follows from the seeds. Where the simulation itself
-//!   is changed on purpose, this file alone may be written anew; the others are what machines in the field say and hold.
+//! - `messages.txt` and `records.txt`: messages and records as CBOR, in every form in which they occur in the
+//!   runs of `golden_files/plays.rs`. Each line of hexadecimal digits is one value; the comment above it is
+//!   the same value in diagnostic notation. `messages.txt` predates the reports of slow disks and is not
+//!   written again; the runs still produce all of its forms.
+//! - `slow-disk-messages.txt`: messages of the forms that were added with the reports of slow disks.
+//! - `old-messages.txt` and `old-records.txt`: the same values as older versions wrote them, without the
+//!   fields that were added later.
+//! - `leniency.txt`: which fields may be missing, and where unknown fields are ignored.
+//! - `values.txt`: the values that the driver of a replica receives.
+//! - `plays.txt`: the outputs of each run, as counts and a digest. They follow from the seeds. After an
+//!   intended change of the simulation, only this file may be written again; the others are the formats that
+//!   deployed machines use.
 
 mod golden_files;
 mod simulation;
 
 use ciborium::Value;
 use golden_files::cbor::{self, Place, Step, decode, encode, lines, name, parts};
-use golden_files::plays::{Harvest, harvest};
-use golden_files::{approve, kept};
+use golden_files::plays::{RecordedRuns, record_runs};
+use golden_files::{assert_matches_golden, golden_text};
 use replication::{
     Change, Entry, Generation, Member, MemberId, Message, Record, RequestId, RequestOutcome, Sequence,
     Status, View, ViewNumber,
@@ -31,23 +35,23 @@
 use std::fmt::Debug;
 use std::sync::{Arc, LazyLock};
 
-static HARVEST: LazyLock<Harvest> = LazyLock::new(harvest);
+static RECORDED: LazyLock<RecordedRuns> = LazyLock::new(record_runs);
 
-/// The text of `messages.txt`, which is never written anew.
+/// The text of `messages.txt`, which is never written again.
 fn messages() -> String {
     golden_files::read("messages.txt")
 }
 
 fn records() -> String {
-    cbor::text("What replicas keep on disk.", &HARVEST.records)
+    cbor::text("What replicas keep on disk.", &RECORDED.records)
 }
 
-/// The forms that messages take.
+/// The forms in which these messages occur.
 fn all_forms(messages: &[Value]) -> BTreeSet<String> {
     messages.iter().flat_map(cbor::forms).collect()
 }
 
-/// Which of these messages have a form that no message of `messages.txt` has.
+/// The messages that have a form which does not occur in `messages.txt`.
 fn messages_of_new_forms(messages: &[Value]) -> Vec<Value> {
     let kept = all_forms(&golden_messages());
     messages.iter().filter(|message| !cbor::forms(message).is_subset(&kept)).cloned().collect()
@@ -59,35 +63,36 @@
 
 #[test]
 fn messages_take_all_forms_of_the_golden_file() {
-    let fresh = all_forms(&HARVEST.messages);
+    let fresh = all_forms(&RECORDED.messages);
     let gone: Vec<String> = all_forms(&golden_messages()).difference(&fresh).cloned().collect();
     assert!(gone.is_empty(), "{gone:#?}");
 }
 
 #[test]
 fn messages_of_new_forms_match_the_golden_file() {
-    let new = messages_of_new_forms(&HARVEST.messages);
-    approve("slow-disk-messages.txt", &cbor::text("What members with slow disks say.", &new));
+    let new = messages_of_new_forms(&RECORDED.messages);
+    assert_matches_golden("slow-disk-messages.txt", &cbor::text("What members with slow disks say.", &new));
 }
 
 #[test]
 fn golden_messages_of_new_forms_round_trip() {
-    let fresh = || cbor::text("What members with slow disks say.", &messages_of_new_forms(&HARVEST.messages));
-    hold_same_bytes::<Message>(&kept("slow-disk-messages.txt", fresh));
+    let fresh =
+        || cbor::text("What members with slow disks say.", &messages_of_new_forms(&RECORDED.messages));
+    assert_round_trip::<Message>(&golden_text("slow-disk-messages.txt", fresh));
 }
 
 #[test]
 fn records_match_the_golden_file() {
-    approve("records.txt", &records());
+    assert_matches_golden("records.txt", &records());
 }
 
 #[test]
 fn simulated_runs_match_the_golden_file() {
-    approve("plays.txt", &HARVEST.summary);
+    assert_matches_golden("plays.txt", &RECORDED.summary);
 }
 
-/// Reads each one and holds that it is written again with the same bytes.
-fn hold_same_bytes<T: DeserializeOwned + Serialize + Debug>(text: &str) {
+/// Asserts that each value is encoded with the same bytes after it was decoded.
+fn assert_round_trip<T: DeserializeOwned + Serialize + Debug>(text: &str) {
     let all = lines(text);
     assert!(!all.is_empty());
     for bytes in all {
@@ -98,19 +103,20 @@
 
 #[test]
 fn golden_messages_round_trip() {
-    hold_same_bytes::<Message>(&messages());
+    assert_round_trip::<Message>(&messages());
 }
 
 #[test]
 fn golden_records_round_trip() {
-    hold_same_bytes::<Record>(&kept("records.txt", records));
+    assert_round_trip::<Record>(&golden_text("records.txt", records));
 }
 
 fn values(text: &str) -> Vec<Value> {
     lines(text).iter().map(|bytes| ciborium::from_reader(bytes.as_slice()).expect("CBOR")).collect()
 }
 
-/// The variants that may stand at a place, if one of an enum does. Read from the error for a variant that does not exist.
+/// The variants that are allowed at a place, if it holds an enum. Taken from the error message for an unknown
+/// variant.
 fn variants<T: DeserializeOwned + Debug>(value: &Value, place: &Place) -> Option<BTreeSet<String>> {
     let changed = cbor::with_part(value, place, Value::Text("no such".into()));
     let error = decode::<T>(&encode(&changed)).err()?;
@@ -118,7 +124,7 @@
     Some(expected.split('`').skip(1).step_by(2).map(String::from).collect())
 }
 
-/// The variant that stands at a place of an enum.
+/// The variant at a place that holds an enum.
 fn variant(part: &Value) -> Option<String> {
     match part {
         Value::Text(name) => Some(name.clone()),
@@ -127,7 +133,8 @@
     }
 }
 
-/// What the types allow at some places and does not occur there: variants of enums, and whether something optional is there.
+/// The forms that the types allow at some place and that do not occur there: variants of enums, presence of
+/// optional values, and both booleans.
 fn missing_forms<T: DeserializeOwned + Debug>(values: &[Value]) -> Vec<String> {
     let mut allowed: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     let mut seen: BTreeSet<(String, String)> = BTreeSet::new();
@@ -159,28 +166,29 @@
     allowed.filter(|form| !seen.contains(form)).map(|(name, form)| format!("{name}: {form}")).collect()
 }
 
-/// What messages can't say although their types allow it: a copy is of what is committed alone, and who has no clear answer gives
-/// none. ([`Answer::Unclear`] is kept among the values that the driver sees.)
-const NEVER_SAID: [&str; 3] = [
+/// Forms that messages never have although their types allow them: a copy has only committed entries, and an
+/// unknown outcome is not sent as a response. ([`RequestOutcome::Unknown`] is among the values that the
+/// driver receives.)
+const NEVER_SENT: [&str; 3] = [
     "body.Copy.transfer.committed: nothing",
     "body.Copy.transfer.pending: something",
     "body.Reply.answer: Unclear",
 ];
 
-/// What is never stored although the types allow it: nothing can have come before the first view.
+/// Forms that records never have although their types allow them: the first view follows no other.
 const NEVER_STORED: [&str; 1] = ["Identity.first_view.idle_since: something"];
 
 #[test]
 fn every_variant_occurs_in_golden_messages() {
-    assert_eq!(missing_forms::<Message>(&golden_messages()), NEVER_SAID);
+    assert_eq!(missing_forms::<Message>(&golden_messages()), NEVER_SENT);
 }
 
 #[test]
 fn every_variant_occurs_in_golden_records() {
-    assert_eq!(missing_forms::<Record>(&values(&kept("records.txt", records))), NEVER_STORED);
+    assert_eq!(missing_forms::<Record>(&values(&golden_text("records.txt", records))), NEVER_STORED);
 }
 
-/// Which fields may be missing, and which maps may hold fields that are not known.
+/// Lists the fields that may be missing, and the maps that may contain unknown fields.
 fn leniency<T: DeserializeOwned>(values: &[Value]) -> String {
     let (mut may_miss, mut must_have) = (BTreeSet::new(), BTreeSet::new());
     let (mut takes_more, mut takes_none) = (BTreeSet::new(), BTreeSet::new());
@@ -216,8 +224,8 @@
 #[test]
 fn decoders_are_as_lenient_as_before() {
     let messages = leniency::<Message>(&golden_messages());
-    let records = leniency::<Record>(&values(&kept("records.txt", records)));
-    approve("leniency.txt", &format!("# Messages\n{messages}\n# Records\n{records}"));
+    let records = leniency::<Record>(&values(&golden_text("records.txt", records)));
+    assert_matches_golden("leniency.txt", &format!("# Messages\n{messages}\n# Records\n{records}"));
 }
 
 /// Whether the map has all these keys.
@@ -225,7 +233,7 @@
     keys.iter().all(|key| entries.iter().any(|(name, _)| name.as_text() == Some(key)))
 }
 
-/// Fields that came later than the first programs, each with those beside it that tell its map.
+/// Fields that were added later, each with the other fields that identify its map.
 const LATER_FIELDS: [(&str, &[&str]); 4] = [
     ("idle_since", &["number", "voters", "chain"]),
     ("generation", &["sequence", "view", "digest"]),
@@ -233,7 +241,7 @@
     ("renounced", &["slot", "ballot"]),
 ];
 
-/// The value as the first programs wrote it.
+/// The value as the first versions wrote it.
 fn old_form(value: &Value) -> Value {
     match value {
         Value::Array(items) => Value::Array(items.iter().map(old_form).collect()),
@@ -249,7 +257,7 @@
     }
 }
 
-/// The old forms of values that have one, each followed by what the program that reads it makes of it.
+/// The old forms of the values that have one, each followed by its new encoding after it was decoded.
 fn old_forms<T: DeserializeOwned + Serialize>(title: &str, values: &[Value]) -> String {
     let mut text =
         format!("# {title} Each first as it was, then as it is written by a program that has read it so.\n");
@@ -268,8 +276,9 @@
     text
 }
 
-/// Reads the old form of each pair and holds that it is what the other is, which stays as it is.
-fn hold_old_forms<T: DeserializeOwned + Serialize + PartialEq + Debug>(text: &str) {
+/// Asserts that in each pair the old form is decoded as the same value as the new one, which is encoded
+/// unchanged.
+fn assert_old_forms_are_read<T: DeserializeOwned + Serialize + PartialEq + Debug>(text: &str) {
     let all = lines(text);
     assert!(!all.is_empty() && all.len().is_multiple_of(2));
     let old: Vec<Value> = all.iter().step_by(2).map(|bytes| decode(bytes).expect("CBOR")).collect();
@@ -293,15 +302,16 @@
 #[test]
 fn messages_of_older_programs_are_read() {
     let fresh = || old_forms::<Message>("Messages of older programs.", &golden_messages());
-    approve("old-messages.txt", &fresh());
-    hold_old_forms::<Message>(&kept("old-messages.txt", fresh));
+    assert_matches_golden("old-messages.txt", &fresh());
+    assert_old_forms_are_read::<Message>(&golden_text("old-messages.txt", fresh));
 }
 
 #[test]
 fn records_of_older_programs_are_read() {
-    let fresh = || old_forms::<Record>("Records of older programs.", &values(&kept("records.txt", records)));
-    approve("old-records.txt", &fresh());
-    hold_old_forms::<Record>(&kept("old-records.txt", fresh));
+    let fresh =
+        || old_forms::<Record>("Records of older programs.", &values(&golden_text("records.txt", records)));
+    assert_matches_golden("old-records.txt", &fresh());
+    assert_old_forms_are_read::<Record>(&golden_text("old-records.txt", fresh));
 }
 
 fn member(number: u8) -> Member {
@@ -331,9 +341,9 @@
     }
 }
 
-/// The name of each answer; one that is new has to be added here and below.
-fn answer_name(answer: &RequestOutcome) -> &'static str {
-    match answer {
+/// The name of each outcome in the golden file. A new outcome has to be added here and below.
+fn outcome_name(outcome: &RequestOutcome) -> &'static str {
+    match outcome {
         RequestOutcome::Committed { sequence: _ } => "Taken",
         RequestOutcome::Conflict { current: _ } => "Conflict",
         RequestOutcome::NotHigher { current: _ } => "NotHigher",
@@ -345,7 +355,7 @@
     }
 }
 
-fn answers() -> [RequestOutcome; 8] {
+fn outcomes() -> [RequestOutcome; 8] {
     [
         RequestOutcome::Committed { sequence: Sequence(70_000) },
         RequestOutcome::Conflict { current: Generation(301) },
@@ -370,7 +380,7 @@
     }
 }
 
-/// The line of a value, after it was read back and written again.
+/// The golden lines of a value, after a check that it is decoded as the same value.
 fn line<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) -> String {
     let bytes = encode(value);
     let again: T = decode(&bytes).expect("it is read");
@@ -390,12 +400,12 @@
     text += &line("Entry", &entry());
     text += &line("View", &view(None));
     text += &line("View after idle ones", &view(Some(8)));
-    answers().iter().for_each(|answer| text += &line(answer_name(answer), answer));
+    outcomes().iter().for_each(|outcome| text += &line(outcome_name(outcome), outcome));
     text += &line("Status", &status(Some(view(Some(8)))));
     text += &line("Status without a view", &status(None));
-    approve("values.txt", &text);
-    let names: BTreeSet<&str> = answers().iter().map(answer_name).collect();
-    assert_eq!(names.len(), answers().len());
+    assert_matches_golden("values.txt", &text);
+    let names: BTreeSet<&str> = outcomes().iter().map(outcome_name).collect();
+    assert_eq!(names.len(), outcomes().len());
     let old: Value = old_form(&decode(&encode(&view(None))).expect("CBOR"));
     assert_eq!(decode::<View>(&encode(&old)), Ok(view(None)));
 }
--- a/crates/replication/tests/golden_files/cbor.rs
+++ b/crates/replication/tests/golden_files/cbor.rs
@@ -1,4 +1,4 @@
-//! CBOR bytes as text, and the forms that values take in it.
+//! Conversions between CBOR bytes and text, and the forms in which values occur.
 
 use ciborium::Value;
 use serde::Serialize;
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::fmt::Write;
 
-/// The bytes of a value, as they stand in a record and in a frame.
+/// Encodes a value as in records and frames.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut bytes = Vec::new();
     ciborium::into_writer(value, &mut bytes).expect("it can be encoded");
@@ -34,7 +34,7 @@
     (0..text.len()).step_by(2).map(|at| digits(at).expect("hexadecimal digits")).collect()
 }
 
-/// The lines of a golden file that hold bytes, without its comments.
+/// The byte lines of a golden file, without its comments.
 pub fn lines(text: &str) -> Vec<Vec<u8>> {
     text.lines().filter(|line| !line.starts_with('#')).map(unhex).collect()
 }
@@ -53,7 +53,7 @@
             let entry = |(key, value): &(Value, Value)| format!("{}: {}", diagnostic(key), diagnostic(value));
             format!("{{{}}}", list(entries.iter().map(entry).collect()))
         }
-        other => panic!("no such value is kept: {other:?}"),
+        other => panic!("unexpected CBOR value: {other:?}"),
     }
 }
 
@@ -66,7 +66,7 @@
 
 pub type Place = Vec<Step>;
 
-/// What a place is called: the same for all items of a list.
+/// The name of a place: the same for all items of a list.
 pub fn name(place: &Place) -> String {
     let part = |step: &Step| match step {
         Step::Key(key) => key.clone(),
@@ -75,7 +75,7 @@
     place.iter().map(part).collect::<Vec<_>>().join(".")
 }
 
-/// All parts of a value and itself, with their places.
+/// The value itself and all its parts, with their places.
 pub fn parts(value: &Value) -> Vec<(Place, &Value)> {
     let mut parts = Vec::new();
     collect(value, &Vec::new(), &mut parts);
@@ -138,8 +138,8 @@
     changed
 }
 
-/// The forms that a value and its parts take: which variant, whether something is there, both answers of each yes or no. A text
-/// that begins with a capital letter is a variant; names of zones do not.
+/// The forms of a value and its parts: variants, presence, booleans, and whether numbers, texts and lists are
+/// empty. A text that begins with a capital letter is a variant; names of zones do not.
 pub fn forms(value: &Value) -> BTreeSet<String> {
     parts(value).into_iter().map(|(place, part)| format!("{}: {}", name(&place), form(part))).collect()
 }
@@ -155,11 +155,11 @@
         Value::Text(text) => if text.is_empty() { "an empty text" } else { "a text" }.into(),
         Value::Array(items) => if items.is_empty() { "an empty list" } else { "a list" }.into(),
         Value::Map(_) => "a map".into(),
-        other => panic!("no such value is kept: {other:?}"),
+        other => panic!("unexpected CBOR value: {other:?}"),
     }
 }
 
-/// A few values that take all forms which all values taken together take.
+/// A small selection of values that have all forms of all offered values.
 #[derive(Default)]
 pub struct Selection {
     seen: BTreeSet<String>,
@@ -167,7 +167,7 @@
 }
 
 impl Selection {
-    /// Chooses a value if it takes a form that none before it has taken.
+    /// Chooses a value if it has a form that no value before it has.
     pub fn offer(&mut self, value: Value) {
         let forms = forms(&value);
         if !forms.is_subset(&self.seen) {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The chosen values, without those whose forms the others take.
+    /// The chosen values, without those whose forms all occur in the others.
     pub fn finish(mut self) -> Vec<Value> {
         let mut at = 0;
         while at < self.chosen.len() {
@@ -192,7 +192,8 @@
     }
 }
 
-/// The text of a golden file with these values: for each one its diagnostic notation as a comment, and its bytes.
+/// The text of a golden file with these values: for each one, its diagnostic notation as a comment, and its
+/// bytes.
 pub fn text(title: &str, values: &[Value]) -> String {
     let line = |value: &Value| format!("# {}\n{}\n", diagnostic(value), hex(&encode(value)));
     format!("# {title}\n{}", values.iter().map(line).collect::<String>())
--- a/crates/replication/tests/golden_files/plays.rs
+++ b/crates/replication/tests/golden_files/plays.rs
@@ -1,9 +1,10 @@
-//! Plays of the simulation in which replicas say and store all that they can. All that they order is written down. Messages to
-//! be dropped are recognized by their debug text: if a variant is named otherwise in the code, what is dropped has to be named so here.
+//! Simulation runs in which all forms of messages and records occur. All outputs of the replicas are
+//! recorded. Messages to be dropped are selected by their debug text, so the texts in `dropped_messages` must
+//! follow a renamed variant.
 
 use super::cbor::{Selection, encode};
-use crate::simulation::operators::{Order, change};
-use crate::simulation::schedule::{Schedule, draw_overlaps, draw_storm};
+use crate::simulation::operators::{Operation, change};
+use crate::simulation::schedule::{Schedule, draw_frequent_failures, draw_overlaps};
 use crate::simulation::{World, ms};
 use ciborium::Value;
 use replication::{Input, Output};
@@ -13,30 +14,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Worlds in which losses overlap, and worlds of a bad network, each with another seed.
+/// Seeds of the schedules with overlapping failures, and of those with frequent failures.
 const OVERLAPS: std::ops::RangeInclusive<u64> = 1..=10;
 const STORMS: std::ops::RangeInclusive<u64> = 1..=5;
 
 /// The messages, records and outputs of all runs.
-pub struct Harvest {
-    /// Of each play how much of what was ordered, and a digest of all of it in its order.
+pub struct RecordedRuns {
+    /// For each run, the number of outputs of each kind, and a digest of all of them in order.
     pub summary: String,
-    /// Messages that take all forms which messages took.
+    /// Messages with all forms that occurred.
     pub messages: Vec<Value>,
-    /// The same for records.
+    /// Records with all forms that occurred.
     pub records: Vec<Value>,
 }
 
-/// What replicas order in one play.
+/// Records the outputs of all replicas in one run.
 #[derive(Default)]
-struct Notes {
+struct Recorder {
     counts: BTreeMap<String, usize>,
     digest: Digest,
     messages: Vec<Vec<u8>>,
     records: Vec<Vec<u8>>,
 }
 
-/// FNV-1a: it need not withstand anybody, only tell one play from another.
+/// An FNV-1a hash, which only has to tell runs apart.
 struct Digest(u64);
 
 impl Default for Digest {
@@ -53,8 +54,8 @@
     }
 }
 
-impl Notes {
-    fn note(&mut self, machine: usize, output: &Output) {
+impl Recorder {
+    fn record(&mut self, machine: usize, output: &Output) {
         let (kind, number, bodies) = match output {
             Output::Send { to, message } => {
                 self.messages.push(encode(message));
@@ -69,7 +70,7 @@
                 self.records.extend(records.iter().cloned());
                 ("rewrite".into(), id.get(), records)
             }
-            Output::Respond(call, answer) => ("answer".into(), call.get(), vec![encode(answer)]),
+            Output::Respond(request, outcome) => ("answer".into(), request.get(), vec![encode(outcome)]),
             Output::Committed(entry) => ("committed".into(), 0, vec![encode(entry)]),
             Output::ViewChanged(view) => ("view".into(), 0, vec![encode(view)]),
         };
@@ -80,111 +81,115 @@
     }
 }
 
-/// What is to happen in a play.
-type Story = fn(&mut Schedule);
+/// The steps of a run.
+type Script = fn(&mut Schedule);
 
-/// A play that has not begun: its name, its world and what is to happen there.
-type Play = (String, Schedule, Story);
+/// A run to be started: its name, its world and its steps.
+type Run = (String, Schedule, Script);
 
-/// Finds a machine.
-type Finder = fn(&World) -> Option<usize>;
+/// Selects a machine.
+type MachineSelector = fn(&World) -> Option<usize>;
 
-/// Plays all, and gives what was noted.
-pub fn harvest() -> Harvest {
+/// Executes all runs and returns what was recorded.
+pub fn record_runs() -> RecordedRuns {
     let (mut messages, mut records) = (Selection::default(), Selection::default());
     let mut summary = String::new();
-    for (name, mut schedule, play) in plays() {
-        let notes: Rc<RefCell<Notes>> = Rc::default();
-        let noted = notes.clone();
-        schedule.world.watch =
-            Some(Box::new(move |machine, output| noted.borrow_mut().note(machine, output)));
-        play(&mut schedule);
-        assert_eq!(schedule.world.checker.broken, None, "{name}");
-        let notes = notes.borrow();
-        let _ = writeln!(summary, "{name}: {:?}, digest {:016x}", notes.counts, notes.digest.0);
-        offer(&mut messages, &notes.messages);
-        offer(&mut records, &notes.records);
+    for (name, mut schedule, run) in runs() {
+        let recorder: Rc<RefCell<Recorder>> = Rc::default();
+        let recording = recorder.clone();
+        schedule.world.observer =
+            Some(Box::new(move |machine, output| recording.borrow_mut().record(machine, output)));
+        run(&mut schedule);
+        assert_eq!(schedule.world.checker.violation, None, "{name}");
+        let recorder = recorder.borrow();
+        let _ = writeln!(summary, "{name}: {:?}, digest {:016x}", recorder.counts, recorder.digest.0);
+        offer(&mut messages, &recorder.messages);
+        offer(&mut records, &recorder.records);
     }
-    Harvest { summary, messages: messages.finish(), records: records.finish() }
+    RecordedRuns { summary, messages: messages.finish(), records: records.finish() }
 }
 
 fn offer(selection: &mut Selection, all: &[Vec<u8>]) {
     for bytes in all {
         let value: Value = ciborium::from_reader(bytes.as_slice()).expect("what was encoded");
-        assert_eq!(encode(&value), *bytes, "read as a value and written again it has other bytes");
+        assert_eq!(encode(&value), *bytes, "the bytes differ after decoding and encoding");
         selection.offer(value);
     }
 }
 
-fn plays() -> Vec<Play> {
-    let calm = |seed| Schedule::new(World::new(seed, 3, 1));
-    let written: [(&str, u64, Story); 8] = [
-        ("all answers", 71, all_answers),
+fn runs() -> Vec<Run> {
+    let reliable = |seed| Schedule::new(World::new(seed, 3, 1));
+    let written: [(&str, u64, Script); 8] = [
+        ("all answers", 71, all_outcomes),
         ("machines replaced", 72, machines_replaced),
         ("a full disk", 73, full_disk),
-        ("parted members", 74, parted_members),
+        ("parted members", 74, partitioned_members),
         ("members without copies", 75, without_copies),
         ("two first entries", 76, two_first_entries),
-        ("a rescue", 5, |schedule| rescue(schedule, ms(0))),
-        ("a rescue that takes long", 5, |schedule| rescue(schedule, ms(5_000))),
+        ("a rescue", 5, |schedule| forced_view(schedule, ms(0))),
+        ("a rescue that takes long", 5, |schedule| forced_view(schedule, ms(5_000))),
     ];
-    let drawn: Story = |schedule| schedule.play(ms(10_000));
-    let written = written.map(|(name, seed, play)| (format!("{name}, seed {seed}"), calm(seed), play));
+    let drawn: Script = |schedule| schedule.run(ms(10_000));
+    let written = written.map(|(name, seed, run)| (format!("{name}, seed {seed}"), reliable(seed), run));
     let overlaps =
         OVERLAPS.map(|seed| (format!("overlapping losses, seed {seed}"), draw_overlaps(seed), drawn));
-    let storms = STORMS.map(|seed| (format!("a storm, seed {seed}"), draw_storm(seed), drawn));
+    let storms = STORMS.map(|seed| (format!("a storm, seed {seed}"), draw_frequent_failures(seed), drawn));
     written.into_iter().chain(overlaps).chain(storms).collect()
 }
 
-fn come_up(world: &mut World) {
-    world.run_until_holds(ms(4_000), World::whole).expect("three seeds form a chain");
+fn form_chain(world: &mut World) {
+    world.run_until_holds(ms(4_000), World::all_in_chain).expect("three seeds form a chain");
 }
 
-/// Sends a change to a machine and plays until it is taken.
-fn take(world: &mut World, machine: usize, generation: u64) {
-    let before = world.checker.taken;
+/// Submits a change to a machine and runs until it is acknowledged.
+fn commit_change(world: &mut World, machine: usize, generation: u64) {
+    let before = world.checker.acknowledged;
     world.write(machine, change(generation - 1, generation, generation, 100));
-    let taken = world.run_until_holds(ms(6_000), |world| world.checker.taken > before);
-    assert!(taken.is_some(), "generation {generation} was not taken: {:?}", world.checker.broken);
+    let acknowledged = world.run_until_holds(ms(6_000), |world| world.checker.acknowledged > before);
+    assert!(
+        acknowledged.is_some(),
+        "generation {generation} was not acknowledged: {:?}",
+        world.checker.violation
+    );
 }
 
-/// Has each machine asked for what is current.
-fn ask_all(world: &mut World) {
+/// Submits a read and a read index request to each machine.
+fn read_at_all(world: &mut World) {
     for machine in world.running() {
-        world.order(machine, Order::Read);
-        world.order(machine, Order::Prove);
+        world.submit(machine, Operation::Read);
+        world.submit(machine, Operation::ReadIndex);
     }
     world.run_for(ms(300));
 }
 
-/// Every answer to a change and to a question, at every member of the chain.
-fn all_answers(schedule: &mut Schedule) {
+/// Every outcome of changes and reads, at every member of the chain.
+fn all_outcomes(schedule: &mut Schedule) {
     let world = &mut schedule.world;
-    world.remembered = 4;
-    come_up(world);
-    ask_all(world);
-    (1..=9).for_each(|generation| take(world, generation as usize % 3, generation));
-    ask_all(world);
+    world.history_length = 4;
+    form_chain(world);
+    read_at_all(world);
+    (1..=9).for_each(|generation| commit_change(world, generation as usize % 3, generation));
+    read_at_all(world);
     for machine in 0..3 {
         let again = change(8, 9, 9, 100);
-        let forgotten = change(0, 1, 1, 100);
+        let pruned = change(0, 1, 1, 100);
         let late = change(8, 12, 21, 100);
         let low = change(9, 9, 22, 100);
         let early = change(30, 31, 23, 100);
-        for change in [again, forgotten, late, low, early] {
+        for change in [again, pruned, late, low, early] {
             world.write(machine, change);
             world.run_for(ms(200));
         }
     }
-    // What builds upon something that never comes has no clear answer.
+    // A change whose base is never committed has an unknown outcome.
     world.run_for(ms(4_000));
 }
 
-/// Machines are replaced, one after a shutdown and one without; one loses its disk.
+/// Machines are replaced, one after a shutdown and one without; then one loses its disk.
 fn machines_replaced(schedule: &mut Schedule) {
     let world = &mut schedule.world;
-    come_up(world);
-    take(world, 0, 1);
+    form_chain(world);
+    commit_change(world, 0, 1);
     for (old, is_announced) in [(0, true), (1, false)] {
         let new = world.add_machine(false);
         world.seeds = world.machines[2..].iter().map(|machine| machine.address).collect();
@@ -194,22 +199,22 @@
             world.run_for(ms(500));
         }
         world.remove(old);
-        world.run_until_holds(ms(5_000), World::whole).expect("the newcomer is taken into the chain");
-        take(world, new, old as u64 + 2);
+        world.run_until_holds(ms(5_000), World::all_in_chain).expect("the new machine joins the chain");
+        commit_change(world, new, old as u64 + 2);
         world.run_for(ms(2_000));
     }
     world.restart_wiped(2, ms(500));
     world.run_for(ms(1_000));
-    world.run_until_holds(ms(5_000), World::whole).expect("it comes back as another member");
-    take(world, 2, 4);
-    ask_all(world);
+    world.run_until_holds(ms(5_000), World::all_in_chain).expect("it rejoins as another member");
+    commit_change(world, 2, 4);
+    read_at_all(world);
 }
 
-/// The disk of the head, then that of the tail, takes nothing for a while.
+/// The disk of the head, then that of the tail, is full for a while.
 fn full_disk(schedule: &mut Schedule) {
     let world = &mut schedule.world;
-    come_up(world);
-    // Before there is any entry, too.
+    form_chain(world);
+    // Also before there is any entry.
     world.machines[0].disk.full = true;
     world.run_for(ms(200));
     world.deliver_input(0, Input::Shutdown);
@@ -217,34 +222,35 @@
     world.machines[0].disk.full = false;
     world.run_for(ms(2_000));
     world.restart(0, ms(100));
-    world.run_until_holds(ms(5_000), World::whole).expect("all are in the chain again");
-    take(world, 0, 1);
-    let members: [(u64, Finder); 2] = [(2, World::head), (4, World::tail)];
+    world.run_until_holds(ms(5_000), World::all_in_chain).expect("all are in the chain again");
+    commit_change(world, 0, 1);
+    let members: [(u64, MachineSelector); 2] = [(2, World::head), (4, World::tail)];
     for (generation, of) in members {
         let machine = of(world).expect("it is there");
         world.machines[machine].disk.full = true;
-        take(world, machine, generation);
+        commit_change(world, machine, generation);
         world.run_for(ms(1_500));
         world.machines[machine].disk.full = false;
         world.run_for(ms(2_000));
-        world.run_until_holds(ms(5_000), World::whole).expect("all are in the chain again");
-        take(world, machine, generation + 1);
+        world.run_until_holds(ms(5_000), World::all_in_chain).expect("all are in the chain again");
+        commit_change(world, machine, generation + 1);
     }
 }
 
-/// Head and tail do not reach each other for a moment: the one between them passes calls on. Then the tail is cut off, and back.
-fn parted_members(schedule: &mut Schedule) {
+/// Head and tail can't reach each other for a while, so the member between them relays requests. Then the
+/// tail is partitioned for a while.
+fn partitioned_members(schedule: &mut Schedule) {
     let world = &mut schedule.world;
-    come_up(world);
-    take(world, 0, 1);
+    form_chain(world);
+    commit_change(world, 0, 1);
     let (head, tail) = (world.head().expect("a head"), world.tail().expect("a tail"));
     world.cut(head, tail);
     world.cut(tail, head);
     for step in 0..20 {
         world.run_for(ms(50));
         if step % 4 == 0 {
-            world.order(head, Order::Read);
-            world.order(head, Order::Prove);
+            world.submit(head, Operation::Read);
+            world.submit(head, Operation::ReadIndex);
             let generation = world.checker.generation();
             world.write(tail, change(generation, generation + 1, 100 + step, 50));
         }
@@ -253,43 +259,43 @@
     world.run_for(ms(1_500));
     world.cuts.clear();
     world.run_for(ms(2_000));
-    world.run_until_holds(ms(5_000), World::whole).expect("all are in the chain again");
-    ask_all(world);
+    world.run_until_holds(ms(5_000), World::all_in_chain).expect("all are in the chain again");
+    read_at_all(world);
 }
 
-/// A member that was away, and then one that lost its disk, are taken into the chain with what they have, since no copy arrives.
+/// A restarted member, and then one that lost its disk, join the chain without a copy, since no copy arrives.
 fn without_copies(schedule: &mut Schedule) {
     let world = &mut schedule.world;
-    come_up(world);
-    take(world, 0, 1);
-    let away = world.tail().expect("a tail");
-    let stays = world.head().expect("a head");
-    world.drops = (0..3).map(|other| (other, away, "Copy {")).collect();
+    form_chain(world);
+    commit_change(world, 0, 1);
+    let restarted = world.tail().expect("a tail");
+    let running = world.head().expect("a head");
+    world.dropped_messages = (0..3).map(|other| (other, restarted, "Copy {")).collect();
     for (is_wiped, generation) in [(false, 2), (true, 5)] {
-        world.stop(away);
-        (generation..generation + 3).for_each(|generation| take(world, stays, generation));
+        world.stop(restarted);
+        (generation..generation + 3).for_each(|generation| commit_change(world, running, generation));
         if is_wiped {
-            world.restart_wiped(away, ms(100));
+            world.restart_wiped(restarted, ms(100));
         } else {
-            world.start_after(away, ms(100));
+            world.start_after(restarted, ms(100));
         }
         world.run_for(ms(1_000));
-        world.run_until_holds(ms(5_000), World::whole).expect("all are in the chain again");
+        world.run_until_holds(ms(5_000), World::all_in_chain).expect("all are in the chain again");
     }
 }
 
-/// The head takes a first entry that nobody else gets, and another member a first entry without it. The head comes into the chain
-/// behind that one, while nothing is committed.
+/// The head appends a first entry that no other member receives, and another member appends a different first
+/// entry. The old head joins the chain behind that member while nothing is committed.
 fn two_first_entries(schedule: &mut Schedule) {
     let world = &mut schedule.world;
-    come_up(world);
+    form_chain(world);
     world.run_for(ms(300));
     let (head, tail) = (world.head().expect("a head"), world.tail().expect("a tail"));
     let middle = 3 - head - tail;
     world.cut_off(head);
     world.write(head, change(0, 1, 1, 100));
     world.run_for(ms(50));
-    world.operators.open.clear();
+    world.operators.pending.clear();
     let is_led_by_middle = |world: &World| world.head() == Some(middle);
     world.run_until_holds(ms(4_000), is_led_by_middle).expect("a chain without the head");
     world.run_for(ms(300));
@@ -302,28 +308,29 @@
     world.run_for(ms(4_000));
     world.start_after(tail, ms(0));
     world.run_for(ms(1_000));
-    world.run_until_holds(ms(5_000), World::whole).expect("all are in the chain again");
-    ask_all(world);
+    world.run_until_holds(ms(5_000), World::all_in_chain).expect("all are in the chain again");
+    read_at_all(world);
 }
 
-/// A member joins a chain of one and is not synced yet as the other one loses its disk: nobody is left who holds all that the
-/// view could have committed, but it committed nothing. For a while what the others propose then does not arrive.
-fn rescue(schedule: &mut Schedule, delay: Duration) {
+/// A member joins a chain of one and is not synced yet when the other one loses its disk. No member is left
+/// with everything that the view could have committed, but the view has committed nothing. For a while,
+/// proposals of the others are dropped.
+fn forced_view(schedule: &mut Schedule, delay: Duration) {
     let world = &mut schedule.world;
-    come_up(world);
+    form_chain(world);
     let (head, tail) = (world.head().expect("a head"), world.tail().expect("a tail"));
     let middle = 3 - head - tail;
-    take(world, head, 1);
+    commit_change(world, head, 1);
     world.stop(tail);
     let is_a_chain_of_two = |world: &World| world.view().is_some_and(|view| view.chain.len() == 2);
     world.run_until_holds(ms(4_000), is_a_chain_of_two).expect("a chain of two");
-    take(world, head, 2);
+    commit_change(world, head, 2);
     world.cut_off(middle);
     world.start_after(tail, ms(0));
-    let parted = world.replica(middle).status().id;
+    let isolated = world.replica(middle).status().id;
     loop {
         let view = world.view().expect("a view");
-        if view.chain.len() == 2 && !view.chain.contains(&parted) {
+        if view.chain.len() == 2 && !view.chain.contains(&isolated) {
             break;
         }
         world.run_until(world.now + Duration::from_micros(50));
@@ -331,9 +338,9 @@
     world.restart_wiped(head, ms(3_000));
     world.run_for(ms(300));
     world.cuts.clear();
-    world.drops = vec![(middle, tail, "Accept {"), (tail, middle, "Accept {")];
+    world.dropped_messages = vec![(middle, tail, "Accept {"), (tail, middle, "Accept {")];
     world.run_for(delay);
-    world.drops.clear();
-    take(world, middle, 3);
-    world.run_until_holds(ms(12_000), World::whole).expect("all are in the chain again");
+    world.dropped_messages.clear();
+    commit_change(world, middle, 3);
+    world.run_until_holds(ms(12_000), World::all_in_chain).expect("all are in the chain again");
 }
--- a/crates/replication/tests/planted_faults.rs
+++ b/crates/replication/tests/planted_faults.rs
@@ -1,56 +1,62 @@
-//! Shows that the schedules and the trials of losses notice deliberate faults.
+//! Verifies that the random schedules and the measured outages detect injected faults.
 
 mod simulation;
 
 use replication::Fault;
-use simulation::losses::{Loss, longest_outage};
+use simulation::losses::{Failure, longest_outage};
 use simulation::ms;
-use simulation::schedule::{Schedule, draw_overlaps, draw_storm, draw_world};
+use simulation::schedule::{Schedule, draw_frequent_failures, draw_overlaps, draw_world};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// How many seeds are tried.
-const TRIED: u64 = 3_000;
-
-/// The longest time without changes that the trials of losses grant.
-const LONGEST_MS: u64 = 1_800;
-
-/// The first seed from `first` on in which a fault breaks a rule, and the rule. Every other schedule is a storm.
-fn caught(fault: Fault, first: u64) -> Option<(u64, String)> {
-    (first..first + TRIED).find_map(|seed| {
-        let schedule =
-            if seed.is_multiple_of(2) { draw_storm(seed) } else { Schedule::new(draw_world(seed)) };
-        noticed(schedule, fault).map(|broken| (seed, broken))
+/// The maximum number of seeds to try.
+const MAX_SEEDS: u64 = 3_000;
+
+/// The longest outage that the outage tests accept.
+const MAX_OUTAGE_MS: u64 = 1_800;
+
+/// The first seed from `first` on with which a fault violates an invariant, and the violation. Every other
+/// schedule has frequent failures.
+fn detected(fault: Fault, first: u64) -> Option<(u64, String)> {
+    (first..first + MAX_SEEDS).find_map(|seed| {
+        let schedule = if seed.is_multiple_of(2) {
+            draw_frequent_failures(seed)
+        } else {
+            Schedule::new(draw_world(seed))
+        };
+        violation_in(schedule, fault).map(|violation| (seed, violation))
     })
 }
 
-/// The same where losses overlap.
-fn caught_in_overlaps(fault: Fault, first: u64) -> Option<(u64, String)> {
-    (first..first + TRIED).find_map(|seed| noticed(draw_overlaps(seed), fault).map(|broken| (seed, broken)))
+/// The same in schedules with overlapping failures.
+fn detected_in_overlaps(fault: Fault, first: u64) -> Option<(u64, String)> {
+    (first..first + MAX_SEEDS)
+        .find_map(|seed| violation_in(draw_overlaps(seed), fault).map(|violation| (seed, violation)))
 }
 
-/// What a fault leads to: a broken rule, or a member that ends itself as it finds two histories.
-fn noticed(mut schedule: Schedule, fault: Fault) -> Option<String> {
+/// The effect of a fault: a violated invariant, or a replica that panics because it finds two histories.
+fn violation_in(mut schedule: Schedule, fault: Fault) -> Option<String> {
     schedule.world.fault = Some(fault);
-    match catch_unwind(AssertUnwindSafe(|| schedule.play(ms(30_000)))) {
-        Ok(()) => schedule.world.checker.broken,
-        Err(_) => Some("a member has ended itself".into()),
+    match catch_unwind(AssertUnwindSafe(|| schedule.run(ms(30_000)))) {
+        Ok(()) => schedule.world.checker.violation,
+        Err(_) => Some("a replica has panicked".into()),
     }
 }
 
-/// One test for each fault that shows where losses overlap, with the seed to begin with.
-macro_rules! caught_where_losses_overlap {
+/// Defines a test for each fault that is detected in schedules with overlapping failures; the search begins
+/// with the given seed.
+macro_rules! detected_where_failures_overlap {
     ($($test:ident: $fault:ident from $first:literal,)*) => {
         $(
             #[test]
             fn $test() {
-                let (seed, broken) = caught_in_overlaps(Fault::$fault, $first).expect("the fault breaks a rule");
-                println!("{:?}: seed {seed}: {broken}", Fault::$fault);
+                let (seed, violation) = detected_in_overlaps(Fault::$fault, $first).expect("the fault violates an invariant");
+                println!("{:?}: seed {seed}: {violation}", Fault::$fault);
             }
         )*
     };
 }
 
-caught_where_losses_overlap! {
+detected_where_failures_overlap! {
     forcing_without_evidence_is_detected: ForcesWithoutEvidence from 1,
     rejecting_pruned_changes_is_detected: RejectsPruned from 1,
     forwarding_before_durability_is_detected_where_failures_overlap: ForwardsBeforeDurable from 1,
@@ -58,20 +64,21 @@
     a_lagging_leader_is_detected_where_failures_overlap: AnyMemberLeads from 1,
 }
 
-/// One test for each fault, with the seed to begin with: one that caught it, so that the test is short.
-macro_rules! caught_in_schedules {
+/// Defines a test for each fault. The search begins with a seed that detects the fault, so that the test is
+/// short.
+macro_rules! detected_in_schedules {
     ($($test:ident: $fault:ident from $first:literal,)*) => {
         $(
             #[test]
             fn $test() {
-                let (seed, broken) = caught(Fault::$fault, $first).expect("the fault breaks a rule");
-                println!("{:?}: seed {seed}: {broken}", Fault::$fault);
+                let (seed, violation) = detected(Fault::$fault, $first).expect("the fault violates an invariant");
+                println!("{:?}: seed {seed}: {violation}", Fault::$fault);
             }
         )*
     };
 }
 
-caught_in_schedules! {
+detected_in_schedules! {
     forwarding_before_durability_is_detected: ForwardsBeforeDurable from 2,
     an_acceptance_that_is_not_durable_is_detected: AcceptanceNotDurable from 206,
     accepting_lower_proposals_is_detected: AcceptsLowerProposals from 43,
@@ -94,39 +101,39 @@
 
 #[test]
 fn a_promise_that_is_not_durable_is_detected() {
-    let caught = (1..10).find_map(|seed| {
-        let mut schedule = draw_storm(seed);
+    let detected = (1..10).find_map(|seed| {
+        let mut schedule = draw_frequent_failures(seed);
         schedule.world.fault = Some(Fault::PromiseNotDurable);
         schedule.world.checks_votes = true;
-        schedule.play(ms(30_000));
-        schedule.world.checker.broken
+        schedule.run(ms(30_000));
+        schedule.world.checker.violation
     });
-    println!("{caught:?}");
-    assert!(caught.is_some());
+    println!("{detected:?}");
+    assert!(detected.is_some());
 }
 
-/// Asserts that a fault makes the time without changes after a loss too long.
-fn caught_by_loss(fault: Fault, loss: Loss) {
-    let outages: Vec<_> = (1..=5).map(|seed| longest_outage(seed, loss, Some(fault))).collect();
-    println!("{fault:?} {loss:?}: {outages:?}");
+/// Asserts that a fault makes the outage after a failure longer than is accepted.
+fn assert_detected_by_outage(fault: Fault, failure: Failure) {
+    let outages: Vec<_> = (1..=5).map(|seed| longest_outage(seed, failure, Some(fault))).collect();
+    println!("{fault:?} {failure:?}: {outages:?}");
     let short = |outage: &Result<std::time::Duration, String>| {
-        outage.as_ref().is_ok_and(|outage| *outage <= ms(LONGEST_MS))
+        outage.as_ref().is_ok_and(|outage| *outage <= ms(MAX_OUTAGE_MS))
     };
-    assert!(!outages.iter().all(short), "the fault is not noticed");
+    assert!(!outages.iter().all(short), "the fault is not detected");
 }
 
 #[test]
 fn a_hidden_disk_failure_is_detected() {
-    caught_by_loss(Fault::HidesDiskFailure, Loss::TailDiskStalls);
-    caught_by_loss(Fault::HidesDiskFailure, Loss::TailDiskFull);
+    assert_detected_by_outage(Fault::HidesDiskFailure, Failure::TailDiskStalls);
+    assert_detected_by_outage(Fault::HidesDiskFailure, Failure::TailDiskFull);
 }
 
 #[test]
 fn ignored_one_way_partitions_are_detected() {
-    caught_by_loss(Fault::IgnoresOneWayPartitions, Loss::HeadHearsNobody);
+    assert_detected_by_outage(Fault::IgnoresOneWayPartitions, Failure::HeadHearsNobody);
 }
 
 #[test]
 fn requests_that_are_never_retried_are_detected() {
-    caught_by_loss(Fault::NeverRetriesRequests, Loss::HeadKilled);
+    assert_detected_by_outage(Fault::NeverRetriesRequests, Failure::HeadKilled);
 }
--- a/crates/replication/tests/same_change_again.rs
+++ b/crates/replication/tests/same_change_again.rs
@@ -1,4 +1,4 @@
-//! Two operators under one number, and a change that is sent again after its answer was lost.
+//! Changes of two operators with the same generation, and retries of a change whose response was lost.
 
 mod simulation;
 
@@ -8,7 +8,7 @@
 use simulation::{World, ms};
 use std::time::Duration;
 
-/// What happens between the change and its being sent again.
+/// What happens between a change and its retry.
 #[derive(Clone, Copy, Debug)]
 enum Between {
     Nothing,
@@ -17,7 +17,7 @@
     HeadWiped,
     TailReplaced,
     OtherChanges,
-    RivalRefused,
+    RivalRejected,
 }
 
 const BETWEEN: [Between; 7] = [
@@ -27,26 +27,27 @@
     Between::HeadWiped,
     Between::TailReplaced,
     Between::OtherChanges,
-    Between::RivalRefused,
+    Between::RivalRejected,
 ];
 
-fn world(seed: u64, remembered: usize, fault: Option<Fault>) -> World {
+fn world(seed: u64, history_length: usize, fault: Option<Fault>) -> World {
     let mut world = World::new(seed, 3, 1);
-    (world.remembered, world.fault) = (remembered, fault);
-    world.run_until_holds(ms(4_000), World::whole).expect("three seeds form a chain");
+    (world.history_length, world.fault) = (history_length, fault);
+    world.run_until_holds(ms(4_000), World::all_in_chain).expect("three seeds form a chain");
     world
 }
 
-/// Sends a change and plays until there is a clear answer; gives whether it was taken.
+/// Submits a change and runs until the outcome is definite. Returns whether it was committed.
 fn send(world: &mut World, machine: usize, change: Change) -> Option<bool> {
-    let (taken, refused) = (world.checker.taken, world.checker.refusals);
+    let (acknowledged, rejected) = (world.checker.acknowledged, world.checker.rejections);
     world.write(machine, change);
-    let is_clear = |world: &World| world.checker.taken > taken || world.checker.refusals > refused;
+    let is_clear =
+        |world: &World| world.checker.acknowledged > acknowledged || world.checker.rejections > rejected;
     world.run_until_holds(ms(6_000), is_clear)?;
-    Some(world.checker.taken > taken)
+    Some(world.checker.acknowledged > acknowledged)
 }
 
-fn happen(world: &mut World, between: Between) {
+fn apply(world: &mut World, between: Between) {
     let head = world.head().expect("a head");
     let tail = world.tail().expect("a tail");
     match between {
@@ -70,8 +71,12 @@
                 );
             }
         }
-        Between::RivalRefused => {
-            assert_eq!(send(world, tail, change(0, 5, 99, 20)), Some(false), "another body under the number");
+        Between::RivalRejected => {
+            assert_eq!(
+                send(world, tail, change(0, 5, 99, 20)),
+                Some(false),
+                "a different change of the same generation"
+            );
         }
     }
 }
@@ -83,24 +88,29 @@
             let mut world = world(again as u64 + 1, replication::DEFAULT_HISTORY_LENGTH, None);
             let sent = change(0, 5, 5, 20);
             assert_eq!(send(&mut world, 1, sent.clone()), Some(true));
-            happen(&mut world, between);
+            apply(&mut world, between);
             world.run_for(ms(1_500));
             let running = world.running();
             let machine = running[again % running.len()];
-            assert_eq!(send(&mut world, machine, sent), Some(true), "{between:?}, again at {machine}");
-            assert_eq!(send(&mut world, machine, change(0, 5, 77, 20)), Some(false), "{between:?}: a rival");
-            assert_eq!(world.checker.broken, None, "{between:?}");
+            assert_eq!(send(&mut world, machine, sent), Some(true), "{between:?}, retried at {machine}");
+            assert_eq!(
+                send(&mut world, machine, change(0, 5, 77, 20)),
+                Some(false),
+                "{between:?}: a conflicting change"
+            );
+            assert_eq!(world.checker.violation, None, "{between:?}");
         }
     }
 }
 
-/// One number, one base, two bodies, through two members at once, at each of many offsets and over the loss of the head.
+/// Two different changes with the same generation and base are submitted to two members, with different
+/// delays between them, and in half of the runs the head restarts.
 #[test]
 fn of_two_changes_of_one_generation_one_is_committed() {
     for offset in 0..60_u64 {
         let mut world = world(offset + 1, replication::DEFAULT_HISTORY_LENGTH, None);
         assert_eq!(send(&mut world, 0, change(0, 5, 5, 20)), Some(true));
-        let (taken, refused) = (world.checker.taken, world.checker.refusals);
+        let (acknowledged, rejected) = (world.checker.acknowledged, world.checker.rejections);
         world.write(1, change(5, 6, 61, 20));
         world.run_until(world.now + Duration::from_micros(100 * (offset % 30)));
         world.write(2, change(5, 6, 62, 20));
@@ -109,18 +119,21 @@
             world.run_until(world.now + Duration::from_micros(100 * (offset % 30)));
             world.restart(head, ms(700));
         }
-        let settled = |world: &World| world.checker.taken + world.checker.refusals >= taken + refused + 2;
+        let settled = |world: &World| {
+            world.checker.acknowledged + world.checker.rejections >= acknowledged + rejected + 2
+        };
         world.run_until_holds(ms(9_000), settled);
         assert_eq!(
-            (world.checker.taken - taken, world.checker.refusals - refused),
+            (world.checker.acknowledged - acknowledged, world.checker.rejections - rejected),
             (1, 1),
             "offset {offset}"
         );
-        assert_eq!(world.checker.broken, None, "offset {offset}");
+        assert_eq!(world.checker.violation, None, "offset {offset}");
     }
 }
 
-/// A change that may have been taken so long ago that nobody remembers is not refused, and one that can't have been is.
+/// A change that may have been committed before the history begins is not rejected; a change that can't have
+/// been committed is.
 #[test]
 fn a_change_older_than_the_history_has_an_unknown_outcome() {
     let mut world = world(1, 4, None);
@@ -129,12 +142,12 @@
     for generation in 2..12 {
         assert_eq!(send(&mut world, 0, change(generation - 1, generation, generation, 20)), Some(true));
     }
-    let unclear = world.checker.unclear;
-    assert_eq!(send(&mut world, 1, first), None, "neither taken nor refused");
-    assert!(world.checker.unclear > unclear, "it is reported as too old");
-    assert_eq!(send(&mut world, 1, change(10, 11, 11, 20)), Some(true), "still remembered");
-    assert_eq!(send(&mut world, 1, change(9, 12, 88, 20)), Some(false), "it was never taken");
-    assert_eq!(world.checker.broken, None);
+    let unknown_outcomes = world.checker.unknown_outcomes;
+    assert_eq!(send(&mut world, 1, first), None, "neither committed nor rejected");
+    assert!(world.checker.unknown_outcomes > unknown_outcomes, "it is reported as too old");
+    assert_eq!(send(&mut world, 1, change(10, 11, 11, 20)), Some(true), "still in the history");
+    assert_eq!(send(&mut world, 1, change(9, 12, 88, 20)), Some(false), "it was never committed");
+    assert_eq!(world.checker.violation, None);
 }
 
 #[test]
@@ -145,12 +158,13 @@
     for generation in 2..12 {
         send(&mut world, 0, change(generation - 1, generation, generation, 20));
     }
-    assert_eq!(send(&mut world, 1, first), Some(false), "refused though it was taken");
-    assert!(world.checker.broken.is_some());
+    assert_eq!(send(&mut world, 1, first), Some(false), "rejected although it was committed");
+    assert!(world.checker.violation.is_some());
 }
 
-/// A process numbers its calls anew at each start; the answer to an earlier life's call is for nobody.
-fn answer_to_an_earlier_life(fault: Option<Fault>) -> Option<RequestOutcome> {
+/// The outcome that a process reports for a response to a request of its previous incarnation. Each
+/// incarnation numbers its requests from the start, so the response has the number of a new request.
+fn outcome_for_an_earlier_incarnation(fault: Option<Fault>) -> Option<RequestOutcome> {
     let settings = |number: usize| Settings {
         address: address(number),
         zone: String::new(),
@@ -160,28 +174,28 @@
         history_length: replication::DEFAULT_HISTORY_LENGTH,
     };
     let now = ms(1_000);
-    // Two members of which the first is the head; what is stored is on disk at once.
+    // Two members, the first of which is the head. Stored records are durable immediately.
     let mut head = Driven::open(settings(1), now, 1, fault);
     let mut other = Driven::open(settings(2), now, 2, fault);
     let now = exchange(&mut head, &mut other, now);
-    let call = RequestId(1);
-    // The call of the first life reaches the head, and its answer is held up on the way.
-    let forwarded = other.input(now, Input::Write(call, change(0, 5, 5, 20)));
+    let request = RequestId(1);
+    // The request of the first incarnation reaches the head, and the response is held back.
+    let forwarded = other.input(now, Input::Write(request, change(0, 5, 5, 20)));
     let mut held = deliver(&mut head, &mut other, now, forwarded);
     let records = std::mem::take(&mut other.records);
     other = Driven::reopen(settings(2), records, now, 3, fault);
-    // The second life asks for something else under the same number.
-    other.input(now, Input::Write(call, change(5, 9, 9, 20)));
+    // The second incarnation sends a different request with the same number.
+    other.input(now, Input::Write(request, change(5, 9, 9, 20)));
     for message in held.drain(..) {
         other.input(now, Input::Received { from: address(1), message });
     }
-    other.answers.pop()
+    other.outcomes.pop()
 }
 
 struct Driven {
     replica: Replica,
     records: Vec<replication::Record>,
-    answers: Vec<RequestOutcome>,
+    outcomes: Vec<RequestOutcome>,
 }
 
 impl Driven {
@@ -197,18 +211,18 @@
         fault: Option<Fault>,
     ) -> Self {
         let (replica, outputs) = Replica::open_with_fault(settings, records.clone(), seed, now, fault);
-        let mut driven = Driven { replica, records, answers: Vec::new() };
-        driven.carry_out(now, outputs);
+        let mut driven = Driven { replica, records, outcomes: Vec::new() };
+        driven.perform(now, outputs);
         driven
     }
 
-    /// Gives what is sent.
+    /// Returns the messages to be sent.
     fn input(&mut self, now: Duration, input: Input) -> Vec<replication::Message> {
         let outputs = self.replica.handle(now, input);
-        self.carry_out(now, outputs)
+        self.perform(now, outputs)
     }
 
-    fn carry_out(&mut self, now: Duration, outputs: Vec<Output>) -> Vec<replication::Message> {
+    fn perform(&mut self, now: Duration, outputs: Vec<Output>) -> Vec<replication::Message> {
         let mut sent = Vec::new();
         for output in outputs {
             match output {
@@ -221,7 +235,7 @@
                     self.records = records;
                     sent.extend(self.input(now, Input::Stored(id)));
                 }
-                Output::Respond(_, answer) => self.answers.push(answer),
+                Output::Respond(_, outcome) => self.outcomes.push(outcome),
                 Output::Committed(_) | Output::ViewChanged(_) => {}
             }
         }
@@ -229,7 +243,7 @@
     }
 }
 
-/// Has the two talk for a while. Gives the time then.
+/// Exchanges messages between the two members for 20 ticks. Returns the time afterwards.
 fn exchange(head: &mut Driven, other: &mut Driven, mut now: Duration) -> Duration {
     for _ in 0..20 {
         now += replication::TICK_INTERVAL;
@@ -253,7 +267,7 @@
     now
 }
 
-/// Brings what the second says to the first and goes on until the answer is on its way; gives what the first says last.
+/// Delivers messages back and forth until a response is to be sent. Returns the messages with the response.
 fn deliver(
     head: &mut Driven,
     other: &mut Driven,
@@ -273,18 +287,18 @@
             .flat_map(|message| other.input(now, Input::Received { from: address(1), message }))
             .collect();
     }
-    panic!("no answer is on its way");
+    panic!("no response is sent");
 }
 
 #[test]
 fn a_response_to_an_earlier_incarnation_is_ignored() {
-    assert_eq!(answer_to_an_earlier_life(None), None);
+    assert_eq!(outcome_for_an_earlier_incarnation(None), None);
 }
 
 #[test]
 fn accepting_a_response_to_an_earlier_incarnation_is_detected() {
     assert_eq!(
-        answer_to_an_earlier_life(Some(Fault::AcceptsOtherIncarnations)),
+        outcome_for_an_earlier_incarnation(Some(Fault::AcceptsOtherIncarnations)),
         Some(RequestOutcome::Committed { sequence: Sequence(1) })
     );
 }
--- a/crates/replication/tests/simulation/disk.rs
+++ b/crates/replication/tests/simulation/disk.rs
@@ -1,4 +1,5 @@
-//! The disk of a machine with its driver: writes in batches, one sync each; stalls, refusals, loss of power.
+//! The simulated disk of a machine with its driver: writes in batches with one sync each, stalls, rejected
+//! writes, power loss.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -6,28 +7,28 @@
 use std::time::Duration;
 
 #[derive(Clone)]
-enum Order {
+enum PendingWrite {
     Append(Box<Record>),
     Rewrite(Vec<Record>),
 }
 
 #[derive(Default)]
 pub struct Disk {
-    /// What a start of the process finds, encoded.
+    /// The encoded records that the process finds when it starts.
     records: Vec<Vec<u8>>,
-    queue: Vec<(WriteId, Order)>,
-    /// The batch under way.
-    batch: Vec<(WriteId, Order)>,
-    /// Whether the log takes nothing but a rewrite, since an append has failed.
-    broken: bool,
+    queue: Vec<(WriteId, PendingWrite)>,
+    /// The batch that is being written.
+    batch: Vec<(WriteId, PendingWrite)>,
+    /// Whether an append has failed, so that the log accepts only a rewrite.
+    needs_rewrite: bool,
     pub full: bool,
-    /// How many more records fit before it is full.
-    pub room: Option<usize>,
+    /// The number of records that still fit until the disk is full; unlimited if `None`.
+    pub capacity: Option<usize>,
     pub stalled_until: Duration,
-    pub sync: Duration,
+    pub sync_time: Duration,
 }
 
-pub enum Done {
+pub enum WriteResult {
     Stored(WriteId),
     NotStored(WriteId),
 }
@@ -43,79 +44,82 @@
 }
 
 impl Disk {
-    pub fn new(sync: Duration) -> Self {
-        Disk { sync, ..Disk::default() }
+    pub fn new(sync_time: Duration) -> Self {
+        Disk { sync_time, ..Disk::default() }
     }
 
     pub fn append(&mut self, id: WriteId, record: Record) {
-        self.queue.push((id, Order::Append(Box::new(record))));
+        self.queue.push((id, PendingWrite::Append(Box::new(record))));
     }
 
     pub fn rewrite(&mut self, id: WriteId, records: Vec<Record>) {
-        self.queue.push((id, Order::Rewrite(records)));
+        self.queue.push((id, PendingWrite::Rewrite(records)));
     }
 
-    /// Begins a batch if none is under way: gives how long it takes.
+    /// Begins a batch if none is being written; returns how long it will take.
     pub fn begin(&mut self, now: Duration, random: &mut Pcg64Mcg) -> Option<Duration> {
         if self.queue.is_empty() || !self.batch.is_empty() {
             return None;
         }
         self.batch = std::mem::take(&mut self.queue);
-        let jitter = self.sync.mul_f64(random.random_range(0.8..1.5));
+        let jitter = self.sync_time.mul_f64(random.random_range(0.8..1.5));
         Some(jitter.max(self.stalled_until.saturating_sub(now)))
     }
 
-    /// Ends the batch under way.
-    pub fn finish(&mut self) -> Vec<Done> {
+    /// Finishes the batch that is being written.
+    pub fn finish(&mut self) -> Vec<WriteResult> {
         let batch = std::mem::take(&mut self.batch);
-        batch
-            .into_iter()
-            .map(|(id, order)| if self.write(&order) { Done::Stored(id) } else { Done::NotStored(id) })
-            .collect()
+        let mut results = Vec::new();
+        for (id, write) in batch {
+            let is_stored = self.write_record(&write);
+            results.push(if is_stored { WriteResult::Stored(id) } else { WriteResult::NotStored(id) });
+        }
+        results
     }
 
-    /// Uses up the room for one more record.
-    fn fill(&mut self) {
-        if let Some(room) = &mut self.room {
-            self.full |= *room == 0;
-            *room = room.saturating_sub(1);
+    /// Uses up the capacity for one record.
+    fn use_capacity(&mut self) {
+        if let Some(capacity) = &mut self.capacity {
+            self.full |= *capacity == 0;
+            *capacity = capacity.saturating_sub(1);
         }
     }
 
-    /// Removes what filled it.
-    pub fn free(&mut self) {
+    /// Makes the disk empty enough for all further records.
+    pub fn make_room(&mut self) {
         self.full = false;
-        self.room = None;
+        self.capacity = None;
     }
 
-    fn write(&mut self, order: &Order) -> bool {
-        self.fill();
-        match order {
-            Order::Append(_) if self.full || self.broken => self.broken = true,
-            Order::Append(record) => self.records.push(encode(record)),
-            Order::Rewrite(_) if self.full => self.broken = true,
-            Order::Rewrite(records) => {
+    fn write_record(&mut self, write: &PendingWrite) -> bool {
+        self.use_capacity();
+        match write {
+            PendingWrite::Append(_) if self.full || self.needs_rewrite => self.needs_rewrite = true,
+            PendingWrite::Append(record) => self.records.push(encode(record)),
+            PendingWrite::Rewrite(_) if self.full => self.needs_rewrite = true,
+            PendingWrite::Rewrite(records) => {
                 self.records = records.iter().map(encode).collect();
-                self.broken = false;
+                self.needs_rewrite = false;
             }
         }
-        !self.broken
+        !self.needs_rewrite
     }
 
-    /// The process is killed or loses power: of the batch under way a part may have been written, the rest is gone.
+    /// The process is killed or loses power: a prefix of the batch may have been written, the rest is lost.
     pub fn interrupt(&mut self, random: &mut Pcg64Mcg) {
-        let kept = random.random_range(0..=self.batch.len());
-        for (_, order) in std::mem::take(&mut self.batch).into_iter().take(kept) {
-            if !self.write(&order) {
+        let written = random.random_range(0..=self.batch.len());
+        for (_, write) in std::mem::take(&mut self.batch).into_iter().take(written) {
+            if !self.write_record(&write) {
                 break;
             }
         }
         self.queue.clear();
-        self.broken = false;
+        self.needs_rewrite = false;
     }
 
-    /// Whether what a voter says is on its disk; true for what is no vote. Goes by what messages and records print.
-    pub fn holds_vote(&self, message: &Message) -> bool {
+    /// Whether the promise or acceptance in a message is on this disk; true for other messages. Compares the
+    /// debug text of messages and records.
+    pub fn contains_vote(&self, message: &Message) -> bool {
         let text = format!("{:?}", message);
         let vote = text.split_once("body: Promise {").map(|(_, rest)| ("Record(Promise", rest));
         let vote =
@@ -132,6 +136,6 @@
     }
 
     pub fn wipe(&mut self) {
-        *self = Disk::new(self.sync);
+        *self = Disk::new(self.sync_time);
     }
 }
--- a/crates/replication/tests/simulation/losses.rs
+++ b/crates/replication/tests/simulation/losses.rs
@@ -1,4 +1,4 @@
-//! How long no change is taken when something is lost.
+//! Measures how long no change is acknowledged after a failure.
 
 use super::operators::change;
 use super::{World, ms};
@@ -6,13 +6,13 @@
 use replication::{Fault, Input};
 use std::time::Duration;
 
-/// What is lost, of three machines.
+/// A failure in a group of three machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Loss {
+pub enum Failure {
     HeadKilled,
     MiddleKilled,
     TailKilled,
-    HeadKilledAndBackAtOnce,
+    HeadRestarted,
     HeadFrozen,
     TailFrozen,
     HeadCutOff,
@@ -21,110 +21,120 @@
     HeadHearsNobody,
     TailNotHeard,
     TailHearsNobody,
-    HeadAndNextParted,
-    NextNotHeardByHead,
+    HeadAndMiddlePartitioned,
+    MiddleNotHeardByHead,
     HeadDiskStalls,
     TailDiskStalls,
     HeadDiskFull,
     TailDiskFull,
     HeadDiskLost,
-    HeadToldToEnd,
+    HeadShutDown,
     HeadReplaced,
     AllKilled,
 }
 
-impl Loss {
-    fn concerns_middle(self) -> bool {
-        matches!(self, Loss::MiddleKilled | Loss::HeadAndNextParted | Loss::NextNotHeardByHead)
+impl Failure {
+    fn affects_middle(self) -> bool {
+        matches!(
+            self,
+            Failure::MiddleKilled | Failure::HeadAndMiddlePartitioned | Failure::MiddleNotHeardByHead
+        )
     }
 
-    pub const ALL: [Loss; 22] = [
-        Loss::HeadKilled,
-        Loss::MiddleKilled,
-        Loss::TailKilled,
-        Loss::HeadKilledAndBackAtOnce,
-        Loss::HeadFrozen,
-        Loss::TailFrozen,
-        Loss::HeadCutOff,
-        Loss::TailCutOff,
-        Loss::HeadNotHeard,
-        Loss::HeadHearsNobody,
-        Loss::TailNotHeard,
-        Loss::TailHearsNobody,
-        Loss::HeadAndNextParted,
-        Loss::NextNotHeardByHead,
-        Loss::HeadDiskStalls,
-        Loss::TailDiskStalls,
-        Loss::HeadDiskFull,
-        Loss::TailDiskFull,
-        Loss::HeadDiskLost,
-        Loss::HeadToldToEnd,
-        Loss::HeadReplaced,
-        Loss::AllKilled,
+    pub const ALL: [Failure; 22] = [
+        Failure::HeadKilled,
+        Failure::MiddleKilled,
+        Failure::TailKilled,
+        Failure::HeadRestarted,
+        Failure::HeadFrozen,
+        Failure::TailFrozen,
+        Failure::HeadCutOff,
+        Failure::TailCutOff,
+        Failure::HeadNotHeard,
+        Failure::HeadHearsNobody,
+        Failure::TailNotHeard,
+        Failure::TailHearsNobody,
+        Failure::HeadAndMiddlePartitioned,
+        Failure::MiddleNotHeardByHead,
+        Failure::HeadDiskStalls,
+        Failure::TailDiskStalls,
+        Failure::HeadDiskFull,
+        Failure::TailDiskFull,
+        Failure::HeadDiskLost,
+        Failure::HeadShutDown,
+        Failure::HeadReplaced,
+        Failure::AllKilled,
     ];
 }
 
-/// How long what comes back stays away.
-const AWAY: Duration = Duration::from_secs(5);
+/// How long the failure lasts.
+const DOWNTIME: Duration = Duration::from_secs(5);
 
 struct Trial {
     world: World,
-    /// Head, middle, tail.
+    /// The machines of the head, the middle member and the tail.
     chain: Vec<usize>,
-    /// The machine that changes are sent to.
+    /// The machine that changes are submitted to.
     sender: usize,
     next_generation: u64,
-    last_taken: Duration,
+    last_acknowledged_at: Duration,
     longest: Duration,
 }
 
-/// The longest time without a change taken, from the loss until some seconds after; an error if a rule is broken.
-pub fn longest_outage(seed: u64, loss: Loss, fault: Option<Fault>) -> Result<Duration, String> {
+/// The longest time without an acknowledged change, from the failure until some seconds after recovery; an
+/// error if an invariant is violated.
+pub fn longest_outage(seed: u64, failure: Failure, fault: Option<Fault>) -> Result<Duration, String> {
     let mut world = World::new(seed, 3, 1);
     world.fault = fault;
-    // The operator stays with its machine: what is measured is the replicas' own doing.
-    world.operators.patience = Duration::from_secs(4);
-    let up = world.run_until_holds(ms(4_000), World::whole);
-    up.ok_or("the machines do not come up")?;
+    // The operator does not try other machines, so that only the replicas' own recovery is measured.
+    world.operators.retry_after = Duration::from_secs(4);
+    let up = world.run_until_holds(ms(4_000), World::all_in_chain);
+    up.ok_or("the machines do not form a chain")?;
     let ids = world.view().expect("there is a view").chain;
     let chain: Vec<usize> = ids.into_iter().filter_map(|id| world.machine_of(id)).collect();
-    let sender = if loss.concerns_middle() { chain[0] } else { chain[1] };
+    let sender = if failure.affects_middle() { chain[0] } else { chain[1] };
     let now = world.now;
-    let mut trial =
-        Trial { world, chain, sender, next_generation: 1, last_taken: now, longest: Duration::ZERO };
+    let mut trial = Trial {
+        world,
+        chain,
+        sender,
+        next_generation: 1,
+        last_acknowledged_at: now,
+        longest: Duration::ZERO,
+    };
     let before = ms(1_000 + trial.world.random.random_range(0..300));
-    trial.play(before);
+    trial.run(before);
     trial.longest = Duration::ZERO;
-    trial.last_taken = trial.world.now;
-    let back = trial.lose(loss);
-    trial.play(AWAY);
-    trial.come_back(loss, back);
-    trial.play(ms(4_000));
-    if trial.world.checker.broken.is_none() && !trial.world.whole() {
-        return Err("not whole at the end".into());
+    trial.last_acknowledged_at = trial.world.now;
+    let affected = trial.inject(failure);
+    trial.run(DOWNTIME);
+    trial.recover(failure, affected);
+    trial.run(ms(4_000));
+    if trial.world.checker.violation.is_none() && !trial.world.all_in_chain() {
+        return Err("not all machines are in the chain at the end".into());
     }
-    trial.world.checker.broken.map_or(Ok(trial.longest), Err)
+    trial.world.checker.violation.map_or(Ok(trial.longest), Err)
 }
 
 impl Trial {
-    /// Keeps one change under way at a machine that nothing happens to.
-    fn play(&mut self, span: Duration) {
+    /// Keeps one change in flight at a machine that the failure does not affect.
+    fn run(&mut self, span: Duration) {
         let end = self.world.now + span;
-        while self.world.now < end && self.world.checker.broken.is_none() {
-            let taken = self.world.checker.taken;
+        while self.world.now < end && self.world.checker.violation.is_none() {
+            let acknowledged = self.world.checker.acknowledged;
             let sender_down = self.world.machines[self.sender].replica.is_none();
             if sender_down {
-                self.world.operators.open.clear();
+                self.world.operators.pending.clear();
             }
-            if self.world.operators.open.is_empty() {
+            if self.world.operators.pending.is_empty() {
                 self.send();
             }
             self.world.run_until(self.world.now + ms(1));
-            if self.world.checker.taken > taken {
-                self.last_taken = self.world.now;
+            if self.world.checker.acknowledged > acknowledged {
+                self.last_acknowledged_at = self.world.now;
                 self.next_generation += 1;
             }
-            self.longest = self.longest.max(self.world.now - self.last_taken);
+            self.longest = self.longest.max(self.world.now - self.last_acknowledged_at);
         }
     }
 
@@ -135,63 +145,63 @@
         self.world.write(machine, change(base, base + 1, self.next_generation, 100));
     }
 
-    /// Takes something away; gives the machine that is concerned.
-    fn lose(&mut self, loss: Loss) -> usize {
+    /// Injects a failure; returns the affected machine.
+    fn inject(&mut self, failure: Failure) -> usize {
         let (head, middle, tail) = (self.chain[0], self.chain[1], self.chain[2]);
         let world = &mut self.world;
-        match loss {
-            Loss::HeadKilled => world.stop(head),
-            Loss::MiddleKilled => world.stop(middle),
-            Loss::TailKilled => world.stop(tail),
-            Loss::HeadKilledAndBackAtOnce => world.restart(head, ms(200)),
-            Loss::HeadFrozen => world.freeze(head, AWAY),
-            Loss::TailFrozen => world.freeze(tail, AWAY),
-            Loss::HeadCutOff => world.cut_off(head),
-            Loss::TailCutOff => world.cut_off(tail),
-            Loss::HeadNotHeard => [middle, tail].iter().for_each(|other| world.cut(head, *other)),
-            Loss::HeadHearsNobody => [middle, tail].iter().for_each(|other| world.cut(*other, head)),
-            Loss::TailNotHeard => [head, middle].iter().for_each(|other| world.cut(tail, *other)),
-            Loss::TailHearsNobody => [head, middle].iter().for_each(|other| world.cut(*other, tail)),
-            Loss::HeadAndNextParted => {
+        match failure {
+            Failure::HeadKilled => world.stop(head),
+            Failure::MiddleKilled => world.stop(middle),
+            Failure::TailKilled => world.stop(tail),
+            Failure::HeadRestarted => world.restart(head, ms(200)),
+            Failure::HeadFrozen => world.freeze(head, DOWNTIME),
+            Failure::TailFrozen => world.freeze(tail, DOWNTIME),
+            Failure::HeadCutOff => world.cut_off(head),
+            Failure::TailCutOff => world.cut_off(tail),
+            Failure::HeadNotHeard => [middle, tail].iter().for_each(|other| world.cut(head, *other)),
+            Failure::HeadHearsNobody => [middle, tail].iter().for_each(|other| world.cut(*other, head)),
+            Failure::TailNotHeard => [head, middle].iter().for_each(|other| world.cut(tail, *other)),
+            Failure::TailHearsNobody => [head, middle].iter().for_each(|other| world.cut(*other, tail)),
+            Failure::HeadAndMiddlePartitioned => {
                 world.cut(head, middle);
                 world.cut(middle, head);
             }
-            Loss::NextNotHeardByHead => world.cut(middle, head),
-            Loss::HeadDiskStalls => world.machines[head].disk.stalled_until = world.now + AWAY,
-            Loss::TailDiskStalls => world.machines[tail].disk.stalled_until = world.now + AWAY,
-            Loss::HeadDiskFull => world.machines[head].disk.full = true,
-            Loss::TailDiskFull => world.machines[tail].disk.full = true,
-            Loss::HeadDiskLost => world.restart_wiped(head, ms(500)),
-            Loss::HeadToldToEnd => {
+            Failure::MiddleNotHeardByHead => world.cut(middle, head),
+            Failure::HeadDiskStalls => world.machines[head].disk.stalled_until = world.now + DOWNTIME,
+            Failure::TailDiskStalls => world.machines[tail].disk.stalled_until = world.now + DOWNTIME,
+            Failure::HeadDiskFull => world.machines[head].disk.full = true,
+            Failure::TailDiskFull => world.machines[tail].disk.full = true,
+            Failure::HeadDiskLost => world.restart_wiped(head, ms(500)),
+            Failure::HeadShutDown => {
                 world.deliver_input(head, Input::Shutdown);
-                self.play(ms(300));
+                self.run(ms(300));
                 self.world.stop(head);
             }
-            Loss::HeadReplaced => {
+            Failure::HeadReplaced => {
                 let new = world.add_machine(false);
                 self.chain.push(new);
-                self.play(ms(1_500));
+                self.run(ms(1_500));
                 self.world.deliver_input(head, Input::Shutdown);
-                self.play(ms(300));
+                self.run(ms(300));
                 self.world.remove(head);
             }
-            Loss::AllKilled => {
+            Failure::AllKilled => {
                 [head, middle, tail].iter().for_each(|machine| world.restart(*machine, ms(300)))
             }
         }
-        match loss {
-            Loss::MiddleKilled => middle,
-            Loss::TailKilled => tail,
+        match failure {
+            Failure::MiddleKilled => middle,
+            Failure::TailKilled => tail,
             _ => head,
         }
     }
 
-    fn come_back(&mut self, loss: Loss, machine: usize) {
+    fn recover(&mut self, failure: Failure, machine: usize) {
         self.world.cuts.clear();
         for machine in &mut self.world.machines {
             machine.disk.full = false;
         }
-        if loss != Loss::HeadReplaced && self.world.machines[machine].replica.is_none() {
+        if failure != Failure::HeadReplaced && self.world.machines[machine].replica.is_none() {
             self.world.start_after(machine, ms(0));
         }
     }
--- a/crates/replication/tests/simulation/mod.rs
+++ b/crates/replication/tests/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! Replicas on simulated machines: a network with delay, loss and cuts; disks that stall, fill up and get lost; kills,
-//! losses of power, freezes; operators that write, race, read and send again. Everything follows from one seed.
-#![allow(dead_code, reason = "each test program uses a part")]
+//! A deterministic simulation of replicas: a network with delays, losses and cut links; disks that stall,
+//! fill up and get lost; processes that are killed or frozen; and operators that submit concurrent changes
+//! and reads and retry them. Everything follows from one seed.
+#![allow(dead_code, reason = "each test program uses only a part")]
 
 pub mod checker;
 pub mod disk;
@@ -17,7 +18,8 @@
     Duration::from_millis(count)
 }
 
-/// How many seeds to play: `default`, or what the environment variable `SEEDS` says.
+/// The range of seeds to run: `default` many, unless the environment variable `SEEDS` sets another number,
+/// starting with `FIRST_SEED` (1 by default).
 pub fn seeds(default: u64) -> std::ops::Range<u64> {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse().ok());
     let first: u64 = number("FIRST_SEED").unwrap_or(1);
--- a/crates/replication/tests/simulation/operators.rs
+++ b/crates/replication/tests/simulation/operators.rs
@@ -1,4 +1,5 @@
-//! Operators: each sends a change or a read to some machine, and again to another one until there is a clear answer.
+//! Simulated operators: each submits a change or a read to some machine, and retries at another one until the
+//! outcome is definite.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -8,39 +9,44 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long an operator goes on with one order.
-const GIVE_UP: Duration = Duration::from_secs(12);
+/// How long an operator retries an operation.
+const ABANDON_AFTER: Duration = Duration::from_secs(12);
 
 #[derive(Clone, Debug)]
-pub enum Order {
+pub enum Operation {
     Write(Change),
     Read,
-    Prove,
+    ReadIndex,
 }
 
 #[derive(Clone, Debug)]
-pub struct Job {
-    pub order: Order,
-    pub begun: Duration,
-    pub tried: Duration,
-    /// When this try was begun: a read counts from its own try.
+pub struct PendingOperation {
+    pub operation: Operation,
+    pub started_at: Duration,
+    pub sent_at: Duration,
+    /// The machine that the current attempt was sent to.
     pub machine: usize,
-    /// An answer that is lost on its way.
-    pub answer_lost: bool,
+    /// Whether a response to the current attempt is lost: from an unknown outcome until the retry.
+    pub response_ignored: bool,
 }
 
 pub struct Operators {
     next: u64,
-    pub open: BTreeMap<RequestId, Job>,
-    /// The generation that operators take to be current.
-    pub known: u64,
-    /// How long an operator waits before it tries another machine.
-    pub patience: Duration,
+    pub pending: BTreeMap<RequestId, PendingOperation>,
+    /// The newest generation that operators know.
+    pub known_generation: u64,
+    /// How long an operator waits for a response before it retries at another machine.
+    pub retry_after: Duration,
 }
 
 impl Default for Operators {
     fn default() -> Self {
-        Operators { next: 0, open: BTreeMap::new(), known: 0, patience: Duration::from_secs(1) }
+        Operators {
+            next: 0,
+            pending: BTreeMap::new(),
+            known_generation: 0,
+            retry_after: Duration::from_secs(1),
+        }
     }
 }
 
@@ -56,49 +62,54 @@
 }
 
 impl Operators {
-    pub fn call(&mut self) -> RequestId {
+    pub fn next_request_id(&mut self) -> RequestId {
         self.next += 1;
         RequestId(self.next)
     }
 
-    /// A change upon what is known to be current; sometimes upon something else.
+    /// A random change based on the newest known generation, sometimes on another one.
     pub fn draw_change(&mut self, random: &mut Pcg64Mcg) -> Change {
         let base = match random.random_range(0..20) {
-            0 => self.known.saturating_sub(1),
-            1 => self.known + random.random_range(1..4),
-            _ => self.known,
+            0 => self.known_generation.saturating_sub(1),
+            1 => self.known_generation + random.random_range(1..4),
+            _ => self.known_generation,
         };
         let step = if random.random_range(0..20) == 0 { 0 } else { random.random_range(1..4) };
         change(base, base + step, random.random(), random.random_range(10..200))
     }
 
-    /// Takes the jobs out that have waited too long on their machine; those that may go on are given back.
-    pub fn impatient(&mut self, now: Duration) -> Vec<(RequestId, Option<Job>)> {
-        let late = self.open.iter().filter(|(_, job)| now >= job.tried + self.patience).map(|(id, _)| *id);
+    /// Removes the operations whose current attempt has waited too long. Those that are to be retried are
+    /// returned with their identifier, the abandoned ones as `None`.
+    pub fn take_overdue(&mut self, now: Duration) -> Vec<(RequestId, Option<PendingOperation>)> {
+        let late = self
+            .pending
+            .iter()
+            .filter(|(_, pending)| now >= pending.sent_at + self.retry_after)
+            .map(|(id, _)| *id);
         let late: Vec<RequestId> = late.collect();
         late.into_iter()
             .filter_map(|id| {
-                let job = self.open.remove(&id)?;
-                let goes_on = now < job.begun + GIVE_UP;
-                Some((id, goes_on.then_some(job)))
+                let pending = self.pending.remove(&id)?;
+                let continues = now < pending.started_at + ABANDON_AFTER;
+                Some((id, continues.then_some(pending)))
             })
             .collect()
     }
 
-    /// Learns from an answer.
-    pub fn learn(&mut self, job: &Job, answer: &RequestOutcome) {
-        match (&job.order, answer) {
-            (Order::Write(change), RequestOutcome::Committed { .. }) => {
-                self.known = self.known.max(change.generation.get())
+    /// Updates the newest known generation from a response.
+    pub fn observe_outcome(&mut self, pending: &PendingOperation, outcome: &RequestOutcome) {
+        match (&pending.operation, outcome) {
+            (Operation::Write(change), RequestOutcome::Committed { .. }) => {
+                self.known_generation = self.known_generation.max(change.generation.get())
             }
             (
                 _,
                 RequestOutcome::Conflict { current }
                 | RequestOutcome::NotHigher { current }
                 | RequestOutcome::TooOld { current },
-            ) => self.known = self.known.max(current.get()),
+            ) => self.known_generation = self.known_generation.max(current.get()),
             (_, RequestOutcome::Current(Some(entry))) => {
-                self.known = self.known.max(entry.change.generation.get())
+                self.known_generation = self.known_generation.max(entry.change.generation.get())
             }
             _ => {}
         }
--- a/crates/replication/tests/simulation/schedule.rs
+++ b/crates/replication/tests/simulation/schedule.rs
@@ -1,26 +1,27 @@
-//! Random schedules of failures, and what must hold once they are over.
+//! Random schedules of failures, and the checks once they are over.
 
-use super::operators::{Order, change};
+use super::operators::{Operation, change};
 use super::{World, ms};
 use rand::Rng;
 use replication::Input;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long after its last trouble a machine no longer counts as lost.
+/// How long after its last failure a machine still counts as lost.
 const CATCH_UP: Duration = Duration::from_secs(4);
 
-/// How long after everything is healed a change must have been taken, with all in the chain.
-const RECOVERED: Duration = Duration::from_millis(3_500);
+/// Within this time after the last failure has ended, a change must be acknowledged and all machines must be
+/// in the chain.
+const RECOVERY_LIMIT: Duration = Duration::from_millis(3_500);
 
-/// The same where more was lost at once than is tolerated.
-const RECOVERED_FROM_OVERLAP: Duration = Duration::from_millis(12_000);
+/// The same if more machines were lost at once than is tolerated.
+const OVERLAP_RECOVERY_LIMIT: Duration = Duration::from_millis(12_000);
 
-/// How far a step goes.
+/// The simulated time of one step.
 pub const STEP: Duration = Duration::from_millis(20);
 
-/// Something that ends.
-enum Ending {
+/// The scheduled end of a failure.
+enum ScheduledEnd {
     Cut(Vec<(SocketAddrV4, SocketAddrV4)>),
     Full(usize),
     Stop(usize),
@@ -29,24 +30,24 @@
 
 pub struct Schedule {
     pub world: World,
-    endings: Vec<(Duration, Ending)>,
-    next_trouble: Duration,
-    next_order: Duration,
-    /// When the last trouble is over.
-    calm_at: Duration,
-    /// Whether the network is bad and processes are killed all the time, so that views meet.
-    pub stormy: bool,
-    /// Whether disks are lost also while other machines are away. No more disks than are tolerated are lost between two
-    /// moments at which all was whole.
+    scheduled_ends: Vec<(Duration, ScheduledEnd)>,
+    next_failure_at: Duration,
+    next_operation_at: Duration,
+    /// When the last failure so far ends.
+    failures_end_at: Duration,
+    /// Whether short failures follow each other closely, so that view changes overlap.
+    pub frequent_failures: bool,
+    /// Whether disks are also lost while other machines are down. Between two moments at which all machines
+    /// are in the chain, no more disks are lost than is tolerated.
     pub overlaps: bool,
     disks_lost: usize,
-    /// The longest pause between troubles in a storm, in ms.
-    longest_pause: u64,
-    /// What has happened, for a failure's report.
-    pub story: Vec<String>,
+    /// The longest pause between two of the frequent failures, in ms.
+    longest_pause_ms: u64,
+    /// The failures so far, for the report of a violation.
+    pub event_log: Vec<String>,
 }
 
-/// A world whose size, network and disks follow from the seed.
+/// A world whose size, network and disks are drawn from the seed.
 pub fn draw_world(seed: u64) -> World {
     let (count, tolerated) = match seed % 10 {
         0 => (5, 2),
@@ -55,41 +56,41 @@
         _ => (3, 1),
     };
     let mut world = World::new(seed, count, tolerated);
-    world.sync = [ms(1), ms(2), ms(5), ms(20)][world.random.random_range(0..4)];
+    world.sync_time = [ms(1), ms(2), ms(5), ms(20)][world.random.random_range(0..4)];
     for machine in &mut world.machines {
-        machine.disk.sync = world.sync;
+        machine.disk.sync_time = world.sync_time;
     }
     match world.random.random_range(0..4) {
-        0 => world.loss = 10,
-        1 => (world.loss, world.doubled, world.late) = (5, 10, 10),
+        0 => world.lost_per_mille = 10,
+        1 => (world.lost_per_mille, world.duplicated_per_mille, world.delayed_per_mille) = (5, 10, 10),
         _ => {}
     }
     world
 }
 
-/// A world with a bad network and slow disks.
-pub fn draw_storm(seed: u64) -> Schedule {
+/// A world with an unreliable network, slow disks and frequent short failures.
+pub fn draw_frequent_failures(seed: u64) -> Schedule {
     let (count, tolerated) = if seed.is_multiple_of(4) { (5, 2) } else { (3, 1) };
     let mut world = World::new(seed, count, tolerated);
-    world.sync = [ms(2), ms(10), ms(40)][world.random.random_range(0..3)];
+    world.sync_time = [ms(2), ms(10), ms(40)][world.random.random_range(0..3)];
     for machine in &mut world.machines {
-        machine.disk.sync = world.sync;
+        machine.disk.sync_time = world.sync_time;
     }
-    let longest_pause = if seed % 3 == 1 {
-        (world.loss, world.doubled, world.late) = (300, 50, 250);
+    let longest_pause_ms = if seed % 3 == 1 {
+        (world.lost_per_mille, world.duplicated_per_mille, world.delayed_per_mille) = (300, 50, 250);
         1_000
     } else {
-        (world.loss, world.doubled, world.late) = (100, 50, 150);
+        (world.lost_per_mille, world.duplicated_per_mille, world.delayed_per_mille) = (100, 50, 150);
         300
     };
-    Schedule { stormy: true, longest_pause, ..Schedule::new(world) }
+    Schedule { frequent_failures: true, longest_pause_ms, ..Schedule::new(world) }
 }
 
-/// A world in which losses overlap. In some, few of the changes that were taken are remembered.
+/// A world in which failures overlap. For every third seed, only a short history of changes is kept.
 pub fn draw_overlaps(seed: u64) -> Schedule {
     let mut world = draw_world(seed);
     if seed.is_multiple_of(3) {
-        world.remembered = 4;
+        world.history_length = 4;
     }
     Schedule { overlaps: true, ..Schedule::new(world) }
 }
@@ -99,57 +100,57 @@
         let now = world.now;
         Schedule {
             world,
-            endings: Vec::new(),
-            next_trouble: now + ms(1_500),
-            next_order: now,
-            calm_at: now,
-            stormy: false,
+            scheduled_ends: Vec::new(),
+            next_failure_at: now + ms(1_500),
+            next_operation_at: now,
+            failures_end_at: now,
+            frequent_failures: false,
             overlaps: false,
             disks_lost: 0,
-            longest_pause: 300,
-            story: Vec::new(),
+            longest_pause_ms: 300,
+            event_log: Vec::new(),
         }
     }
 
-    /// Plays `span` of troubles, then heals everything and checks what must hold then.
-    pub fn play(&mut self, span: Duration) {
+    /// Runs for `span` with failures, then ends them all and checks the state after recovery.
+    pub fn run(&mut self, span: Duration) {
         let end = self.world.now + span;
-        while self.world.now < end && self.world.checker.broken.is_none() {
+        while self.world.now < end && self.world.checker.violation.is_none() {
             self.step(true);
         }
-        self.settle();
+        self.recover_and_check();
     }
 
-    /// Plays [`STEP`], with or without new troubles.
-    pub fn step(&mut self, troubles: bool) {
+    /// Runs for [`STEP`], with or without new failures.
+    pub fn step(&mut self, with_failures: bool) {
         self.world.run_until(self.world.now + STEP);
-        self.end_what_is_over();
-        if self.disks_lost > 0 && self.all_count() && self.world.whole() {
+        self.end_expired_failures();
+        if self.disks_lost > 0 && self.none_counts_as_lost() && self.world.all_in_chain() {
             self.disks_lost = 0;
         }
         let now = self.world.now;
-        if now >= self.next_order {
-            self.some_order();
+        if now >= self.next_operation_at {
+            self.submit_random_operation();
             let pause = self.world.random.random_range(20..300);
-            self.next_order = now + ms(pause);
+            self.next_operation_at = now + ms(pause);
         }
-        if troubles && now >= self.next_trouble {
-            self.some_trouble();
-            let longest = if self.stormy {
-                self.longest_pause
+        if with_failures && now >= self.next_failure_at {
+            self.inject_random_failure();
+            let longest = if self.frequent_failures {
+                self.longest_pause_ms
             } else if self.world.random.random_range(0..5) == 0 {
                 7_000
             } else {
                 1_500
             };
             let pause = self.world.random.random_range(longest / 10..longest);
-            self.next_trouble = now + ms(pause);
+            self.next_failure_at = now + ms(pause);
         }
     }
 
-    fn some_order(&mut self) {
+    fn submit_random_operation(&mut self) {
         let running = self.world.running();
-        if running.is_empty() || self.world.operators.open.len() >= 8 {
+        if running.is_empty() || self.world.operators.pending.len() >= 8 {
             return;
         }
         let count = if self.world.random.random_range(0..4) == 0 { 2 } else { 1 };
@@ -158,11 +159,11 @@
             if self.world.random.random_range(0..5) < 3 {
                 let world = &mut self.world;
                 let change = world.operators.draw_change(&mut world.random);
-                self.world.order(machine, Order::Write(change));
+                self.world.submit(machine, Operation::Write(change));
             } else if self.overlaps && self.world.random.random() {
-                self.world.order(machine, Order::Prove);
+                self.world.submit(machine, Operation::ReadIndex);
             } else {
-                self.world.order(machine, Order::Read);
+                self.world.submit(machine, Operation::Read);
             }
         }
     }
@@ -171,39 +172,39 @@
         if self.world.prints_views {
             println!("{:?} {text}", self.world.now);
         }
-        self.story.push(format!("{:?} {text}", self.world.now));
+        self.event_log.push(format!("{:?} {text}", self.world.now));
     }
 
-    fn until(&mut self, end: Duration) {
-        self.calm_at = self.calm_at.max(end);
+    fn extend_failures_until(&mut self, end: Duration) {
+        self.failures_end_at = self.failures_end_at.max(end);
     }
 
-    fn end_after(&mut self, span: Duration, ending: Ending) {
+    fn end_after(&mut self, span: Duration, end_event: ScheduledEnd) {
         let end = self.world.now + span;
-        self.until(end);
-        self.endings.push((end, ending));
+        self.extend_failures_until(end);
+        self.scheduled_ends.push((end, end_event));
     }
 
-    fn end_what_is_over(&mut self) {
+    fn end_expired_failures(&mut self) {
         let now = self.world.now;
         let (over, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.endings).into_iter().partition(|(at, _)| *at <= now);
-        self.endings = rest;
-        for (_, ending) in over {
-            match ending {
-                Ending::Cut(_) => self.join(),
-                Ending::Full(machine) => self.world.machines[machine].disk.full = false,
-                Ending::Stop(machine) => self.world.restart(machine, ms(300)),
-                Ending::Remove(machine) => self.world.remove(machine),
+            std::mem::take(&mut self.scheduled_ends).into_iter().partition(|(at, _)| *at <= now);
+        self.scheduled_ends = rest;
+        for (_, end_event) in over {
+            match end_event {
+                ScheduledEnd::Cut(_) => self.restore_links(),
+                ScheduledEnd::Full(machine) => self.world.machines[machine].disk.full = false,
+                ScheduledEnd::Stop(machine) => self.world.restart(machine, ms(300)),
+                ScheduledEnd::Remove(machine) => self.world.remove(machine),
             }
         }
     }
 
-    /// Leaves only those cuts that are not over.
-    fn join(&mut self) {
+    /// Restores all links except those whose failure has not ended.
+    fn restore_links(&mut self) {
         self.world.cuts.clear();
-        for (_, ending) in &self.endings {
-            if let Ending::Cut(pairs) = ending {
+        for (_, end_event) in &self.scheduled_ends {
+            if let ScheduledEnd::Cut(pairs) = end_event {
                 self.world.cuts.extend(pairs);
             }
         }
@@ -213,36 +214,38 @@
         let address = |machine: usize| self.world.machines[machine].address;
         let pairs: Vec<_> = pairs.into_iter().map(|(from, to)| (address(from), address(to))).collect();
         self.world.cuts.extend(&pairs);
-        self.end_after(span, Ending::Cut(pairs));
+        self.end_after(span, ScheduledEnd::Cut(pairs));
     }
 
-    fn present(&self) -> Vec<usize> {
+    fn present_machines(&self) -> Vec<usize> {
         (0..self.world.machines.len()).filter(|machine| !self.world.machines[*machine].removed).collect()
     }
 
-    /// Whether no machine counts as lost.
-    fn all_count(&self) -> bool {
-        self.world.now >= self.calm_at + CATCH_UP && self.world.running().len() == self.present().len()
+    /// Whether all machines run and the last failure ended long enough ago.
+    fn none_counts_as_lost(&self) -> bool {
+        self.world.now >= self.failures_end_at + CATCH_UP
+            && self.world.running().len() == self.present_machines().len()
     }
 
-    /// Kills and freezes that are over soon.
-    fn some_short_trouble(&mut self) {
-        let present = self.present();
-        let machine = present[self.world.random.random_range(0..present.len())];
+    /// Injects a kill, a freeze or a cut of links that ends soon.
+    fn inject_short_failure(&mut self) {
+        let present_machines = self.present_machines();
+        let machine = present_machines[self.world.random.random_range(0..present_machines.len())];
         let span = ms(self.world.random.random_range(1..700));
         match self.world.random.random_range(0..5) {
             0 => self.kill(machine, span / 10),
             1 => {
-                let some = present.into_iter().filter(|_| self.world.random.random()).collect::<Vec<_>>();
+                let some =
+                    present_machines.into_iter().filter(|_| self.world.random.random()).collect::<Vec<_>>();
                 some.into_iter().for_each(|machine| self.kill(machine, span / 10));
             }
             2 => self.kill(machine, span),
             3 => {
                 self.world.freeze(machine, span);
-                self.until(self.world.now + span);
+                self.extend_failures_until(self.world.now + span);
             }
             _ => {
-                let others = present.iter().copied().filter(|other| *other != machine);
+                let others = present_machines.iter().copied().filter(|other| *other != machine);
                 let both = |other: usize| [(machine, other), (other, machine)];
                 let pairs = others.flat_map(both).filter(|_| self.world.random.random()).collect();
                 self.cut(pairs, span);
@@ -250,27 +253,27 @@
         }
     }
 
-    fn some_trouble(&mut self) {
-        if self.stormy {
-            return self.some_short_trouble();
+    fn inject_random_failure(&mut self) {
+        if self.frequent_failures {
+            return self.inject_short_failure();
         }
         if self.overlaps
             && self.disks_lost < self.world.tolerated
             && self.world.random.random_range(0..4) == 0
         {
-            return self.lose_a_disk();
+            return self.lose_one_disk();
         }
-        if self.all_count() && self.disks_lost == 0 {
-            self.check_whole();
+        if self.none_counts_as_lost() && self.disks_lost == 0 {
+            self.check_all_in_chain();
             if self.world.random.random_range(0..3) > 0 {
                 return self.lose_disks();
             }
         }
-        let present = self.present();
-        let machine = present[self.world.random.random_range(0..present.len())];
-        let other = present[self.world.random.random_range(0..present.len())];
+        let present_machines = self.present_machines();
+        let machine = present_machines[self.world.random.random_range(0..present_machines.len())];
+        let other = present_machines[self.world.random.random_range(0..present_machines.len())];
         let span = ms(self.world.random.random_range(50..4_000));
-        let others: Vec<usize> = present.iter().copied().filter(|other| *other != machine).collect();
+        let others: Vec<usize> = present_machines.iter().copied().filter(|other| *other != machine).collect();
         match self.world.random.random_range(0..14) {
             0..3 => {
                 self.log_event(format!("kill {machine} for {span:?}"));
@@ -278,12 +281,12 @@
             }
             3 => {
                 self.log_event(format!("kill all for {span:?}"));
-                present.iter().for_each(|machine| self.kill(*machine, span / 4));
+                present_machines.iter().for_each(|machine| self.kill(*machine, span / 4));
             }
             4 | 5 => {
                 self.log_event(format!("freeze {machine} for {span:?}"));
                 self.world.freeze(machine, span);
-                self.until(self.world.now + span);
+                self.extend_failures_until(self.world.now + span);
             }
             6 => {
                 self.log_event(format!("cut {machine} to {other} for {span:?}"));
@@ -309,30 +312,31 @@
             11 => {
                 self.log_event(format!("disk of {machine} stalls for {span:?}"));
                 self.world.machines[machine].disk.stalled_until = self.world.now + span;
-                self.until(self.world.now + span + ms(100));
+                self.extend_failures_until(self.world.now + span + ms(100));
             }
             12 => {
                 self.log_event(format!("disk of {machine} is full for {span:?}"));
                 self.world.machines[machine].disk.full = true;
-                self.end_after(span, Ending::Full(machine));
+                self.end_after(span, ScheduledEnd::Full(machine));
             }
             _ => {
                 self.log_event(format!("{machine} shuts down"));
                 self.world.deliver_input(machine, Input::Shutdown);
-                self.end_after(span / 4, Ending::Stop(machine));
-                self.until(self.world.now + span / 4 + ms(300));
+                self.end_after(span / 4, ScheduledEnd::Stop(machine));
+                self.extend_failures_until(self.world.now + span / 4 + ms(300));
             }
         }
     }
 
     fn kill(&mut self, machine: usize, down: Duration) {
         self.world.restart(machine, down);
-        self.until(self.world.now + down);
+        self.extend_failures_until(self.world.now + down);
     }
 
-    /// As many disks as may be lost are lost at one moment, perhaps while all others lose power; or a machine is replaced.
+    /// Loses as many disks as is tolerated at the same time, perhaps while all other machines lose power; or
+    /// replaces a machine.
     fn lose_disks(&mut self) {
-        let mut present = self.present();
+        let mut present_machines = self.present_machines();
         if self.world.tolerated == 0 {
             return;
         }
@@ -343,36 +347,40 @@
         let power = self.world.random.random_range(0..2) == 0;
         self.disks_lost = self.world.tolerated;
         for _ in 0..self.world.tolerated {
-            let machine = present.swap_remove(self.world.random.random_range(0..present.len()));
+            let machine =
+                present_machines.swap_remove(self.world.random.random_range(0..present_machines.len()));
             self.log_event(format!("{machine} loses its disk"));
             self.world.restart_wiped(machine, down);
         }
         if power {
             self.log_event("all others lose power".into());
-            present.iter().for_each(|machine| self.kill(*machine, down));
+            present_machines.iter().for_each(|machine| self.kill(*machine, down));
         }
-        self.until(self.world.now + down);
+        self.extend_failures_until(self.world.now + down);
     }
 
-    /// One disk is lost, whatever else is away, perhaps as all others lose power.
-    fn lose_a_disk(&mut self) {
-        let present = self.present();
-        let machine = present[self.world.random.random_range(0..present.len())];
+    /// Loses one disk, whatever else is down, perhaps while all other machines lose power.
+    fn lose_one_disk(&mut self) {
+        let present_machines = self.present_machines();
+        let machine = present_machines[self.world.random.random_range(0..present_machines.len())];
         let down = ms(self.world.random.random_range(50..1_000));
         self.disks_lost += 1;
         self.log_event(format!("{machine} loses its disk, whatever else is away"));
         self.world.restart_wiped(machine, down);
         if self.world.random.random_range(0..3) == 0 {
             self.log_event("all others lose power".into());
-            present.iter().filter(|other| **other != machine).for_each(|other| self.kill(*other, down));
+            present_machines
+                .iter()
+                .filter(|other| **other != machine)
+                .for_each(|other| self.kill(*other, down));
         }
-        self.until(self.world.now + down);
+        self.extend_failures_until(self.world.now + down);
     }
 
-    /// Another machine at a new address takes the place of one, which shuts down first or not.
+    /// Replaces a machine by one at a new address. The old one may shut down first.
     fn replace(&mut self) {
-        let present = self.present();
-        let old = present[self.world.random.random_range(0..present.len())];
+        let present_machines = self.present_machines();
+        let old = present_machines[self.world.random.random_range(0..present_machines.len())];
         let new = self.world.add_machine(false);
         let span = ms(self.world.random.random_range(0..3_000));
         self.disks_lost = self.world.tolerated;
@@ -380,67 +388,78 @@
         if self.world.random.random() {
             self.world.deliver_input(old, Input::Shutdown);
         }
-        // The list of seeds names machines that are there.
-        let seeds = present.iter().filter(|machine| **machine != old).chain([&new]);
+        // The seeds are addresses of present machines.
+        let seeds = present_machines.iter().filter(|machine| **machine != old).chain([&new]);
         self.world.seeds = seeds.take(3).map(|machine| self.world.machines[*machine].address).collect();
-        self.end_after(span, Ending::Remove(old));
+        self.end_after(span, ScheduledEnd::Remove(old));
     }
 
-    fn check_whole(&mut self) {
-        if !self.world.whole() {
-            let text = format!("not whole though nothing has happened since {:?}", self.calm_at);
-            self.world.checker.broken.get_or_insert(text);
+    fn check_all_in_chain(&mut self) {
+        if !self.world.all_in_chain() {
+            let text = format!(
+                "not all machines are in the chain, last failure ended at {:?}",
+                self.failures_end_at
+            );
+            self.world.checker.violation.get_or_insert(text);
         }
     }
 
-    /// Heals everything; all must be in the chain again, a change be taken, and every machine read it.
-    /// Whether all troubles are over. The network is good from then on.
-    pub fn is_calm(&mut self) -> bool {
-        let is_calm = self.world.now >= self.calm_at;
-        if is_calm {
-            (self.world.loss, self.world.doubled, self.world.late) = (0, 0, 0);
+    /// Whether all failures have ended. From then on the network is reliable.
+    pub fn are_failures_over(&mut self) -> bool {
+        let are_failures_over = self.world.now >= self.failures_end_at;
+        if are_failures_over {
+            (self.world.lost_per_mille, self.world.duplicated_per_mille, self.world.delayed_per_mille) =
+                (0, 0, 0);
         }
-        is_calm
+        are_failures_over
     }
 
-    fn settle(&mut self) {
+    /// Lets all failures end. Then all machines must be in the chain again, a change must be acknowledged,
+    /// and every machine must read it.
+    fn recover_and_check(&mut self) {
         self.log_event("heal".into());
-        while !self.is_calm() && self.world.checker.broken.is_none() {
+        while !self.are_failures_over() && self.world.checker.violation.is_none() {
             self.step(false);
         }
-        let taken = self.world.checker.taken;
-        let end = self.world.now + if self.overlaps { RECOVERED_FROM_OVERLAP } else { RECOVERED };
-        while self.world.now < end && self.world.checker.broken.is_none() {
+        let acknowledged = self.world.checker.acknowledged;
+        let end = self.world.now + if self.overlaps { OVERLAP_RECOVERY_LIMIT } else { RECOVERY_LIMIT };
+        while self.world.now < end && self.world.checker.violation.is_none() {
             self.step(false);
         }
-        if self.world.checker.taken == taken {
-            self.world.checker.broken.get_or_insert("no change was taken after all had been healed".into());
+        if self.world.checker.acknowledged == acknowledged {
+            self.world
+                .checker
+                .violation
+                .get_or_insert("no change was acknowledged after all failures had ended".into());
         }
-        self.check_whole();
-        self.read_at_all();
+        self.check_all_in_chain();
+        self.check_final_reads();
     }
 
-    /// A last change, then reads at all machines, which have to give it.
-    fn read_at_all(&mut self) {
+    /// Submits a last change, then reads at all machines, which must return it.
+    fn check_final_reads(&mut self) {
         self.world.run_for(ms(500));
         let generation = self.world.checker.generation();
         let running = self.world.running();
-        let call = self.world.write(running[0], change(generation, generation + 1, u64::MAX, 10));
-        let open = |world: &World| world.operators.open.contains_key(&call);
-        if self.world.run_until_holds(ms(900), |world| !open(world)).is_none() {
-            self.world.checker.broken.get_or_insert("the last change gets no answer".into());
+        let request = self.world.write(running[0], change(generation, generation + 1, u64::MAX, 10));
+        let is_pending = |world: &World| world.operators.pending.contains_key(&request);
+        if self.world.run_until_holds(ms(900), |world| !is_pending(world)).is_none() {
+            self.world.checker.violation.get_or_insert("no response to the last change".into());
         }
         let newest = self.world.checker.newest();
         for machine in running {
-            let call = self.world.order(machine, Order::Read);
-            let open = |world: &World| world.operators.open.contains_key(&call);
-            if self.world.run_until_holds(ms(900), |world| !open(world)).is_none() {
-                self.world.checker.broken.get_or_insert(format!("a last read at {machine} gets no answer"));
+            let request = self.world.submit(machine, Operation::Read);
+            let is_pending = |world: &World| world.operators.pending.contains_key(&request);
+            if self.world.run_until_holds(ms(900), |world| !is_pending(world)).is_none() {
+                self.world
+                    .checker
+                    .violation
+                    .get_or_insert(format!("no response to the last read at {machine}"));
             }
             let knows = |world: &World| world.replica(machine).status().committed.get() >= newest;
             if self.world.run_until_holds(ms(300), knows).is_none() {
-                let text = format!("machine {machine} does not get to know {newest}");
-                self.world.checker.broken.get_or_insert(text);
+                let text = format!("machine {machine} does not learn that entry {newest} is committed");
+                self.world.checker.violation.get_or_insert(text);
             }
         }
     }
--- a/crates/replication/tests/simulation/world.rs
+++ b/crates/replication/tests/simulation/world.rs
@@ -1,9 +1,9 @@
-//! Machines, network and time.
+//! The simulated world: machines, network and time.
 
 use super::checker::Checker;
-use super::disk::{Disk, Done};
+use super::disk::{Disk, WriteResult};
 use super::ms;
-use super::operators::{Job, Operators, Order};
+use super::operators::{Operation, Operators, PendingOperation};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use replication::{
@@ -19,25 +19,25 @@
     pub address: SocketAddrV4,
     pub replica: Option<Replica>,
     pub disk: Disk,
-    /// Counts the starts of its process.
-    pub life: u64,
+    /// Incremented at each start and stop of its process; events for an earlier value are dropped.
+    pub incarnation: u64,
     pub frozen: bool,
-    /// Inputs that arrived while it was frozen.
+    /// Inputs that arrived while it was frozen, delivered afterwards.
     deferred: Vec<Input>,
     pub removed: bool,
     pub bootstrap: bool,
-    /// The newest entry output as committed by this process.
+    /// The newest entry that this process reported as committed.
     pub newest: Option<Entry>,
-    /// Since when it has been without any trouble.
-    pub calm_since: Duration,
+    /// When it was last started, stopped or unfrozen.
+    pub stable_since: Duration,
 }
 
 enum Event {
-    Tick { machine: usize, life: u64 },
+    Tick { machine: usize, incarnation: u64 },
     Deliver { from: SocketAddrV4, to: SocketAddrV4, message: Box<Message> },
-    DiskDone { machine: usize, life: u64 },
-    Start { machine: usize, life: u64 },
-    Thaw { machine: usize, life: u64 },
+    DiskDone { machine: usize, incarnation: u64 },
+    Start { machine: usize, incarnation: u64 },
+    Unfreeze { machine: usize, incarnation: u64 },
 }
 
 struct Scheduled(Duration, u64, Event);
@@ -59,8 +59,8 @@
     }
 }
 
-/// Observes an output of a replica, with the number of its machine.
-pub type Watch = Box<dyn FnMut(usize, &Output)>;
+/// Called with each output of a replica and the number of its machine.
+pub type OutputObserver = Box<dyn FnMut(usize, &Output)>;
 
 pub struct World {
     pub now: Duration,
@@ -69,30 +69,30 @@
     pub seeds: Vec<SocketAddrV4>,
     pub tolerated: usize,
     events: BinaryHeap<Reverse<Scheduled>>,
-    order: u64,
-    /// Directed pairs of addresses between which nothing goes.
+    event_count: u64,
+    /// Directed links, as pairs of addresses, that deliver nothing.
     pub cuts: BTreeSet<(SocketAddrV4, SocketAddrV4)>,
-    /// Of a thousand messages, how many are lost, doubled, or late.
-    pub loss: u32,
-    pub doubled: u32,
-    pub late: u32,
+    /// How many of a thousand messages are lost, duplicated or delayed.
+    pub lost_per_mille: u32,
+    pub duplicated_per_mille: u32,
+    pub delayed_per_mille: u32,
     last_arrival: BTreeMap<(SocketAddrV4, SocketAddrV4), Duration>,
     pub operators: Operators,
-    /// Questions of coordinators themselves for the newest sequence, and what was answered. Nobody sends them again.
-    pub proofs: BTreeMap<RequestId, Option<RequestOutcome>>,
+    /// Read index requests of coordinators, with their outcomes. They are not retried.
+    pub read_index_outcomes: BTreeMap<RequestId, Option<RequestOutcome>>,
     pub checker: Checker,
-    /// A deliberate fault of all replicas that start from now on.
+    /// The fault injected into all replicas that start from now on.
     pub fault: Option<Fault>,
-    pub sync: Duration,
-    /// Messages from one machine to another whose debug text contains this are lost.
-    pub drops: Vec<(usize, usize, &'static str)>,
-    /// How many changes that were taken machines remember.
-    pub remembered: usize,
-    /// Whether views are printed.
+    pub sync_time: Duration,
+    /// Messages to drop: sender, recipient, and a part of the message's debug text.
+    pub dropped_messages: Vec<(usize, usize, &'static str)>,
+    /// The history length of the replicas.
+    pub history_length: usize,
+    /// Whether new views and injected failures are printed.
     pub prints_views: bool,
-    /// Observes all outputs of replicas.
-    pub watch: Option<Watch>,
-    /// Whether every promise and acceptance that is sent is looked for on its sender's disk.
+    /// Called with all outputs of replicas.
+    pub observer: Option<OutputObserver>,
+    /// Whether each promise and acceptance that is sent must be on its sender's disk.
     pub checks_votes: bool,
 }
 
@@ -101,7 +101,7 @@
 }
 
 impl World {
-    /// `count` machines on empty disks, the first of them the seeds.
+    /// A world of `count` machines with empty disks; the first three at most are the seeds.
     pub fn new(seed: u64, count: usize, tolerated: usize) -> Self {
         let mut world = World {
             now: ms(1_000),
@@ -110,21 +110,21 @@
             seeds: (1..=count.min(3)).map(address).collect(),
             tolerated,
             events: BinaryHeap::new(),
-            order: 0,
+            event_count: 0,
             cuts: BTreeSet::new(),
-            loss: 0,
-            doubled: 0,
-            late: 0,
+            lost_per_mille: 0,
+            duplicated_per_mille: 0,
+            delayed_per_mille: 0,
             last_arrival: BTreeMap::new(),
             operators: Operators::default(),
-            proofs: BTreeMap::new(),
+            read_index_outcomes: BTreeMap::new(),
             checker: Checker::default(),
             fault: None,
-            sync: ms(2),
-            drops: Vec::new(),
-            remembered: replication::DEFAULT_HISTORY_LENGTH,
+            sync_time: ms(2),
+            dropped_messages: Vec::new(),
+            history_length: replication::DEFAULT_HISTORY_LENGTH,
             prints_views: false,
-            watch: None,
+            observer: None,
             checks_votes: false,
         };
         for _ in 0..count {
@@ -133,20 +133,20 @@
         world
     }
 
-    /// Adds a machine with an empty disk that starts within 0.3 s.
+    /// Adds a machine with an empty disk that starts within 0.3 s. Returns its number.
     pub fn add_machine(&mut self, bootstrap: bool) -> usize {
         let machine = self.machines.len();
         self.machines.push(Machine {
             address: address(machine + 1),
             replica: None,
-            disk: Disk::new(self.sync),
-            life: 0,
+            disk: Disk::new(self.sync_time),
+            incarnation: 0,
             frozen: false,
             deferred: Vec::new(),
             removed: false,
             bootstrap,
             newest: None,
-            calm_since: self.now,
+            stable_since: self.now,
         });
         let delay = self.random.random_range(0..300);
         self.start_after(machine, ms(delay));
@@ -154,35 +154,35 @@
     }
 
     fn schedule(&mut self, at: Duration, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse(Scheduled(at, self.order, event)));
+        self.event_count += 1;
+        self.events.push(Reverse(Scheduled(at, self.event_count, event)));
     }
 
     pub fn start_after(&mut self, machine: usize, delay: Duration) {
-        let life = self.machines[machine].life;
-        self.schedule(self.now + delay, Event::Start { machine, life });
+        let incarnation = self.machines[machine].incarnation;
+        self.schedule(self.now + delay, Event::Start { machine, incarnation });
     }
 
-    /// Ends the process: killed, or without power. Its disk stays.
+    /// Kills the process, as a crash or a power loss does. The disk keeps its content.
     pub fn stop(&mut self, machine: usize) {
         let now = self.now;
         let random = &mut self.random;
         let stopped = &mut self.machines[machine];
-        stopped.life += 1;
+        stopped.incarnation += 1;
         stopped.replica = None;
         stopped.frozen = false;
         stopped.deferred.clear();
-        stopped.calm_since = now;
+        stopped.stable_since = now;
         stopped.disk.interrupt(random);
     }
 
-    /// Stops a machine and starts it again.
+    /// Stops a machine and starts it again after `down`.
     pub fn restart(&mut self, machine: usize, down: Duration) {
         self.stop(machine);
         self.start_after(machine, down);
     }
 
-    /// Stops a machine that loses its disk, and starts it again.
+    /// Stops a machine, wipes its disk, and starts it again after `down`.
     pub fn restart_wiped(&mut self, machine: usize, down: Duration) {
         self.stop(machine);
         self.machines[machine].disk.wipe();
@@ -200,8 +200,8 @@
             return;
         }
         self.machines[machine].frozen = true;
-        let life = self.machines[machine].life;
-        self.schedule(self.now + span, Event::Thaw { machine, life });
+        let incarnation = self.machines[machine].incarnation;
+        self.schedule(self.now + span, Event::Unfreeze { machine, incarnation });
     }
 
     pub fn cut(&mut self, from: usize, to: usize) {
@@ -242,8 +242,9 @@
         self.machine_of(*self.view()?.chain.last()?)
     }
 
-    /// Whether all that run are voters in the chain of one view (as many as there can be).
-    pub fn whole(&self) -> bool {
+    /// Whether all running machines know one view, and its chain and voters are as many of them as there can
+    /// be.
+    pub fn all_in_chain(&self) -> bool {
         let Some(view) = self.view() else { return false };
         let wanted = (2 * self.tolerated + 1).min(self.running().len());
         let all_know = self.running().iter().all(|machine| self.replica(*machine).view() == Some(&view));
@@ -251,59 +252,65 @@
         all_know && alive && view.chain.len() == wanted && view.voters.len() == wanted
     }
 
-    /// Plays until `end`, or until a rule is broken.
+    /// Runs until the time `end`, or until an invariant is violated.
     pub fn run_until(&mut self, end: Duration) {
-        while self.checker.broken.is_none() {
+        while self.checker.violation.is_none() {
             let next = self.events.peek().map(|Reverse(Scheduled(at, ..))| *at);
             if next.is_none_or(|at| at > end) {
                 break;
             }
             let Some(Reverse(Scheduled(at, _, event))) = self.events.pop() else { break };
             self.now = at;
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now = self.now.max(end);
-        self.send_again();
+        self.retry_overdue();
     }
 
     pub fn run_for(&mut self, span: Duration) {
         let end = self.now + span;
-        while self.now < end && self.checker.broken.is_none() {
+        while self.now < end && self.checker.violation.is_none() {
             self.run_until((self.now + ms(50)).min(end));
         }
     }
 
-    /// Plays until `done` holds, for `limit` at most; gives how long it took.
+    /// Runs until `done` holds, for at most `limit`. Returns how long it took; `None` if it did not.
     pub fn run_until_holds(&mut self, limit: Duration, done: impl Fn(&World) -> bool) -> Option<Duration> {
-        let begun = self.now;
+        let started_at = self.now;
         while !done(self) {
-            if self.now >= begun + limit || self.checker.broken.is_some() {
+            if self.now >= started_at + limit || self.checker.violation.is_some() {
                 return None;
             }
             self.run_until(self.now + ms(5));
         }
-        Some(self.now - begun)
+        Some(self.now - started_at)
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Tick { machine, life } if self.lives(machine, life) => {
+            Event::Tick { machine, incarnation } if self.is_current(machine, incarnation) => {
                 let late = self.random.random_range(0..3);
-                self.schedule(self.now + TICK_INTERVAL + ms(late), Event::Tick { machine, life });
+                self.schedule(self.now + TICK_INTERVAL + ms(late), Event::Tick { machine, incarnation });
                 if !self.machines[machine].frozen {
                     self.deliver_input(machine, Input::Tick);
                 }
             }
             Event::Deliver { from, to, message } => self.deliver(from, to, *message),
-            Event::DiskDone { machine, life } if self.lives(machine, life) => self.disk_done(machine),
-            Event::Start { machine, life } if life == self.machines[machine].life => self.start(machine),
-            Event::Thaw { machine, life } if self.lives(machine, life) => self.thaw(machine),
+            Event::DiskDone { machine, incarnation } if self.is_current(machine, incarnation) => {
+                self.disk_done(machine)
+            }
+            Event::Start { machine, incarnation } if incarnation == self.machines[machine].incarnation => {
+                self.start(machine)
+            }
+            Event::Unfreeze { machine, incarnation } if self.is_current(machine, incarnation) => {
+                self.unfreeze(machine)
+            }
             _ => {}
         }
     }
 
-    fn lives(&self, machine: usize, life: u64) -> bool {
-        self.machines[machine].life == life && self.machines[machine].replica.is_some()
+    fn is_current(&self, machine: usize, incarnation: u64) -> bool {
+        self.machines[machine].incarnation == incarnation && self.machines[machine].replica.is_some()
     }
 
     fn start(&mut self, machine: usize) {
@@ -317,23 +324,23 @@
             seeds: self.seeds.clone(),
             bootstrap: started.bootstrap,
             tolerated_failures: self.tolerated,
-            history_length: self.remembered,
+            history_length: self.history_length,
         };
         let records = started.disk.read();
-        started.life += 1;
+        started.incarnation += 1;
         started.newest = None;
-        started.calm_since = self.now;
-        let life = started.life;
+        started.stable_since = self.now;
+        let incarnation = started.incarnation;
         let seed = self.random.random();
         let (replica, outputs) = Replica::open_with_fault(settings, records, seed, self.now, self.fault);
         self.machines[machine].replica = Some(replica);
-        self.carry_out(machine, outputs);
-        self.schedule(self.now + TICK_INTERVAL, Event::Tick { machine, life });
+        self.perform(machine, outputs);
+        self.schedule(self.now + TICK_INTERVAL, Event::Tick { machine, incarnation });
     }
 
-    fn thaw(&mut self, machine: usize) {
+    fn unfreeze(&mut self, machine: usize) {
         self.machines[machine].frozen = false;
-        self.machines[machine].calm_since = self.now;
+        self.machines[machine].stable_since = self.now;
         for input in std::mem::take(&mut self.machines[machine].deferred) {
             self.deliver_input(machine, input);
         }
@@ -348,27 +355,29 @@
         }
         if let Some(replica) = &mut recipient.replica {
             let outputs = replica.handle(now, input);
-            self.carry_out(machine, outputs);
+            self.perform(machine, outputs);
         }
     }
 
-    fn carry_out(&mut self, machine: usize, outputs: Vec<Output>) {
+    fn perform(&mut self, machine: usize, outputs: Vec<Output>) {
         for output in outputs {
-            if let Some(watch) = &mut self.watch {
-                watch(machine, &output);
+            if let Some(observer) = &mut self.observer {
+                observer(machine, &output);
             }
             match output {
                 Output::Send { to, message } => self.send(machine, to, message),
                 Output::Store(id, record) => self.machines[machine].disk.append(id, record),
                 Output::Rewrite(id, records) => self.machines[machine].disk.rewrite(id, records),
-                Output::Respond(call, answer) => self.answered(call, &answer),
+                Output::Respond(request, outcome) => self.receive_outcome(request, &outcome),
                 Output::Committed(entry) => {
                     let who = self.machines[machine].address.to_string();
                     let newest = &mut self.machines[machine].newest;
                     if newest.as_ref().is_some_and(|newest| entry.sequence <= newest.sequence) {
-                        self.checker.broken.get_or_insert(format!("{who} goes back to {}", entry.sequence));
+                        self.checker
+                            .violation
+                            .get_or_insert(format!("{who} reports {} again or out of order", entry.sequence));
                     }
-                    self.checker.committed(self.now, &who, &entry);
+                    self.checker.check_committed(self.now, &who, &entry);
                     *newest = Some(entry);
                 }
                 Output::ViewChanged(view) => self.view_changed(machine, &view),
@@ -379,7 +388,7 @@
 
     fn view_changed(&mut self, machine: usize, view: &View) {
         let who = self.machines[machine].address.to_string();
-        self.checker.view(&who, view);
+        self.checker.check_view(&who, view);
         if self.prints_views {
             let number =
                 |id: &MemberId| view.voters.iter().find(|voter| voter.id == *id).map(|voter| voter.address);
@@ -390,9 +399,9 @@
     }
 
     fn begin_disk(&mut self, machine: usize) {
-        let life = self.machines[machine].life;
+        let incarnation = self.machines[machine].incarnation;
         if let Some(span) = self.machines[machine].disk.begin(self.now, &mut self.random) {
-            self.schedule(self.now + span, Event::DiskDone { machine, life });
+            self.schedule(self.now + span, Event::DiskDone { machine, incarnation });
         }
     }
 
@@ -400,8 +409,8 @@
         let done = self.machines[machine].disk.finish();
         for end in done {
             let input = match end {
-                Done::Stored(id) => Input::Stored(id),
-                Done::NotStored(id) => Input::NotStored(id),
+                WriteResult::Stored(id) => Input::Stored(id),
+                WriteResult::NotStored(id) => Input::NotStored(id),
             };
             self.deliver_input(machine, input);
         }
@@ -410,15 +419,17 @@
 
     fn send(&mut self, machine: usize, to: SocketAddrV4, message: Message) {
         let from = self.machines[machine].address;
-        if self.checks_votes && !self.machines[machine].disk.holds_vote(&message) {
-            self.checker.broken.get_or_insert(format!("{from} sends {message:?} that is not on its disk"));
+        if self.checks_votes && !self.machines[machine].disk.contains_vote(&message) {
+            self.checker
+                .violation
+                .get_or_insert(format!("{from} sends {message:?}, which is not on its disk"));
         }
-        let copies = if self.random.random_range(0..1_000) < self.doubled { 2 } else { 1 };
+        let copies = if self.random.random_range(0..1_000) < self.duplicated_per_mille { 2 } else { 1 };
         for _ in 0..copies {
-            if self.random.random_range(0..1_000) < self.loss {
+            if self.random.random_range(0..1_000) < self.lost_per_mille {
                 continue;
             }
-            let late = if self.random.random_range(0..1_000) < self.late {
+            let late = if self.random.random_range(0..1_000) < self.delayed_per_mille {
                 self.random.random_range(0..2_000)
             } else {
                 0
@@ -434,7 +445,7 @@
     }
 
     fn is_dropped(&self, from: SocketAddrV4, to: SocketAddrV4, message: &Message) -> bool {
-        self.drops.iter().any(|(one, other, what)| {
+        self.dropped_messages.iter().any(|(one, other, what)| {
             let between = (self.machines[*one].address, self.machines[*other].address);
             between == (from, to) && format!("{message:?}").contains(what)
         })
@@ -450,81 +461,96 @@
         }
     }
 
-    /// Has an operator send an order to a machine.
-    pub fn order(&mut self, machine: usize, order: Order) -> RequestId {
-        let job = Job { order, begun: self.now, tried: self.now, machine, answer_lost: false };
-        self.submit(job)
+    /// Has an operator submit an operation to a machine.
+    pub fn submit(&mut self, machine: usize, operation: Operation) -> RequestId {
+        let pending = PendingOperation {
+            operation,
+            started_at: self.now,
+            sent_at: self.now,
+            machine,
+            response_ignored: false,
+        };
+        self.send_pending(pending)
     }
 
     pub fn write(&mut self, machine: usize, change: Change) -> RequestId {
-        self.order(machine, Order::Write(change))
+        self.submit(machine, Operation::Write(change))
     }
 
-    fn submit(&mut self, job: Job) -> RequestId {
-        let call = self.operators.call();
-        let machine = job.machine;
-        let input = match &job.order {
-            Order::Write(change) => Input::Write(call, change.clone()),
-            Order::Read => Input::Read(call),
-            Order::Prove => Input::ReadIndex(call),
+    fn send_pending(&mut self, pending: PendingOperation) -> RequestId {
+        let request = self.operators.next_request_id();
+        let machine = pending.machine;
+        let input = match &pending.operation {
+            Operation::Write(change) => Input::Write(request, change.clone()),
+            Operation::Read => Input::Read(request),
+            Operation::ReadIndex => Input::ReadIndex(request),
         };
-        self.operators.open.insert(call, job);
+        self.operators.pending.insert(request, pending);
         if self.machines[machine].replica.is_some() {
             self.deliver_input(machine, input);
         }
-        call
+        request
     }
 
-    /// Has a coordinator ask for the sequence of the newest entry. The answer is found in [`World::proofs`].
-    pub fn prove(&mut self, machine: usize) -> RequestId {
-        let call = self.operators.call();
-        self.proofs.insert(call, None);
-        self.deliver_input(machine, Input::ReadIndex(call));
-        call
+    /// Has a coordinator request the sequence of the newest entry. The outcome is stored in
+    /// [`World::read_index_outcomes`].
+    pub fn request_read_index(&mut self, machine: usize) -> RequestId {
+        let request = self.operators.next_request_id();
+        self.read_index_outcomes.insert(request, None);
+        self.deliver_input(machine, Input::ReadIndex(request));
+        request
     }
 
-    fn answered(&mut self, call: RequestId, answer: &RequestOutcome) {
-        if let Some(proof) = self.proofs.get_mut(&call) {
-            *proof = Some(answer.clone());
+    fn receive_outcome(&mut self, request: RequestId, outcome: &RequestOutcome) {
+        if let Some(read_index) = self.read_index_outcomes.get_mut(&request) {
+            *read_index = Some(outcome.clone());
             return;
         }
-        let Some(job) = self.operators.open.remove(&call) else { return };
-        if *answer == RequestOutcome::Unknown || job.answer_lost {
-            self.operators.open.insert(call, Job { answer_lost: true, ..job });
+        let Some(pending) = self.operators.pending.remove(&request) else { return };
+        if *outcome == RequestOutcome::Unknown || pending.response_ignored {
+            self.operators.pending.insert(request, PendingOperation { response_ignored: true, ..pending });
             return;
         }
-        self.operators.learn(&job, answer);
-        match (&job.order, answer) {
-            (Order::Write(change), answer) => {
-                self.checker.answered(self.now, change, answer);
+        self.operators.observe_outcome(&pending, outcome);
+        match (&pending.operation, outcome) {
+            (Operation::Write(change), outcome) => {
+                self.checker.check_change_outcome(self.now, change, outcome);
             }
-            (Order::Read, RequestOutcome::Current(entry)) => {
-                self.checker.read(job.tried, self.now, entry.as_ref())
+            (Operation::Read, RequestOutcome::Current(entry)) => {
+                self.checker.check_read(pending.sent_at, self.now, entry.as_ref())
             }
-            (Order::Prove, RequestOutcome::ReadIndex { sequence }) => {
-                self.checker.proven(job.tried, self.now, sequence.get());
+            (Operation::ReadIndex, RequestOutcome::ReadIndex { sequence }) => {
+                self.checker.check_read_index(pending.sent_at, self.now, sequence.get());
             }
-            (Order::Read | Order::Prove, _) => {
-                self.checker.broken.get_or_insert("a read is answered as a change".into());
+            (Operation::Read | Operation::ReadIndex, _) => {
+                self.checker.violation.get_or_insert("a read got the response to a change".into());
             }
         }
     }
 
-    /// Operators who have waited too long send again, to another machine.
-    fn send_again(&mut self) {
-        for (call, job) in self.operators.impatient(self.now) {
-            if let Some(machine) = self.operators_machine(call, &job) {
-                self.deliver_input(machine, Input::Cancel(call));
+    /// Cancels the operations that have waited too long, and retries them at another machine.
+    fn retry_overdue(&mut self) {
+        for (request, pending) in self.operators.take_overdue(self.now) {
+            if let Some(machine) = self.running_machine(request, &pending) {
+                self.deliver_input(machine, Input::Cancel(request));
             }
             let running = self.running();
-            if let (Some(job), false) = (job, running.is_empty()) {
+            if let (Some(pending), false) = (pending, running.is_empty()) {
                 let machine = running[self.random.random_range(0..running.len())];
-                self.submit(Job { tried: self.now, machine, answer_lost: false, ..job });
+                self.send_pending(PendingOperation {
+                    sent_at: self.now,
+                    machine,
+                    response_ignored: false,
+                    ..pending
+                });
             }
         }
     }
 
-    fn operators_machine(&self, _call: RequestId, job: &Option<Job>) -> Option<usize> {
-        job.as_ref().map(|job| job.machine).filter(|machine| self.machines[*machine].replica.is_some())
+    fn running_machine(&self, _request: RequestId, pending: &Option<PendingOperation>) -> Option<usize> {
+        pending
+            .as_ref()
+            .map(|pending| pending.machine)
+            .filter(|machine| self.machines[*machine].replica.is_some())
     }
 }
