--- a/crates/replication/tests/small/mod.rs
+++ b/crates/replication/tests/small/mod.rs
@@ -1,5 +1,6 @@
-//! A small world for an exhaustive search: three members with their disks, links that keep the order of what is sent on them,
-//! two operators and a reader. What may happen next is a list of actions; time passes by an action too.
+//! A small model for an exhaustive search: three members with their disks, links that keep messages in order,
+//! two operators and a reader. The possible next steps are the actions of the model; the passing of time is
+//! one of them.
 
 use replication::{
     Change, DEFAULT_HISTORY_LENGTH, Fault, Generation, Input, Message, Output, Record, Replica, RequestId,
@@ -14,81 +15,82 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The name of the property that is searched.
-pub const RULES: &str = "the rules of the register hold";
+/// The name of the property to check.
+pub const INVARIANTS: &str = "the invariants of the register hold";
 
 const MEMBERS: usize = 3;
 
-/// How a search begins.
+/// The initial state of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Situation {
-    /// A whole chain; two operators send under one number and one under the next, one sends again what was taken, somebody asks
-    /// for the newest.
+pub enum Scenario {
+    /// All members are in the chain. Two operators submit changes of the same generation and one of the next
+    /// generation, a committed change is retried, and there is a read index request.
     TwoOperators,
-    /// The head is cut off, and the others are about to agree on a view without it; the same calls come to both sides.
+    /// The head is partitioned, and the others are about to agree on a view without it. Both sides receive
+    /// the same requests.
     HeadSuspected,
-    /// The same once they have.
+    /// The same after the others have agreed on a view.
     HeadCutOff,
-    /// The tail is cut off, and the others have gone on with another change.
+    /// The tail is partitioned, and the others have committed another change.
     TailCutOff,
-    /// A change is on the head's disk alone as all lose power.
+    /// All members lose power when a change is only on the head's disk.
     AllWithoutPower,
-    /// The tail's disk was lost; its successor waits.
+    /// The tail has lost its disk, and the member that replaces it is about to join.
     TailReplaced,
     /// The middle member shuts down.
     MiddleLeaves,
 }
 
-impl Situation {
-    pub const ALL: [Situation; 7] = [
-        Situation::TwoOperators,
-        Situation::HeadSuspected,
-        Situation::HeadCutOff,
-        Situation::TailCutOff,
-        Situation::AllWithoutPower,
-        Situation::TailReplaced,
-        Situation::MiddleLeaves,
+impl Scenario {
+    pub const ALL: [Scenario; 7] = [
+        Scenario::TwoOperators,
+        Scenario::HeadSuspected,
+        Scenario::HeadCutOff,
+        Scenario::TailCutOff,
+        Scenario::AllWithoutPower,
+        Scenario::TailReplaced,
+        Scenario::MiddleLeaves,
     ];
 }
 
-/// What may happen at most on one path.
+/// The maximum number of events of each kind on one path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    pub passes: u8,
+    pub ticks: u8,
     pub kills: u8,
     pub wipes: u8,
     pub heals: u8,
 }
 
 impl Limits {
-    /// Nothing is lost, and no time passes.
-    pub const NONE: Limits = Limits { passes: 0, kills: 0, wipes: 0, heals: 0 };
+    /// No failures, and no time passes.
+    pub const NONE: Limits = Limits { ticks: 0, kills: 0, wipes: 0, heals: 0 };
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { passes: 3, kills: 1, wipes: 1, heals: 1 }
+        Limits { ticks: 3, kills: 1, wipes: 1, heals: 1 }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// The first message of a link arrives.
+    /// The first message on a link is delivered.
     Deliver(usize, usize),
-    /// The first write of a member is on disk.
+    /// The first pending write of a member becomes durable.
     Sync(usize),
-    /// Time passes; members tell that they are there.
-    Pass,
-    /// A process is killed and starts again at once; what was not on disk is lost.
+    /// One tick passes; members send heartbeats.
+    Tick,
+    /// A process is killed and restarts immediately; pending writes are lost.
     Kill(usize),
-    /// The same with an empty disk.
+    /// The same, and its disk is lost.
     Wipe(usize),
-    /// All cuts are over.
+    /// The partition ends.
     Heal,
 }
 
 pub struct SmallWorld {
-    pub situation: Situation,
+    pub scenario: Scenario,
     pub limits: Limits,
     pub fault: Option<Fault>,
 }
@@ -104,15 +106,15 @@
     replica: Replica,
     disk: Vec<Record>,
     writes: VecDeque<Write>,
-    life: u64,
+    incarnation: u64,
 }
 
-/// What operators and the reader have asked, by call.
+/// A request without a response.
 #[derive(Clone, Debug)]
-enum Asked {
+enum PendingRequest {
     Write(Change),
-    /// What had been seen as committed before.
-    Newest(u64),
+    /// A read or a read index, with the newest sequence that was observed before it.
+    Read(u64),
 }
 
 #[derive(Clone, Debug)]
@@ -121,20 +123,20 @@
     links: BTreeMap<(usize, usize), VecDeque<Message>>,
     cut_off: Option<usize>,
     now: Duration,
-    left: Limits,
-    asked: BTreeMap<(usize, RequestId), Asked>,
+    remaining: Limits,
+    pending_requests: BTreeMap<(usize, RequestId), PendingRequest>,
     history: History,
     fault: Option<Fault>,
 }
 
-/// What was seen by anyone.
+/// What members and clients have observed.
 #[derive(Clone, Debug, Default)]
 struct History {
     committed: BTreeMap<u64, Change>,
-    refused: BTreeSet<[u8; 32]>,
+    rejected: BTreeSet<[u8; 32]>,
     views: BTreeMap<ViewNumber, View>,
     newest: u64,
-    broken: Option<String>,
+    violation: Option<String>,
 }
 
 fn address(machine: usize) -> SocketAddrV4 {
@@ -163,8 +165,8 @@
 }
 
 impl State {
-    pub fn broken(&self) -> Option<&str> {
-        self.history.broken.as_deref()
+    pub fn violation(&self) -> Option<&str> {
+        self.history.violation.as_deref()
     }
 
     fn digest(&self) -> u64 {
@@ -174,7 +176,7 @@
     }
 
     fn fail(&mut self, text: String) {
-        self.history.broken.get_or_insert(text);
+        self.history.violation.get_or_insert(text);
     }
 
     fn new(limits: Limits, fault: Option<Fault>) -> Self {
@@ -184,30 +186,35 @@
             links: BTreeMap::new(),
             cut_off: None,
             now,
-            left: limits,
-            asked: BTreeMap::new(),
+            remaining: limits,
+            pending_requests: BTreeMap::new(),
             history: History::default(),
             fault,
         };
         for machine in 0..MEMBERS {
             let (replica, outputs) = open(machine, Vec::new(), 1, now, true, fault);
-            state.machines.push(Machine { replica, disk: Vec::new(), writes: VecDeque::new(), life: 1 });
-            state.carry_out(machine, outputs);
+            state.machines.push(Machine {
+                replica,
+                disk: Vec::new(),
+                writes: VecDeque::new(),
+                incarnation: 1,
+            });
+            state.perform(machine, outputs);
         }
         state
     }
 
     fn deliver_input(&mut self, machine: usize, input: Input) {
         let outputs = self.machines[machine].replica.handle(self.now, input);
-        self.carry_out(machine, outputs);
+        self.perform(machine, outputs);
     }
 
-    fn carry_out(&mut self, machine: usize, outputs: Vec<Output>) {
+    fn perform(&mut self, machine: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
                 Output::Send { to, message } => {
                     let to = (0..MEMBERS).find(|other| address(*other) == to);
-                    let Some(to) = to.filter(|to| self.joined(machine, *to)) else { continue };
+                    let Some(to) = to.filter(|to| self.are_connected(machine, *to)) else { continue };
                     self.links.entry((machine, to)).or_default().push_back(message);
                 }
                 Output::Store(id, record) => {
@@ -216,82 +223,98 @@
                 Output::Rewrite(id, records) => {
                     self.machines[machine].writes.push_back(Write::Rewrite(id, records));
                 }
-                Output::Respond(call, answer) => self.answered(machine, call, &answer),
-                Output::Committed(entry) => self.saw(entry.sequence.get(), &entry.change),
-                Output::ViewChanged(view) => self.saw_view(view),
+                Output::Respond(request, outcome) => self.receive_outcome(machine, request, &outcome),
+                Output::Committed(entry) => self.record_committed(entry.sequence.get(), &entry.change),
+                Output::ViewChanged(view) => self.record_view(view),
             }
         }
     }
 
-    fn joined(&self, one: usize, other: usize) -> bool {
+    fn are_connected(&self, one: usize, other: usize) -> bool {
         self.cut_off != Some(one) && self.cut_off != Some(other)
     }
 
-    fn saw_view(&mut self, view: View) {
+    fn record_view(&mut self, view: View) {
         let known = self.history.views.entry(view.number).or_insert_with(|| view.clone()).clone();
         if known != view {
             self.fail(format!("two views of number {}", view.number));
         }
     }
 
-    fn saw(&mut self, sequence: u64, change: &Change) {
+    fn record_committed(&mut self, sequence: u64, change: &Change) {
         let known = self.history.committed.entry(sequence).or_insert_with(|| change.clone()).clone();
         if known != *change {
             self.fail(format!("two entries of sequence {sequence}"));
         }
-        if self.history.refused.contains(&change.digest) {
-            self.fail(format!("generation {} was refused and is in force", change.generation));
+        if self.history.rejected.contains(&change.digest) {
+            self.fail(format!("rejected change of generation {} committed", change.generation));
         }
         let before = self.history.committed.get(&(sequence - 1)).map(|before| before.generation);
         if before.is_some_and(|before| before != change.base) {
-            self.fail(format!("entry {sequence} does not build upon the one before"));
+            self.fail(format!("entry {sequence} is not based on the one before"));
         }
         self.history.newest = self.history.newest.max(sequence);
     }
 
-    fn answered(&mut self, machine: usize, call: RequestId, answer: &RequestOutcome) {
-        let Some(asked) = self.asked.remove(&(machine, call)) else { return };
-        match (asked, answer) {
-            (Asked::Write(change), RequestOutcome::Committed { sequence }) => {
-                self.saw(sequence.get(), &change)
+    fn receive_outcome(&mut self, machine: usize, request: RequestId, outcome: &RequestOutcome) {
+        let Some(pending) = self.pending_requests.remove(&(machine, request)) else { return };
+        match (pending, outcome) {
+            (PendingRequest::Write(change), RequestOutcome::Committed { sequence }) => {
+                self.record_committed(sequence.get(), &change)
             }
-            (Asked::Write(change), RequestOutcome::Conflict { .. } | RequestOutcome::NotHigher { .. }) => {
-                self.history.refused.insert(change.digest);
+            (
+                PendingRequest::Write(change),
+                RequestOutcome::Conflict { .. } | RequestOutcome::NotHigher { .. },
+            ) => {
+                self.history.rejected.insert(change.digest);
                 if self.history.committed.values().any(|committed| committed.digest == change.digest) {
-                    self.fail(format!("generation {} is in force and was refused", change.generation));
+                    self.fail(format!("committed change of generation {} rejected", change.generation));
                 }
             }
-            (Asked::Newest(before), RequestOutcome::ReadIndex { sequence }) if sequence.get() < before => {
-                self.fail(format!("{sequence} is reported as the newest, {before} was seen before"));
+            (PendingRequest::Read(before), RequestOutcome::ReadIndex { sequence })
+                if sequence.get() < before =>
+            {
+                self.fail(format!("read index {sequence}, but {before} was observed before"));
             }
-            (Asked::Newest(before), RequestOutcome::Current(entry)) => {
+            (PendingRequest::Read(before), RequestOutcome::Current(entry)) => {
                 let sequence = entry.as_ref().map_or(0, |entry| entry.sequence.get());
                 if sequence < before {
-                    self.fail(format!("a read gives {sequence}, {before} was seen before"));
+                    self.fail(format!("read returned {sequence}, but {before} was observed before"));
                 }
             }
             (_, _) => {}
         }
     }
 
-    fn ask(&mut self, machine: usize, call: u64, input: impl FnOnce(RequestId) -> Input, asked: Asked) {
-        let call = RequestId(call);
-        self.asked.insert((machine, call), asked);
-        self.deliver_input(machine, input(call));
+    fn submit(
+        &mut self,
+        machine: usize,
+        request: u64,
+        input: impl FnOnce(RequestId) -> Input,
+        pending: PendingRequest,
+    ) {
+        let request = RequestId(request);
+        self.pending_requests.insert((machine, request), pending);
+        self.deliver_input(machine, input(request));
     }
 
-    fn write(&mut self, machine: usize, call: u64, change: Change) {
-        self.ask(machine, call, |id| Input::Write(id, change.clone()), Asked::Write(change.clone()));
+    fn write(&mut self, machine: usize, request: u64, change: Change) {
+        self.submit(
+            machine,
+            request,
+            |id| Input::Write(id, change.clone()),
+            PendingRequest::Write(change.clone()),
+        );
     }
 
-    fn read(&mut self, machine: usize, call: u64) {
+    fn read(&mut self, machine: usize, request: u64) {
         let before = self.history.newest;
-        self.ask(machine, call, Input::Read, Asked::Newest(before));
+        self.submit(machine, request, Input::Read, PendingRequest::Read(before));
     }
 
-    fn prove(&mut self, machine: usize, call: u64) {
+    fn read_index(&mut self, machine: usize, request: u64) {
         let before = self.history.newest;
-        self.ask(machine, call, Input::ReadIndex, Asked::Newest(before));
+        self.submit(machine, request, Input::ReadIndex, PendingRequest::Read(before));
     }
 
     fn deliver(&mut self, from: usize, to: usize) {
@@ -314,30 +337,30 @@
         self.deliver_input(machine, Input::Stored(id));
     }
 
-    /// Cuts a member off from the others; what was on its way is lost.
-    fn part(&mut self, machine: usize) {
+    /// Partitions a member from the others. Messages in flight on its links are lost.
+    fn partition(&mut self, machine: usize) {
         self.cut_off = Some(machine);
         self.links.retain(|(from, to), _| *from != machine && *to != machine);
     }
 
-    fn start_again(&mut self, machine: usize, wiped: bool) {
-        let life = self.machines[machine].life + 1;
+    fn restart(&mut self, machine: usize, wiped: bool) {
+        let incarnation = self.machines[machine].incarnation + 1;
         let disk = if wiped { Vec::new() } else { self.machines[machine].disk.clone() };
-        // Connections break with the process.
+        // Connections end with the process.
         self.links.retain(|(from, to), _| *from != machine && *to != machine);
-        self.asked.retain(|(at, _), _| *at != machine);
-        let (replica, outputs) = open(machine, disk.clone(), life, self.now, false, self.fault);
-        self.machines[machine] = Machine { replica, disk, writes: VecDeque::new(), life };
-        self.carry_out(machine, outputs);
+        self.pending_requests.retain(|(at, _), _| *at != machine);
+        let (replica, outputs) = open(machine, disk.clone(), incarnation, self.now, false, self.fault);
+        self.machines[machine] = Machine { replica, disk, writes: VecDeque::new(), incarnation };
+        self.perform(machine, outputs);
     }
 
-    /// Time passes by one tick, and what is sent then arrives behind what is on its way already.
-    fn pass(&mut self) {
+    /// Advances the time by one tick. Messages sent by it queue behind those in flight.
+    fn tick(&mut self) {
         self.now += TICK_INTERVAL;
         (0..MEMBERS).for_each(|machine| self.deliver_input(machine, Input::Tick));
     }
 
-    /// Everything that is on its way arrives, and all writes are done, in one fixed order.
+    /// Delivers all messages and completes all writes, in a fixed order.
     fn settle(&mut self) {
         for _ in 0..10_000 {
             let link = self.links.iter().find(|(_, queue)| !queue.is_empty()).map(|(link, _)| *link);
@@ -348,12 +371,12 @@
                 (None, None) => return,
             }
         }
-        panic!("no end");
+        panic!("messages and writes did not end within 10,000 steps");
     }
 
     fn settle_for(&mut self, ticks: usize) {
         for _ in 0..ticks {
-            self.pass();
+            self.tick();
             self.settle();
         }
     }
@@ -362,7 +385,7 @@
 fn open(
     machine: usize,
     disk: Vec<Record>,
-    life: u64,
+    incarnation: u64,
     now: Duration,
     bootstrap: bool,
     fault: Option<Fault>,
@@ -375,64 +398,64 @@
         tolerated_failures: 1,
         history_length: DEFAULT_HISTORY_LENGTH,
     };
-    Replica::open_with_fault(settings, disk, machine as u64 * 1_000 + life, now, fault)
+    Replica::open_with_fault(settings, disk, machine as u64 * 1_000 + incarnation, now, fault)
 }
 
 impl SmallWorld {
-    /// A whole chain with one change taken.
-    fn calm(&self) -> State {
+    /// A chain of all members with one committed change.
+    fn stable_chain(&self) -> State {
         let mut state = State::new(self.limits, self.fault);
         state.settle_for(40);
         state.write(0, 1, change(0, 1, 1));
         state.settle_for(10);
-        assert_eq!(state.history.newest, 1, "the first change is not taken");
+        assert_eq!(state.history.newest, 1, "the first change is not committed");
         state
     }
 
-    fn begin(&self) -> State {
-        let mut state = self.calm();
-        match self.situation {
-            Situation::TwoOperators => {
+    fn initial_state(&self) -> State {
+        let mut state = self.stable_chain();
+        match self.scenario {
+            Scenario::TwoOperators => {
                 state.write(0, 10, change(1, 2, 2));
                 state.write(2, 11, change(1, 2, 3));
                 state.write(1, 12, change(0, 1, 1));
                 state.write(1, 14, change(1, 3, 4));
-                state.prove(1, 13);
+                state.read_index(1, 13);
             }
-            Situation::HeadSuspected | Situation::HeadCutOff => {
-                state.part(0);
-                state.settle_for(if self.situation == Situation::HeadCutOff { 25 } else { 13 });
+            Scenario::HeadSuspected | Scenario::HeadCutOff => {
+                state.partition(0);
+                state.settle_for(if self.scenario == Scenario::HeadCutOff { 25 } else { 13 });
                 state.write(0, 10, change(1, 2, 2));
                 state.write(1, 11, change(1, 2, 3));
                 state.read(0, 12);
                 state.read(2, 13);
             }
-            Situation::TailCutOff => {
-                state.part(2);
+            Scenario::TailCutOff => {
+                state.partition(2);
                 state.settle_for(25);
                 state.write(0, 9, change(1, 2, 2));
                 state.settle_for(3);
-                assert_eq!(state.history.newest, 2, "the others go on");
+                assert_eq!(state.history.newest, 2, "the others have not committed the second change");
                 state.read(2, 10);
-                state.prove(2, 11);
+                state.read_index(2, 11);
                 state.write(2, 12, change(1, 2, 3));
             }
-            Situation::AllWithoutPower => {
+            Scenario::AllWithoutPower => {
                 state.write(0, 10, change(1, 2, 2));
                 state.sync(0);
-                (0..MEMBERS).for_each(|machine| state.start_again(machine, false));
+                (0..MEMBERS).for_each(|machine| state.restart(machine, false));
                 state.write(1, 11, change(1, 2, 3));
                 state.read(2, 12);
             }
-            Situation::TailReplaced => {
+            Scenario::TailReplaced => {
                 state.write(0, 10, change(1, 2, 2));
-                state.start_again(2, true);
-                state.left.wipes = 0;
+                state.restart(2, true);
+                state.remaining.wipes = 0;
                 state.settle_for(14);
                 state.write(1, 11, change(1, 2, 3));
-                state.prove(1, 12);
+                state.read_index(1, 12);
             }
-            Situation::MiddleLeaves => {
+            Scenario::MiddleLeaves => {
                 state.deliver_input(1, Input::Shutdown);
                 state.write(1, 10, change(1, 2, 2));
                 state.write(2, 11, change(1, 2, 3));
@@ -448,11 +471,11 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        vec![self.begin()]
+        vec![self.initial_state()]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.broken().is_some() {
+        if state.violation().is_some() {
             return;
         }
         let links = state.links.iter().filter(|(_, queue)| !queue.is_empty());
@@ -461,17 +484,17 @@
             if !state.machines[machine].writes.is_empty() {
                 actions.push(Action::Sync(machine));
             }
-            if state.left.kills > 0 {
+            if state.remaining.kills > 0 {
                 actions.push(Action::Kill(machine));
             }
-            if state.left.wipes > 0 {
+            if state.remaining.wipes > 0 {
                 actions.push(Action::Wipe(machine));
             }
         }
-        if state.left.passes > 0 {
-            actions.push(Action::Pass);
+        if state.remaining.ticks > 0 {
+            actions.push(Action::Tick);
         }
-        if state.left.heals > 0 && state.cut_off.is_some() {
+        if state.remaining.heals > 0 && state.cut_off.is_some() {
             actions.push(Action::Heal);
         }
     }
@@ -481,20 +504,20 @@
         match action {
             Action::Deliver(from, to) => state.deliver(from, to),
             Action::Sync(machine) => state.sync(machine),
-            Action::Pass => {
-                state.left.passes -= 1;
-                state.pass();
+            Action::Tick => {
+                state.remaining.ticks -= 1;
+                state.tick();
             }
             Action::Kill(machine) => {
-                state.left.kills -= 1;
-                state.start_again(machine, false);
+                state.remaining.kills -= 1;
+                state.restart(machine, false);
             }
             Action::Wipe(machine) => {
-                state.left.wipes -= 1;
-                state.start_again(machine, true);
+                state.remaining.wipes -= 1;
+                state.restart(machine, true);
             }
             Action::Heal => {
-                state.left.heals -= 1;
+                state.remaining.heals -= 1;
                 state.cut_off = None;
             }
         }
@@ -502,6 +525,6 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        vec![Property::always(RULES, |_, state: &State| state.broken().is_none())]
+        vec![Property::always(INVARIANTS, |_, state: &State| state.violation().is_none())]
     }
 }
