--- a/crates/coordinator/tests/one_world/fleet.rs
+++ b/crates/coordinator/tests/one_world/fleet.rs
@@ -191,7 +191,7 @@
 
     /// The first invariant that was violated, if any.
     pub fn violation(&self) -> Option<String> {
-        self.violation.clone().or_else(|| self.schedule.world.checker.broken.clone())
+        self.violation.clone().or_else(|| self.schedule.world.checker.violation.clone())
     }
 
     pub fn configuration_of(&self, frontend: usize) -> u64 {
@@ -230,7 +230,7 @@
         self.heal_frontend_partitions();
         self.platform.heal();
         self.stop_losing_blocks();
-        while !self.schedule.is_calm() && self.violation().is_none() {
+        while !self.schedule.are_failures_over() && self.violation().is_none() {
             self.schedule.step(false);
             self.step();
         }
@@ -320,8 +320,10 @@
 
     fn apply_process_changes(&mut self) {
         for machine in 0..self.schedule.world.machines.len() {
-            let (life, address) =
-                (self.schedule.world.machines[machine].life, self.schedule.world.machines[machine].address);
+            let (life, address) = (
+                self.schedule.world.machines[machine].incarnation,
+                self.schedule.world.machines[machine].address,
+            );
             let now = self.now();
             if machine == self.coordinators.len() {
                 self.coordinators.push(Coordinator::start(life, address, now));
@@ -329,7 +331,7 @@
                 self.coordinators[machine] = Coordinator::start(life, address, now);
             }
         }
-        let ended = |link: &Link| self.schedule.world.machines[link.machine].life != link.life;
+        let ended = |link: &Link| self.schedule.world.machines[link.machine].incarnation != link.life;
         let ended: Vec<u64> = self.links.iter().filter(|(_, link)| ended(link)).map(|(id, _)| *id).collect();
         for id in ended {
             self.drop_link(id);
@@ -645,9 +647,9 @@
     fn confirm_read_index(&mut self, machine: usize) {
         let now = self.now();
         if let Some(PendingReadIndex { call, ticket }) = self.coordinators[machine].read_index {
-            let response = self.schedule.world.proofs.get(&call).cloned().flatten();
+            let response = self.schedule.world.read_index_outcomes.get(&call).cloned().flatten();
             let Some(response) = response else { return };
-            self.schedule.world.proofs.remove(&call);
+            self.schedule.world.read_index_outcomes.remove(&call);
             let coordinator = &mut self.coordinators[machine];
             coordinator.read_index = None;
             match response {
@@ -661,7 +663,7 @@
             return;
         }
         if let Some(ticket) = self.coordinators[machine].requests.begin_read_index() {
-            let call = self.schedule.world.prove(machine);
+            let call = self.schedule.world.request_read_index(machine);
             self.coordinators[machine].read_index = Some(PendingReadIndex { call, ticket });
         }
     }
