--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -1,4 +1,4 @@
-//! The quota leader: keeps the fleet's buckets and grants quota to the nodes.
+//! The quota leader: holds the fleet's token buckets and grants quota to the nodes.
 
 use crate::limit::Limit;
 use crate::settings::{CONTACT_TIMEOUT, NODE_TIMEOUT, QuotaSettings};
@@ -9,42 +9,44 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// The time without a request after which a node is forgotten.
+/// The time without a request after which a node is removed.
 const NODE_EXPIRY: Duration = Duration::from_secs(120);
 
 /// The most unacknowledged requests of a node that are remembered.
-const MAX_REQUESTS: usize = 128;
+const MAX_UNACKNOWLEDGED: usize = 128;
 
-/// The interval at which all buckets are filled, whether their tenants are demanded or not.
+/// The interval at which all buckets are filled, also those of tenants without demand.
 const FILL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The longest time for which a new quota leader waits for all nodes, to learn how long nobody granted anything.
-const LEARNING_PERIOD: Duration = Duration::from_secs(5);
+/// How long a new quota leader waits at most until all nodes have made contact, to determine for how long no
+/// quota leader granted anything.
+const DISCOVERY_PERIOD: Duration = Duration::from_secs(5);
 
-/// A request that its node does not know to be responded to.
+/// A request whose response the node has not acknowledged.
 #[derive(Clone, Copy, Debug)]
 struct UnacknowledgedRequest {
     number: u64,
     received_at: Duration,
 }
 
-/// The contact with a node.
+/// The state of the contact with a node.
 #[derive(Clone, Debug)]
 struct NodeContact {
-    /// How long nothing had been granted to the node when this quota leader started.
-    idle: Duration,
+    /// For how long the node had been granted nothing when this quota leader started.
+    ungranted: Duration,
     last_request_at: Duration,
-    /// When its last request arrived that it knows to be responded to.
+    /// When the last request arrived whose response the node has acknowledged.
     acknowledged_at: Duration,
+    /// The requests after that one, the oldest first.
     unacknowledged: VecDeque<UnacknowledgedRequest>,
-    /// Whether it has shut down gracefully and not returned.
+    /// Whether the node has shut down gracefully and has not returned.
     has_left: bool,
 }
 
 impl NodeContact {
-    fn new(now: Duration, idle: Duration) -> Self {
+    fn new(now: Duration, ungranted: Duration) -> Self {
         let unacknowledged = VecDeque::new();
-        NodeContact { idle, last_request_at: now, acknowledged_at: now, unacknowledged, has_left: false }
+        NodeContact { ungranted, last_request_at: now, acknowledged_at: now, unacknowledged, has_left: false }
     }
 
     fn record_request(&mut self, now: Duration, request: &QuotaRequest) {
@@ -52,7 +54,7 @@
         self.has_left = false;
         if self.unacknowledged.back().is_some_and(|newest| request.number <= newest.number) {
             // The node's process has restarted.
-            *self = NodeContact::new(now, self.idle);
+            *self = NodeContact::new(now, self.ungranted);
         }
         while let Some(oldest) = self.unacknowledged.front().copied() {
             if oldest.number > request.last_answered {
@@ -61,15 +63,16 @@
             self.acknowledged_at = self.acknowledged_at.max(oldest.received_at);
             self.unacknowledged.pop_front();
         }
-        if self.unacknowledged.len() >= MAX_REQUESTS {
+        if self.unacknowledged.len() >= MAX_UNACKNOWLEDGED {
             self.unacknowledged.pop_front();
         }
         self.unacknowledged.push_back(UnacknowledgedRequest { number: request.number, received_at: now });
     }
 }
 
-/// The state of the quota leader. A coordinator creates one when it becomes the head of the chain in contact with a majority,
-/// keeps it over changes of the view for as long as it stays the head, and drops it when it is no longer the head.
+/// The state of the quota leader. A coordinator creates it when it becomes the head of the chain and has
+/// contact with a majority, keeps it across view changes in which it remains the head, and drops it when it
+/// no longer is.
 #[derive(Clone, Debug)]
 pub struct QuotaAllocator {
     settings: QuotaSettings,
@@ -80,21 +83,25 @@
     last_number: u64,
     /// The number of frontend nodes that the coordinators know of.
     known_nodes: u32,
+    /// The nodes that have sent a request, by name.
     contacts: BTreeMap<String, NodeContact>,
-    /// Whether it is known how long nobody granted anything before the start, or never will be.
-    has_learned_idle_time: bool,
+    /// Whether the time without a quota leader before the start is accounted for, or can no longer be
+    /// determined.
+    is_downtime_settled: bool,
+    /// The buckets by tenant.
     buckets: BTreeMap<String, SharedBucket>,
-    /// When all buckets were filled last.
+    /// When all buckets were last filled.
     filled_at: Duration,
 }
 
 impl QuotaAllocator {
-    /// Starts at `now`. For the first seconds it accounts for nodes that only a previous quota leader had contact with.
+    /// A quota leader that starts at `now`, with the default policy. For the first seconds it accounts for
+    /// nodes that only a previous quota leader has had contact with.
     pub fn new(settings: QuotaSettings, now: Duration) -> Self {
         QuotaAllocator::with_policy(settings, LimitsPolicy::default(), now)
     }
 
-    /// As [`Self::new`], with a policy. All nodes and quota leaders of a fleet have the same one.
+    /// As [`Self::new`], with a policy, which has to be the same for all nodes and quota leaders of a fleet.
     pub fn with_policy(settings: QuotaSettings, policy: LimitsPolicy, now: Duration) -> Self {
         QuotaAllocator {
             settings,
@@ -104,14 +111,14 @@
             last_number: 0,
             known_nodes: 0,
             contacts: BTreeMap::new(),
-            has_learned_idle_time: false,
+            is_downtime_settled: false,
             buckets: BTreeMap::new(),
             filled_at: now,
         }
     }
 
-    /// Applies another configuration, or another view with this coordinator still as its head. The epoch is the number of the
-    /// view.
+    /// Applies the tenants of a configuration, and the number of the current view as the epoch of responses.
+    /// To be called after each change of either.
     pub fn configure(&mut self, now: Duration, epoch: u64, tenants: &[Tenant]) {
         self.epoch = self.epoch.max(epoch);
         let mut previous = std::mem::take(&mut self.buckets);
@@ -125,16 +132,16 @@
         }
     }
 
-    /// Sets the number of frontend nodes that all coordinators together know of.
+    /// Sets the number of frontend nodes that the coordinators together know of.
     pub fn set_known_nodes(&mut self, known_nodes: u32) {
         self.known_nodes = known_nodes;
     }
 
-    /// Handles a node's request. The response is to be sent to that node and no other.
+    /// Handles a node's request. The response is valid for that node only.
     pub fn handle_request(&mut self, now: Duration, node: &str, request: &QuotaRequest) -> QuotaResponse {
         self.record_request(now, node, request);
         self.remove_expired_nodes(now);
-        self.learn_idle_time(now);
+        self.add_downtime_inflow(now);
         let node_count = self.node_count();
         let timed_out = timed_out_nodes(&self.contacts, now);
         let fleet = FleetStatus { timed_out, node_count, started_at: self.started_at };
@@ -163,41 +170,46 @@
         self.known_nodes.max(present as u32)
     }
 
-    /// A node has shut down gracefully: it admits nothing more and has no fallback rate, so that nothing is kept back for it.
-    /// Its reserve is lost. Its contact is kept, so that nothing counts as unused when it returns.
+    /// Records that a node has shut down gracefully. It admits nothing more, so that nothing is withheld for
+    /// its fallback rate, and what remains of its reserve is lost. The contact is kept: a node without one
+    /// that makes its first request would have quota credited as unused.
     pub fn remove_node(&mut self, now: Duration, node: &str) {
         let Some(contact) = self.contacts.get_mut(node) else { return };
-        *contact = NodeContact { has_left: true, ..NodeContact::new(now, contact.idle) };
+        *contact = NodeContact { has_left: true, ..NodeContact::new(now, contact.ungranted) };
         self.buckets.values_mut().for_each(|bucket| bucket.remove_node(node));
     }
 
     fn record_request(&mut self, now: Duration, node: &str, request: &QuotaRequest) {
         let started_at = self.started_at;
         let since_answered = Duration::from_millis(request.last_answered_ms_ago);
-        let idle = started_at.saturating_sub(now.saturating_sub(since_answered));
+        let ungranted = started_at.saturating_sub(now.saturating_sub(since_answered));
         if request.last_answered == 0 && !self.contacts.contains_key(node) {
-            // The node has no fallback rate and did not use what was accounted for it. Its previous process may have.
+            // A node that has just started has no fallback rate, so that it has not used what was withheld
+            // for it. Only up to `CONTACT_TIMEOUT` is credited, as its previous process may have used the
+            // rest.
             let count = f64::from(self.known_nodes.max(1));
             let unused = now.saturating_sub(started_at).min(CONTACT_TIMEOUT).div_f64(count);
             self.buckets.values_mut().for_each(|bucket| bucket.add_unused(unused));
         }
-        // After this time, nodes use their fallback rates.
-        let idle = idle.min(CONTACT_TIMEOUT);
-        let contact = self.contacts.entry(node.to_string()).or_insert_with(|| NodeContact::new(now, idle));
+        // After `CONTACT_TIMEOUT`, nodes use their fallback rates.
+        let ungranted = ungranted.min(CONTACT_TIMEOUT);
+        let contact =
+            self.contacts.entry(node.to_string()).or_insert_with(|| NodeContact::new(now, ungranted));
         contact.record_request(now, request);
     }
 
-    /// Once all nodes have made contact, adds what flowed in while nobody granted anything.
-    fn learn_idle_time(&mut self, now: Duration) {
-        let learning_end = self.started_at + LEARNING_PERIOD;
+    /// Once all nodes have made contact, adds the inflow of the time before the start in which no quota
+    /// leader granted anything. Nothing is added if they have not within [`DISCOVERY_PERIOD`].
+    fn add_downtime_inflow(&mut self, now: Duration) {
+        let discovery_end = self.started_at + DISCOVERY_PERIOD;
         let is_complete = self.contacts.len() >= self.known_nodes.max(1) as usize;
-        if self.has_learned_idle_time || (!is_complete && now < learning_end) {
+        if self.is_downtime_settled || (!is_complete && now < discovery_end) {
             return;
         }
-        self.has_learned_idle_time = true;
-        if now < learning_end {
-            let idle = self.contacts.values().map(|contact| contact.idle).min().unwrap_or_default();
-            self.buckets.values_mut().for_each(|bucket| bucket.add_unused(idle));
+        self.is_downtime_settled = true;
+        if now < discovery_end {
+            let downtime = self.contacts.values().map(|contact| contact.ungranted).min().unwrap_or_default();
+            self.buckets.values_mut().for_each(|bucket| bucket.add_unused(downtime));
         }
     }
 
@@ -213,7 +225,7 @@
     }
 }
 
-/// The nodes that may use their fallback rates by now.
+/// The nodes that may have lost contact and use their fallback rates.
 fn timed_out_nodes(contacts: &BTreeMap<String, NodeContact>, now: Duration) -> Vec<TimedOutNode<'_>> {
     let timed_out = contacts
         .iter()
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,15 +1,17 @@
-//! Rate limits of tenants and retry budgets of services, enforced by many nodes together. No I/O, no clock.
+//! Distributed rate limits for tenants, and retry budgets for services. No I/O, no clock.
 //!
-//! A tenant's limit holds for all nodes together. The fleet has one token bucket for it, at the [`QuotaAllocator`] (the quota
-//! leader, which is the head of the core's chain), and each node has a small prepaid reserve that it fills up after use
-//! ([`TenantLimits`]). A request that the reserve does not cover waits a moment for quota from the quota leader. A single
-//! request costs up to several hundred milliseconds of a complete limit, so that a fixed division of the rate among the nodes
-//! would reject much that is within it.
+//! A tenant's limit applies to all nodes together. The quota leader ([`QuotaAllocator`], at the head of the
+//! coordinators' chain) holds one token bucket for it. Each node ([`TenantLimits`]) holds a small reserve
+//! that was granted in advance, and has it topped up after use. A request that the reserve does not cover
+//! waits a moment for a grant of the quota leader. A fixed division of the rate among the nodes would reject
+//! many requests that are within the limit, since a single request may cost as much as the whole limit allows
+//! in several hundred milliseconds.
 //!
-//! A node without contact with a quota leader uses a fallback rate that was granted to it before; the quota leader subtracts
-//! that rate from what it grants to others for as long as it has no contact with the node.
+//! A node without contact with the quota leader uses a fallback rate that was granted to it before. The quota
+//! leader withholds that rate from others for as long as it has no contact with the node.
 //!
-//! Time is passed in as the time since any fixed moment on the caller's steady clock. No two clocks are compared.
+//! Times are durations since any fixed moment on the caller's monotonic clock. Times of different processes
+//! are never compared.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/quota/src/rate_meter.rs
+++ b/crates/quota/src/rate_meter.rs
@@ -1,11 +1,11 @@
-//! Measurement of a rate with exponential decay.
+//! Measurement of a rate over an exponentially decaying window.
 
 use std::time::Duration;
 
 /// An exponentially weighted amount per second.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RateMeter {
-    /// The time in which a past amount loses all but 1/e of its weight, in seconds.
+    /// The time after which the weight of an amount has fallen to 1/e, in seconds.
     time_constant: f64,
     rate: f64,
     updated_at: Duration,
--- a/crates/quota/src/retry_budget.rs
+++ b/crates/quota/src/retry_budget.rs
@@ -1,33 +1,36 @@
-//! A node's part of the retry budget of a service.
+//! A node's retry budget for a service.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The length of a slot, in which requests are counted.
+/// The length of a slot of the sliding window.
 const SLOT: Duration = Duration::from_millis(500);
 
 /// The counts of one slot.
 #[derive(Clone, Copy, Debug)]
 struct Slot {
-    /// The number of the slot since the caller's clock began.
+    /// The number of slots from the origin of the caller's clock to this one.
     number: u64,
     requests: u32,
     retries: u32,
 }
 
-/// Bounds retries to one service to a fraction of the node's own requests in a sliding window, and a few beyond that. As all
-/// nodes keep this bound for themselves, they keep it together.
+/// Limits the retries of requests to a service to a fraction of the node's requests in a sliding window, and
+/// a small constant number beyond that. As each node respects the fraction, so do all nodes together.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
     /// The length of the window in slots.
     window_slots: u64,
+    /// Retries in a window beyond the fraction.
     extra: f64,
+    /// The slots of the window, the oldest first. Slots in which no method was called may be missing.
     slots: VecDeque<Slot>,
 }
 
 impl RetryBudget {
-    /// `ratio` is the fraction of requests that may be retried, `extra` the retries in a window without any request.
+    /// `ratio` is the fraction of requests that may be retried, `extra` the number of retries in a window
+    /// beyond that.
     pub fn new(ratio: f64, window: Duration, extra: f64) -> Self {
         let window_slots = window.as_millis().div_ceil(SLOT.as_millis()).max(1) as u64;
         RetryBudget { ratio, window_slots, extra, slots: VecDeque::new() }
@@ -36,7 +39,7 @@
     /// Drops the slots before the window. Returns the current slot.
     fn advance(&mut self, now: Duration) -> &mut Slot {
         let number = (now.as_millis() / SLOT.as_millis()) as u64;
-        // One more than the window has: the oldest slot may lie in it in part.
+        // One slot more than the window has, as the oldest one may lie in it in part.
         while self.slots.front().is_some_and(|slot| slot.number + self.window_slots < number) {
             self.slots.pop_front();
         }
@@ -52,7 +55,7 @@
         self.advance(now).requests += 1;
     }
 
-    /// Whether a retry would be within the budget. Records nothing.
+    /// Whether a retry would be within the budget. Does not record one.
     pub fn has_capacity(&mut self, now: Duration) -> bool {
         self.advance(now);
         let requests: u32 = self.slots.iter().map(|slot| slot.requests).sum();
@@ -60,7 +63,7 @@
         f64::from(retries + 1) <= f64::from(requests) * self.ratio + self.extra
     }
 
-    /// Records a retry if it is within the budget. Returns whether it is.
+    /// Records a retry if it is within the budget. Returns whether it was.
     pub fn try_retry(&mut self, now: Duration) -> bool {
         let has_capacity = self.has_capacity(now);
         if has_capacity {
--- a/crates/quota/src/settings.rs
+++ b/crates/quota/src/settings.rs
@@ -1,22 +1,26 @@
-//! The settings of the limits, and the time-outs between nodes and the quota leader.
+//! Settings of the enforcement of limits, and the time-outs between nodes and the quota leader.
 
 use std::time::Duration;
 
-/// The time since the last request with a response was sent after which a node has no contact with a quota leader.
+/// A node has lost contact with the quota leader when this time has passed since it sent the newest request
+/// that has a response.
 pub(crate) const CONTACT_TIMEOUT: Duration = Duration::from_millis(1100);
-/// The time since a node's last request that it knows to be responded to after which the quota leader accounts for the node's
-/// fallback rate. More than two requests and a response take; less than [`CONTACT_TIMEOUT`] by what a message may take.
+/// The quota leader starts to account for a node's fallback rate when this time has passed since it received
+/// the node's newest acknowledged request. Longer than two requests and a response take. Shorter than
+/// [`CONTACT_TIMEOUT`] by the time that a message may take, so that the quota leader never starts later than
+/// the node.
 pub(crate) const NODE_TIMEOUT: Duration = Duration::from_millis(900);
-/// The time after [`CONTACT_TIMEOUT`] for which a node uses its fallback rate.
+/// The time for which a node uses its fallback rate after [`CONTACT_TIMEOUT`].
 pub(crate) const FALLBACK_DURATION: Duration = Duration::from_secs(10);
 
-/// By how much all nodes together may exceed a limit. The same for all programs of a fleet.
+/// The tolerance within which all nodes together may exceed a limit. Has to be the same in all processes of a
+/// fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaSettings {
-    /// The length of the window in which use is counted, in seconds.
+    /// The length of the window over which use is counted, in seconds.
     pub window_s: f64,
-    /// The tolerated excess as a fraction of the limit.
+    /// The tolerated excess as a fraction of what the limit allows in a window.
     pub overuse_ratio: f64,
-    /// The tolerated excess beyond that, in tokens; only for limits in tokens.
+    /// A further tolerated excess, in tokens. Applies only to limits in tokens.
     pub token_slack: f64,
 }
--- a/crates/quota/src/tenant_limits.rs
+++ b/crates/quota/src/tenant_limits.rs
@@ -1,4 +1,4 @@
-//! The limits of all tenants at one node.
+//! Enforcement of the limits of all tenants at one node.
 
 use crate::limit::Limit;
 use crate::reserve::{NodeReserve, ReserveDecision};
@@ -9,53 +9,56 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// The most requests without a response. Guards against a quota leader that never responds.
+/// The most quota requests without a response that are kept. Bounds the memory if the quota leader never
+/// responds.
 const MAX_PENDING_REQUESTS: usize = 64;
-/// The shortest interval between two requests. Guards against one for each client's request of an overload.
+/// The shortest interval between two quota requests. Under overload, each client's request would cause one
+/// without it.
 const MIN_REQUEST_INTERVAL: Duration = Duration::from_millis(10);
-/// The longest interval between two requests, which also serve as heartbeats.
+/// The longest interval between two quota requests, which also serve as heartbeats.
 const MAX_REQUEST_INTERVAL: Duration = Duration::from_millis(control_protocol::QUOTA_REQUEST_INTERVAL_MS);
-/// The time after which a response is no longer expected.
+/// The time after which the response to a quota request is no longer expected, so that its top-up is demanded
+/// again.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The decision on a client's request under its tenant's limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It may be forwarded; its cost is spent.
+    /// The request may be forwarded, and its cost is spent.
     Admitted,
-    /// Quota is requested for it. Hold the request, and call [`TenantLimits::decide`] after the next
-    /// [`TenantLimits::apply_response`] and at the deadline.
+    /// Quota is demanded for the request. The caller is to hold it, and to call [`TenantLimits::decide`]
+    /// after the next [`TenantLimits::apply_response`] and at the deadline.
     Pending(PendingAdmission),
-    /// It is beyond the limit, and nothing is spent; the client is to retry after this time.
+    /// The request is beyond the limit, and nothing is spent. The client is to retry after this time.
     Rejected(Duration),
 }
 
-/// A client's request that waits for quota.
+/// Identifies a client's request that waits for quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PendingAdmission {
-    /// The number of the request to the quota leader that demands quota for it.
+    /// The number of the quota request that demands quota for the client's request.
     request_number: u64,
-    /// When it is decided at the latest.
+    /// When the request is decided at the latest.
     pub deadline: Duration,
 }
 
-/// A request to the quota leader.
+/// A request to the quota leader without a response.
 #[derive(Clone, Debug)]
 struct PendingRequest {
     number: u64,
     sent_at: Duration,
-    /// The demands by tenant, until the response to each.
+    /// The amounts that were demanded, by tenant.
     demanded: HashMap<String, DemandedAmounts>,
 }
 
-/// What a request to the quota leader demands and reports for a tenant.
+/// The amounts that a quota request demands and reports for a tenant.
 #[derive(Clone, Copy, Debug)]
 struct DemandedAmounts {
-    /// The cost of the waiting requests.
+    /// The total cost of the waiting requests.
     waiting: f64,
-    /// The amount that the reserve lacked.
+    /// The amount that was missing in the reserve.
     top_up: f64,
-    /// What the node had used without grants.
+    /// The amount that the node had used without grants.
     used_without_grants: f64,
 }
 
@@ -69,32 +72,34 @@
     }
 }
 
-/// The limits of all tenants at one node. The cost of a request is 1 or the number of its tokens, by the tenant's unit.
+/// Enforces the limits of all tenants at one node. The cost of a request is 1 or its number of tokens,
+/// depending on the tenant's unit.
 #[derive(Clone, Debug)]
 pub struct TenantLimits {
     settings: QuotaSettings,
     policy: LimitsPolicy,
     reserves: HashMap<String, NodeReserve>,
-    /// The number of the last request to the quota leader.
+    /// The number of the last quota request.
     last_number: u64,
     last_sent_at: Option<Duration>,
+    /// The quota requests without a response, the oldest first.
     pending: VecDeque<PendingRequest>,
     /// The epoch of the last response that was applied.
     epoch: u64,
-    /// The highest number of a request with a response.
+    /// The highest number of a quota request with a response.
     last_answered: u64,
-    /// When the newest request with a response was sent.
+    /// When the newest quota request with a response was sent.
     last_contact: Option<Duration>,
     started_at: Duration,
 }
 
 impl TenantLimits {
-    /// No tenants yet.
+    /// Without tenants, and with the default policy.
     pub fn new(settings: QuotaSettings, now: Duration) -> Self {
         TenantLimits::with_policy(settings, LimitsPolicy::default(), now)
     }
 
-    /// As [`Self::new`], with a policy. All nodes and quota leaders of a fleet have the same one.
+    /// As [`Self::new`], with a policy, which has to be the same for all nodes and quota leaders of a fleet.
     pub fn with_policy(settings: QuotaSettings, policy: LimitsPolicy, now: Duration) -> Self {
         TenantLimits {
             settings,
@@ -110,7 +115,7 @@
         }
     }
 
-    /// Applies another configuration. Reserves are retained as far as the new limits allow.
+    /// Applies the tenants of a configuration. Reserves are retained as far as the new limits allow.
     pub fn configure(&mut self, now: Duration, tenants: &[Tenant]) {
         let mut previous = std::mem::take(&mut self.reserves);
         for tenant in tenants {
@@ -123,7 +128,7 @@
         }
     }
 
-    /// Decides on a client's new request. That of a tenant without a limit is always admitted.
+    /// Decides on a client's new request. A request of a tenant without a limit is always admitted.
     pub fn admit(&mut self, now: Duration, tenant: &str, cost: f64) -> Admission {
         let Some(reserve) = self.reserves.get_mut(tenant) else { return Admission::Admitted };
         match reserve.admit(now, cost, self.last_contact) {
@@ -136,8 +141,9 @@
         }
     }
 
-    /// Decides on a client's request that waits: admitted once the reserve covers it, rejected after a response without enough
-    /// quota or at its deadline.
+    /// Decides on a client's request that waits for quota. It is admitted once the reserve covers its cost.
+    /// It is rejected at its deadline, or after a response that granted too little if no further one may
+    /// arrive before the deadline.
     pub fn decide(
         &mut self,
         now: Duration,
@@ -159,7 +165,7 @@
         Admission::Rejected(reserve.retry_after(now, cost))
     }
 
-    /// Returns the cost of an admitted request that has not run and never will.
+    /// Credits the cost of an admitted request that was not run and will not be.
     pub fn refund(&mut self, now: Duration, tenant: &str, cost: f64) {
         if let Some(reserve) = self.reserves.get_mut(tenant) {
             reserve.refund(now, cost, self.last_contact);
@@ -178,8 +184,8 @@
         Some(urgent.unwrap_or(latest).min(latest))
     }
 
-    /// The request to the quota leader, to be sent at once. Tenants of which nothing is needed and nothing is to be reported are
-    /// left out.
+    /// Creates a quota request, which is to be sent at once. It leaves out tenants for which there is nothing
+    /// to demand or report.
     pub fn create_request(&mut self, now: Duration) -> QuotaRequest {
         self.last_number += 1;
         self.last_sent_at = Some(now);
@@ -188,8 +194,8 @@
         let last_answered_ms_ago = now.saturating_sub(last_contact).as_millis() as u64;
         let mut demands = Vec::new();
         for (tenant, reserve) in &mut self.reserves {
-            let pending = pending_top_up(&self.pending, now, tenant);
-            demands.extend(reserve.demand(tenant, now, pending, self.last_contact));
+            let pending_top_up = pending_top_up(&self.pending, now, tenant);
+            demands.extend(reserve.demand(tenant, now, pending_top_up, self.last_contact));
         }
         demands.sort_by(|a, b| a.tenant.cmp(&b.tenant));
         let demanded =
@@ -206,8 +212,9 @@
         }
     }
 
-    /// Applies a response of the quota leader. A duplicate, one to an expired request, and one of a previous quota leader are
-    /// ignored; after long without contact, a response of any epoch is applied, as the core may have been set up anew.
+    /// Applies a response of the quota leader. Ignored are duplicates, responses to expired requests and
+    /// responses of an earlier epoch. After [`FALLBACK_DURATION`] without contact, a response of any epoch is
+    /// applied, since epochs start again where the coordinators were set up anew.
     pub fn apply_response(&mut self, now: Duration, response: &QuotaResponse) {
         self.remove_expired_requests(now);
         let is_isolated =
@@ -235,7 +242,7 @@
     }
 }
 
-/// The top-up of a tenant's reserve that is demanded by requests whose response is still expected.
+/// The top-up of a tenant's reserve that is demanded by quota requests whose response is still expected.
 fn pending_top_up(pending: &VecDeque<PendingRequest>, now: Duration, tenant: &str) -> f64 {
     let expected = pending.iter().filter(|request| now < request.sent_at + RESPONSE_TIMEOUT);
     expected.filter_map(|request| request.demanded.get(tenant)).map(|demanded| demanded.top_up).sum()
