--- a/crates/quota/tests/fleet/mod.rs
+++ b/crates/quota/tests/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A simulated fleet: nodes, one quota leader at a time, and messages that are delayed, reordered or lost.
+//! A simulated fleet: nodes, one quota leader at a time, and messages that are delayed, reordered, duplicated
+//! or lost.
 
 use configuration::{Tenant, Unit};
 use control_protocol::{QuotaRequest, QuotaResponse};
@@ -8,10 +9,11 @@
 use std::time::Duration;
 
 pub const STEP: Duration = Duration::from_millis(5);
-/// As in the agent's `quota_contact`.
+/// The longest interval between two responses by which an agent regards its node as in contact with the quota
+/// leader. The same as in the agent's `quota_contact`.
 const CONTACT_INTERVAL: Duration = Duration::from_millis(700);
-/// How long a coordinator knows of a node without contact.
-const KNOWN_FOR: Duration = Duration::from_secs(10);
+/// How long a coordinator counts a node without contact.
+const NODE_RETENTION: Duration = Duration::from_secs(10);
 pub const TENANT: &str = "t";
 pub const SETTINGS: QuotaSettings =
     QuotaSettings { window_s: 8.0, overuse_ratio: 0.1, token_slack: 110_000.0 };
@@ -34,6 +36,7 @@
     Response(usize, u64, QuotaResponse),
 }
 
+/// A client's request that waits for quota.
 struct Waiting {
     cost: f64,
     admission: PendingAdmission,
@@ -46,29 +49,31 @@
     incarnation: u64,
     /// Whether its messages are lost.
     pub partitioned: bool,
-    /// When it shut down gracefully, and the epoch of the quota leader that was notified.
+    /// When the node shut down gracefully, and the epoch of the quota leader that was notified of it.
     pub left: Option<(Duration, Option<u64>)>,
-    /// When a quota leader's last two responses arrived.
+    /// When the last two responses of a quota leader arrived, the newest first.
     responses: [Option<Duration>; 2],
 }
 
 impl Node {
-    /// Whether a quota leader responded until its end, as its agent sees it.
-    fn was_in_contact(&self, end: Duration) -> bool {
-        let [last, before] = self.responses;
-        let near =
-            |one: Option<Duration>, other: Duration| one.is_some_and(|one| other <= one + CONTACT_INTERVAL);
-        near(last, end) && last.is_some_and(|last| near(before, last))
+    /// Whether the node was in contact with a quota leader when it shut down, by the rule of the agent.
+    fn was_in_contact(&self, left_at: Duration) -> bool {
+        let [last, second_last] = self.responses;
+        let is_recent = |response: Option<Duration>, at: Duration| {
+            response.is_some_and(|response| at <= response + CONTACT_INTERVAL)
+        };
+        is_recent(last, left_at) && last.is_some_and(|last| is_recent(second_last, last))
     }
 }
 
 /// The decisions on all requests.
 #[derive(Default)]
 pub struct Counts {
-    /// When, and at what cost.
+    /// The times and costs of admitted requests.
     pub admitted: Vec<(Duration, f64)>,
-    pub refused: Vec<(Duration, f64)>,
-    /// The cost of the requests that arrived at each node, and of those that it admitted.
+    /// The times and costs of rejected requests.
+    pub rejected: Vec<(Duration, f64)>,
+    /// The total cost of the requests that arrived at each node, and of those that it admitted.
     pub by_node: Vec<(f64, f64)>,
 }
 
@@ -85,10 +90,11 @@
     /// The longest delay of a message.
     pub max_delay: Duration,
     pub counts: Counts,
-    /// Requests that were sent, and those of them that name the tenant.
+    /// The number of quota requests that were sent, and of those with a demand.
     pub requests: (usize, usize),
+    /// Messages with the times of their delivery.
     in_flight: Vec<(Duration, Message)>,
-    /// How the requests are divided among the nodes; evenly where it is empty.
+    /// The weights by which clients' requests are distributed over the nodes; evenly if it is empty.
     pub weights: Vec<f64>,
     pub rng: Pcg64,
     pub policy: policy::Limits,
@@ -118,7 +124,7 @@
         fleet
     }
 
-    /// The same fleet under another policy, restarted.
+    /// Restarts the fleet with another policy.
     pub fn with_policy(mut self, policy: policy::Limits) -> Self {
         self.policy = policy;
         self.nodes = (0..self.nodes.len()).map(|_| self.new_node(0)).collect();
@@ -144,10 +150,13 @@
         self.nodes[node] = Node { partitioned, ..self.new_node(self.nodes[node].incarnation + 1) };
     }
 
-    /// A node shuts down gracefully: its messages have arrived, and it sends that it leaves.
+    /// Shuts a node down gracefully. None of its messages is in flight any more, and the quota leader is
+    /// notified.
     pub fn leave(&mut self, node: usize) {
-        let of_node = |message: &Message| matches!(message, Message::Request(other, _) | Message::Response(other, ..) if *other == node);
-        self.in_flight.retain(|(_, message)| !of_node(message));
+        let is_of_node = |message: &Message| match message {
+            Message::Request(other, _) | Message::Response(other, ..) => *other == node,
+        };
+        self.in_flight.retain(|(_, message)| !is_of_node(message));
         self.nodes[node].left = Some((self.now, self.allocator.as_ref().map(|_| self.epoch)));
         self.nodes[node].waiting.clear();
         if let Some(allocator) = &mut self.allocator {
@@ -156,18 +165,18 @@
         self.update_known_nodes();
     }
 
-    /// A node that had left starts again.
+    /// Starts a node again that has left.
     pub fn return_node(&mut self, node: usize) {
         self.restart(node);
         self.update_known_nodes();
     }
 
     fn update_known_nodes(&mut self) {
-        // A coordinator that was not notified of a departure knows of the node for a while.
+        // Coordinators count a node that has left for a while if they were not notified.
         let (now, epoch) = (self.now, self.epoch);
         let is_known = |node: &&Node| match node.left {
             Some((at, notified)) => {
-                notified != Some(epoch) && !node.was_in_contact(at) && now < at + KNOWN_FOR
+                notified != Some(epoch) && !node.was_in_contact(at) && now < at + NODE_RETENTION
             }
             None => true,
         };
@@ -202,15 +211,15 @@
         if self.weights.is_empty() {
             return self.rng.random_range(0..count);
         }
-        let mut rest = self.rng.random_range(0.0..self.weights.iter().sum());
-        let passed = |weight: &f64| {
-            rest -= weight;
-            rest < 0.0
+        let mut remainder = self.rng.random_range(0.0..self.weights.iter().sum());
+        let is_drawn = |weight: &f64| {
+            remainder -= weight;
+            remainder < 0.0
         };
-        self.weights.iter().position(passed).unwrap_or(count - 1)
+        self.weights.iter().position(is_drawn).unwrap_or(count - 1)
     }
 
-    /// A request arrives at a node, or at the next one that is present.
+    /// Sends a client's request to a node, or to the next one that has not left.
     pub fn request(&mut self, node: usize, cost: f64) {
         let count = self.nodes.len();
         let Some(node) =
@@ -229,7 +238,7 @@
                 self.counts.admitted.push((self.now, cost));
                 self.counts.by_node[node].1 += cost;
             }
-            Admission::Rejected(_) => self.counts.refused.push((self.now, cost)),
+            Admission::Rejected(_) => self.counts.rejected.push((self.now, cost)),
             Admission::Pending(admission) => self.nodes[node].waiting.push(Waiting { cost, admission }),
         }
     }
@@ -305,7 +314,7 @@
         }
     }
 
-    /// The most that was admitted in any window.
+    /// The highest total cost that was admitted in any window.
     pub fn worst_window(&self) -> f64 {
         let window = Duration::from_secs_f64(SETTINGS.window_s);
         let (mut sum, mut worst, mut first) = (0.0, 0.0_f64, 0);
@@ -321,13 +330,13 @@
     }
 }
 
-/// What the limit lets through in a window.
+/// The most that may be admitted in a window, with the tolerated excess.
 pub fn bound(rate: f64, unit: Unit) -> f64 {
     let slack = if unit == Unit::Tokens { SETTINGS.token_slack } else { 0.0 };
     (rate * SETTINGS.window_s + rate) * (1.0 + SETTINGS.overuse_ratio) + slack
 }
 
-/// Whether something that happens so often per second happens in one step.
-pub fn happens(rng: &mut Pcg64, per_second: f64) -> bool {
+/// Draws whether an event with this mean rate occurs in one step.
+pub fn occurs(rng: &mut Pcg64, per_second: f64) -> bool {
     rng.random_bool((per_second * STEP.as_secs_f64()).min(1.0))
 }
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -1,9 +1,9 @@
-//! The limit of a tenant over many nodes: it is never exceeded, and calm traffic is not rejected.
+//! A tenant's limit at many nodes: it is never exceeded, and traffic within it is not rejected.
 
 mod fleet;
 
 use configuration::Unit;
-use fleet::{Fleet, STEP, bound, happens, tenant};
+use fleet::{Fleet, STEP, bound, occurs, tenant};
 use quickcheck::quickcheck;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -11,8 +11,8 @@
 
 const NODES: usize = 8;
 
-/// The cost of a request: 9,000 tokens mostly, four times that now and then.
-fn cost(rng: &mut Pcg64) -> f64 {
+/// Draws the cost of a request: about 10,000 tokens, and about three times that for one request in ten.
+fn draw_cost(rng: &mut Pcg64) -> f64 {
     if rng.random_bool(0.1) {
         rng.random_range(20_000.0..37_000.0)
     } else {
@@ -22,61 +22,64 @@
 
 const MEAN_COST: f64 = 0.9 * 10_500.0 + 0.1 * 28_500.0;
 
-/// Advances the time with requests at a rate of tokens over all nodes. Returns the number of requests.
-fn play(fleet: &mut Fleet, seconds: f64, tokens_per_s: f64) -> usize {
+/// Advances the time while requests arrive at all nodes, with this many tokens per second together. Returns
+/// the number of requests.
+fn run(fleet: &mut Fleet, seconds: f64, tokens_per_s: f64) -> usize {
     let mut arrived = 0;
     let steps = (seconds / STEP.as_secs_f64()) as usize;
     for _ in 0..steps {
         fleet.step();
-        let mut rest = tokens_per_s / MEAN_COST * STEP.as_secs_f64();
-        while rest > 0.0 {
-            if fleet.rng.random_bool(rest.min(1.0)) {
-                let (node, cost) = (fleet.draw_node(), cost(&mut fleet.rng));
+        let mut expected = tokens_per_s / MEAN_COST * STEP.as_secs_f64();
+        while expected > 0.0 {
+            if fleet.rng.random_bool(expected.min(1.0)) {
+                let (node, cost) = (fleet.draw_node(), draw_cost(&mut fleet.rng));
                 fleet.request(node, cost);
                 arrived += 1;
             }
-            rest -= 1.0;
+            expected -= 1.0;
         }
     }
     arrived
 }
 
-/// How many requests a single bucket of the limit's own rate and burst would refuse.
-fn refused_by_one_bucket(requests: &[(Duration, f64)], rate: f64) -> usize {
-    let (mut level, mut last, mut refused) = (rate, Duration::ZERO, 0);
+/// The number of requests that a single bucket with the limit's rate and burst would reject.
+fn rejected_by_single_bucket(requests: &[(Duration, f64)], rate: f64) -> usize {
+    let (mut level, mut last, mut rejected) = (rate, Duration::ZERO, 0);
     for (at, cost) in requests {
         level = (level + (*at - last).as_secs_f64() * rate).min(rate);
         last = *at;
         if level >= *cost {
             level -= cost;
         } else {
-            refused += 1;
+            rejected += 1;
         }
     }
-    refused
+    rejected
 }
 
 #[test]
-fn requests_that_one_bucket_would_admit_are_not_rejected() {
+fn requests_that_a_single_bucket_would_admit_are_not_rejected() {
     for rate in [30_000.0, 60_000.0, 170_000.0] {
         for part in [0.4, 0.6, 0.8] {
-            let (mut refused, mut arrived, mut by_one) = (0, 0, 0);
+            let (mut rejected, mut arrived, mut by_single_bucket) = (0, 0, 0);
             for seed in 0..4 {
                 let mut fleet = Fleet::new(NODES, tenant(rate, Unit::Tokens), Pcg64::seed_from_u64(seed));
-                play(&mut fleet, 10.0, 0.0);
-                arrived += play(&mut fleet, 60.0, rate * part);
+                run(&mut fleet, 10.0, 0.0);
+                arrived += run(&mut fleet, 60.0, rate * part);
                 assert!(fleet.worst_window() <= bound(rate, Unit::Tokens));
-                refused += fleet.counts.refused.len();
-                let mut all = [fleet.counts.admitted.as_slice(), &fleet.counts.refused].concat();
+                rejected += fleet.counts.rejected.len();
+                let mut all = [fleet.counts.admitted.as_slice(), &fleet.counts.rejected].concat();
                 all.sort_by_key(|(at, _)| *at);
-                by_one += refused_by_one_bucket(&all, rate);
+                by_single_bucket += rejected_by_single_bucket(&all, rate);
             }
-            println!("rate {rate}, load {part}: {refused} of {arrived} refused, {by_one} by one bucket");
-            // Near the limit, what is in other nodes' reserves may be missing now and then.
-            let missed = if part > 0.7 { arrived / 200 } else { 0 };
+            println!(
+                "rate {rate}, load {part}: {rejected} of {arrived} rejected, {by_single_bucket} by one bucket"
+            );
+            // Close to the limit, a request may be rejected because quota is in the reserves of other nodes.
+            let tolerated = if part > 0.7 { arrived / 200 } else { 0 };
             assert!(
-                refused <= by_one + missed,
-                "rate {rate}, load {part}: {refused} of {arrived}, one: {by_one}"
+                rejected <= by_single_bucket + tolerated,
+                "rate {rate}, load {part}: {rejected} of {arrived} rejected, {by_single_bucket} by one bucket"
             );
         }
     }
@@ -87,21 +90,26 @@
     for rate in [30_000.0, 170_000.0] {
         for seed in 0..4 {
             let mut fleet = Fleet::new(NODES, tenant(rate, Unit::Tokens), Pcg64::seed_from_u64(seed));
-            play(&mut fleet, 10.0, 0.0);
-            play(&mut fleet, 60.0, rate * 5.0);
+            run(&mut fleet, 10.0, 0.0);
+            run(&mut fleet, 60.0, rate * 5.0);
             let used: f64 = fleet.counts.admitted.iter().map(|(_, cost)| cost).sum();
             let part = used / (rate * 60.0);
             let large = |list: &[(Duration, f64)]| list.iter().filter(|(_, cost)| *cost > 20_000.0).count();
-            let (all, refused) = (fleet.counts.admitted.len(), fleet.counts.refused.len());
-            let served = all as f64 / (all + refused) as f64;
-            let (admitted, turned) = (large(&fleet.counts.admitted), large(&fleet.counts.refused));
-            let large_served = admitted as f64 / (admitted + turned) as f64;
+            let (all, rejected) = (fleet.counts.admitted.len(), fleet.counts.rejected.len());
+            let served = all as f64 / (all + rejected) as f64;
+            let (large_admitted, large_rejected) =
+                (large(&fleet.counts.admitted), large(&fleet.counts.rejected));
+            let large_served = large_admitted as f64 / (large_admitted + large_rejected) as f64;
             println!(
-                "rate {rate}, seed {seed}: {part:.3} used, {served:.3} served, {large_served:.3} of the large"
+                "rate {rate}, seed {seed}: {part:.3} of the limit used, {served:.3} of all requests admitted, \
+                 {large_served:.3} of the large ones"
             );
-            assert!(part > 0.95, "rate {rate}, seed {seed}: {part}");
+            assert!(part > 0.95, "rate {rate}, seed {seed}: only {part} of the limit is used");
             assert!(fleet.worst_window() <= bound(rate, Unit::Tokens));
-            assert!(large_served > 0.5 * served, "rate {rate}, seed {seed}: {large_served} against {served}");
+            assert!(
+                large_served > 0.5 * served,
+                "rate {rate}, seed {seed}: {large_served} of the large requests admitted, {served} of all"
+            );
         }
     }
 }
@@ -111,109 +119,109 @@
     for seed in 0..4 {
         let rate = 170_000.0;
         let mut fleet = Fleet::new(NODES, tenant(rate, Unit::Tokens), Pcg64::seed_from_u64(seed));
-        play(&mut fleet, 10.0, 0.0);
-        play(&mut fleet, 20.0, rate * 0.6);
-        assert_eq!(fleet.counts.refused.len(), 0);
+        run(&mut fleet, 10.0, 0.0);
+        run(&mut fleet, 20.0, rate * 0.6);
+        assert_eq!(fleet.counts.rejected.len(), 0);
         fleet.allocator = None;
-        let arrived = play(&mut fleet, 6.0, rate * 0.6);
-        let refused = fleet.counts.refused.len();
-        println!("seed {seed}: {refused} of {arrived} refused without a quota leader");
-        assert!(refused * 3 < arrived, "seed {seed}: {refused} of {arrived}");
+        let arrived = run(&mut fleet, 6.0, rate * 0.6);
+        let rejected = fleet.counts.rejected.len();
+        println!("seed {seed}: {rejected} of {arrived} rejected without a quota leader");
+        assert!(rejected * 3 < arrived, "seed {seed}: {rejected} of {arrived}");
         fleet.new_allocator();
-        // The nodes' reserves are filled up first.
-        play(&mut fleet, 4.0, rate * 0.6);
-        let before = fleet.counts.refused.len();
-        play(&mut fleet, 20.0, rate * 0.6);
-        assert_eq!(fleet.counts.refused.len(), before, "seed {seed}");
+        // Lets the reserves of the nodes fill up.
+        run(&mut fleet, 4.0, rate * 0.6);
+        let before = fleet.counts.rejected.len();
+        run(&mut fleet, 20.0, rate * 0.6);
+        assert_eq!(fleet.counts.rejected.len(), before, "seed {seed}");
     }
 }
 
 #[test]
-fn a_restarted_fleet_admits_at_once() {
+fn a_fleet_that_lost_all_power_admits_requests_soon_after_its_restart() {
     for seed in 0..4 {
         let rate = 170_000.0;
         let mut fleet = Fleet::new(NODES, tenant(rate, Unit::Tokens), Pcg64::seed_from_u64(seed));
-        play(&mut fleet, 10.0, 0.0);
-        play(&mut fleet, 20.0, rate * 0.6);
-        // All machines lose power; the core returns first, and nodes half a second later.
+        run(&mut fleet, 10.0, 0.0);
+        run(&mut fleet, 20.0, rate * 0.6);
+        // All machines lose power. The coordinators return first, and the nodes half a second later.
         fleet.allocator = None;
         (0..NODES).for_each(|node| fleet.nodes[node].partitioned = true);
-        play(&mut fleet, 2.0, 0.0);
+        run(&mut fleet, 2.0, 0.0);
         fleet.new_allocator();
-        play(&mut fleet, 0.5, 0.0);
+        run(&mut fleet, 0.5, 0.0);
         for node in 0..NODES {
             fleet.nodes[node].partitioned = false;
             fleet.restart(node);
         }
-        let before = fleet.counts.refused.len();
-        let arrived = play(&mut fleet, 2.0, rate * 0.9);
-        let refused = fleet.counts.refused.len() - before;
-        println!("seed {seed}: {refused} of {arrived} refused after a new beginning");
-        assert!(refused * 10 <= arrived, "seed {seed}: {refused} of {arrived}");
+        let before = fleet.counts.rejected.len();
+        let arrived = run(&mut fleet, 2.0, rate * 0.9);
+        let rejected = fleet.counts.rejected.len() - before;
+        println!("seed {seed}: {rejected} of {arrived} rejected after the restart");
+        assert!(rejected * 10 <= arrived, "seed {seed}: {rejected} of {arrived}");
         assert!(fleet.worst_window() <= bound(rate, Unit::Tokens));
     }
 }
 
-/// Six of eight nodes shut down gracefully, one after the other, as when a fleet is scaled down or restarted in turn.
+/// Six of eight nodes shut down gracefully, one after the other, as when a fleet is scaled down or updated.
 #[test]
 fn quota_of_departed_nodes_is_available_to_the_others_at_once() {
     for seed in 0..4 {
         let rate = 170_000.0;
         let mut fleet = Fleet::new(NODES, tenant(rate, Unit::Tokens), Pcg64::seed_from_u64(seed));
-        play(&mut fleet, 10.0, 0.0);
-        play(&mut fleet, 10.0, rate * 0.6);
-        let before = fleet.counts.refused.len();
+        run(&mut fleet, 10.0, 0.0);
+        run(&mut fleet, 10.0, rate * 0.6);
+        let before = fleet.counts.rejected.len();
         let mut arrived = 0;
         for node in 0..6 {
             fleet.leave(node);
-            arrived += play(&mut fleet, 2.0, rate * 0.6);
+            arrived += run(&mut fleet, 2.0, rate * 0.6);
         }
-        arrived += play(&mut fleet, 10.0, rate * 0.6);
-        let refused = fleet.counts.refused.len() - before;
-        println!("seed {seed}: {refused} of {arrived} refused while six of eight nodes departed");
-        assert!(refused * 50 <= arrived, "seed {seed}: {refused} of {arrived}");
+        arrived += run(&mut fleet, 10.0, rate * 0.6);
+        let rejected = fleet.counts.rejected.len() - before;
+        println!("seed {seed}: {rejected} of {arrived} rejected while six of eight nodes departed");
+        assert!(rejected * 50 <= arrived, "seed {seed}: {rejected} of {arrived}");
         assert!(fleet.worst_window() <= bound(rate, Unit::Tokens));
     }
 }
 
-/// Beside the departures, the head of the core is replaced again and again: a new one knows of no departure.
+/// The quota leader is replaced after each departure, and a new one does not know which nodes have left.
 #[test]
-fn quota_of_departed_nodes_is_available_under_new_quota_leaders() {
+fn quota_of_departed_nodes_is_available_although_the_quota_leader_changes() {
     for seed in 0..4 {
         let rate = 170_000.0;
         let mut fleet = Fleet::new(NODES, tenant(rate, Unit::Tokens), Pcg64::seed_from_u64(seed));
-        play(&mut fleet, 10.0, 0.0);
-        play(&mut fleet, 10.0, rate * 0.5);
-        let before = fleet.counts.refused.len();
+        run(&mut fleet, 10.0, 0.0);
+        run(&mut fleet, 10.0, rate * 0.5);
+        let before = fleet.counts.rejected.len();
         let mut arrived = 0;
         for node in 0..6 {
             fleet.leave(node);
-            arrived += play(&mut fleet, 1.0, rate * 0.5);
+            arrived += run(&mut fleet, 1.0, rate * 0.5);
             fleet.new_allocator();
-            arrived += play(&mut fleet, 3.0, rate * 0.5);
+            arrived += run(&mut fleet, 3.0, rate * 0.5);
         }
-        let refused = fleet.counts.refused.len() - before;
-        println!("seed {seed}: {refused} of {arrived} refused while six of eight nodes departed");
-        assert!(refused * 20 <= arrived, "seed {seed}: {refused} of {arrived}");
+        let rejected = fleet.counts.rejected.len() - before;
+        println!("seed {seed}: {rejected} of {arrived} rejected while six of eight nodes departed");
+        assert!(rejected * 20 <= arrived, "seed {seed}: {rejected} of {arrived}");
         assert!(fleet.worst_window() <= bound(rate, Unit::Tokens));
     }
 }
 
 #[test]
-fn nodes_gain_nothing_by_leaving_and_returning() {
+fn leaving_and_returning_does_not_raise_the_limit() {
     for seed in 0..4 {
         let rate = 30_000.0;
         let mut fleet = Fleet::new(NODES, tenant(rate, Unit::Tokens), Pcg64::seed_from_u64(seed));
-        play(&mut fleet, 10.0, 0.0);
+        run(&mut fleet, 10.0, 0.0);
         for round in 0..60 {
             let node = round % NODES;
             fleet.leave(node);
-            play(&mut fleet, 0.3, rate * 4.0);
+            run(&mut fleet, 0.3, rate * 4.0);
             fleet.return_node(node);
-            play(&mut fleet, 0.3, rate * 4.0);
+            run(&mut fleet, 0.3, rate * 4.0);
         }
         let worst = fleet.worst_window() / bound(rate, Unit::Tokens);
-        assert!(worst <= 1.0, "seed {seed}: {worst} of what the limit lets through");
+        assert!(worst <= 1.0, "seed {seed}: {worst} times the bound was admitted in a window");
     }
 }
 
@@ -221,24 +229,24 @@
 fn a_lower_limit_applies_after_one_window() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(NODES, tenant(170_000.0, Unit::Tokens), Pcg64::seed_from_u64(seed));
-        play(&mut fleet, 10.0, 0.0);
-        play(&mut fleet, 10.0, 500_000.0);
+        run(&mut fleet, 10.0, 0.0);
+        run(&mut fleet, 10.0, 500_000.0);
         fleet.configure(tenant(40_000.0, Unit::Tokens));
         fleet.counts.admitted.clear();
-        play(&mut fleet, 30.0, 500_000.0);
+        run(&mut fleet, 30.0, 500_000.0);
         let worst = fleet.worst_window();
         assert!(worst <= bound(40_000.0, Unit::Tokens), "seed {seed}: {worst}");
     }
 }
 
 #[test]
-fn limits_in_requests_work_like_limits_in_tokens() {
+fn limits_in_requests_are_used_and_not_exceeded() {
     for (rate, seed) in [(5.0, 1), (20.0, 2), (200.0, 3)] {
         let mut fleet = Fleet::new(NODES, tenant(rate, Unit::Requests), Pcg64::seed_from_u64(seed));
-        play(&mut fleet, 10.0, 0.0);
+        run(&mut fleet, 10.0, 0.0);
         for _ in 0..12_000 {
             fleet.step();
-            if happens(&mut fleet.rng, rate * 3.0) {
+            if occurs(&mut fleet.rng, rate * 3.0) {
                 let node = fleet.rng.random_range(0..NODES);
                 fleet.request(node, 1.0);
             }
@@ -251,32 +259,34 @@
 }
 
 #[test]
-fn without_a_limit_everything_is_admitted() {
+fn requests_of_a_tenant_without_a_limit_are_always_admitted() {
     let mut fleet = Fleet::new(1, tenant(0.0, Unit::Tokens), Pcg64::seed_from_u64(1));
     (0..100).for_each(|_| fleet.request(0, 1e9));
-    assert!(fleet.counts.refused.is_empty());
+    assert!(fleet.counts.rejected.is_empty());
 }
 
-/// A schedule with faults drawn from a seed. Returns the worst window relative to what the limit lets through.
+/// Runs random faults at a random limit. Returns the most that was admitted in a window, as a multiple of the
+/// bound.
 fn fault_schedule(seed: u64) -> f64 {
     let mut rng = Pcg64::seed_from_u64(seed);
     let rate = [30_000.0, 80_000.0, 170_000.0][rng.random_range(0..3)];
-    play_faults(Fleet::new(NODES, tenant(rate, Unit::Tokens), rng), rate)
+    run_with_faults(Fleet::new(NODES, tenant(rate, Unit::Tokens), rng), rate)
 }
 
-/// The same, but a few nodes get most of the requests, and in some schedules messages are duplicated.
+/// As [`fault_schedule`], but a few nodes get most of the requests, and messages are duplicated in half of
+/// the schedules.
 fn uneven_fault_schedule(seed: u64) -> f64 {
     let mut rng = Pcg64::seed_from_u64(seed);
     let rate = [80_000.0, 170_000.0, 600_000.0][rng.random_range(0..3)];
     let mut fleet = Fleet::new(NODES, tenant(rate, Unit::Tokens), rng);
     fleet.weights = (0..NODES).map(|_| if fleet.rng.random_bool(0.3) { 20.0 } else { 1.0 }).collect();
     fleet.duplication = [0.0, 0.3][fleet.rng.random_range(0..2)];
-    play_faults(fleet, rate)
+    run_with_faults(fleet, rate)
 }
 
-/// Plays faults. Returns the worst window relative to what the limit lets through.
-fn play_faults(mut fleet: Fleet, rate: f64) -> f64 {
-    play(&mut fleet, 10.0, 0.0);
+/// Runs random faults and loads. Returns the most that was admitted in a window, as a multiple of the bound.
+fn run_with_faults(mut fleet: Fleet, rate: f64) -> f64 {
+    run(&mut fleet, 10.0, 0.0);
     for _ in 0..30 {
         let demand = rate * fleet.rng.random_range(0.2..6.0);
         fleet.loss = if fleet.rng.random_bool(0.3) { 0.3 } else { 0.0 };
@@ -307,12 +317,12 @@
             _ => {}
         }
         let seconds = fleet.rng.random_range(0.2..4.0);
-        play(&mut fleet, seconds, demand);
+        run(&mut fleet, seconds, demand);
     }
     fleet.worst_window() / bound(rate, Unit::Tokens)
 }
 
-/// The seeds of the schedules: 150 from the first on, the same each time. A soak test takes others:
+/// The seeds of the fault schedules: 0 to 149 by default. A soak test runs others:
 /// `SEEDS=9000 FIRST_SEED=1000 cargo test --release -p quota --test limits no_window`.
 fn seeds() -> std::ops::Range<u64> {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse().ok());
@@ -327,17 +337,17 @@
 #[test]
 fn no_window_exceeds_the_limit_under_faults() {
     let exceeding = exceeding(fault_schedule, seeds());
-    assert!(exceeding.is_empty(), "seed and multiple of what the limit lets through: {exceeding:?}");
+    assert!(exceeding.is_empty(), "seeds with a window above the bound, and the multiple: {exceeding:?}");
 }
 
 #[test]
 fn no_window_exceeds_the_limit_with_uneven_load() {
     let exceeding = exceeding(uneven_fault_schedule, seeds());
-    assert!(exceeding.is_empty(), "seed and multiple of what the limit lets through: {exceeding:?}");
+    assert!(exceeding.is_empty(), "seeds with a window above the bound, and the multiple: {exceeding:?}");
 }
 
-/// A quota leader starts without contact to the nodes that used most under the previous one: they use the fallback rates that it
-/// granted them, and the others get only the rest.
+/// A quota leader starts without contact to the nodes with the highest use. These use the fallback rates that
+/// the previous quota leader granted to them, so that the new one may grant only the rest to other nodes.
 #[test]
 fn a_new_quota_leader_accounts_for_busy_nodes_without_contact() {
     for busy in 1..=4 {
@@ -345,27 +355,28 @@
             let rate = 600_000.0;
             let mut fleet = Fleet::new(NODES, tenant(rate, Unit::Tokens), Pcg64::seed_from_u64(seed));
             fleet.weights = (0..NODES).map(|node| if node < busy { 20.0 } else { 1.0 }).collect();
-            play(&mut fleet, 10.0, 0.0);
-            play(&mut fleet, 20.0, rate * 1.5);
+            run(&mut fleet, 10.0, 0.0);
+            run(&mut fleet, 20.0, rate * 1.5);
             (0..busy).for_each(|node| fleet.nodes[node].partitioned = true);
             fleet.new_allocator();
             fleet.weights = Vec::new();
-            play(&mut fleet, 12.0, rate * 10.0);
+            run(&mut fleet, 12.0, rate * 10.0);
             let worst = fleet.worst_window() / bound(rate, Unit::Tokens);
-            assert!(worst <= 1.0, "{busy} busy nodes, seed {seed}: {worst} of what the limit lets through");
+            assert!(worst <= 1.0, "{busy} busy nodes, seed {seed}: {worst} times the bound in a window");
         }
     }
 }
 
-/// Found by soaks: one schedule in some 24,000 exceeded the limit, as after several partitions and the loss of the quota leader.
+/// Seeds of schedules with several partitions and the loss of the quota leader that exceeded the limit. Soak
+/// tests found one such schedule in about 24,000.
 #[test]
 fn schedules_found_by_soak_tests_stay_within_the_limit() {
     let exceeding = exceeding(fault_schedule, [13686831495141179742, 18276215169540186140].into_iter());
-    assert!(exceeding.is_empty(), "seed and multiple of what the limit lets through: {exceeding:?}");
+    assert!(exceeding.is_empty(), "seeds with a window above the bound, and the multiple: {exceeding:?}");
 }
 
 quickcheck! {
-    fn amounts_that_are_not_finite_are_harmless(cost: f64, rate: f64) -> bool {
+    fn arbitrary_costs_and_rates_cause_no_panic(cost: f64, rate: f64) -> bool {
         let mut fleet = Fleet::new(2, tenant(rate, Unit::Tokens), Pcg64::seed_from_u64(1));
         (0..400).for_each(|_| fleet.step());
         fleet.request(0, cost);
@@ -374,44 +385,45 @@
     }
 }
 
-/// Requests of every node for every tenant overloaded a quota leader of 300 nodes and 100 tenants.
+/// Nodes must not demand quota for every tenant in each request: that overloaded a quota leader with 300
+/// nodes and 100 tenants.
 #[test]
-fn an_idle_tenant_is_named_in_few_requests() {
+fn few_quota_requests_have_a_demand_for_an_idle_tenant() {
     let mut fleet = Fleet::new(3, tenant(30_000.0, Unit::Tokens), Pcg64::seed_from_u64(5));
-    play(&mut fleet, 5.0, 0.0);
+    run(&mut fleet, 5.0, 0.0);
     let before = fleet.requests;
-    play(&mut fleet, 40.0, 0.0);
-    let (sent, named) = (fleet.requests.0 - before.0, fleet.requests.1 - before.1);
-    println!("{sent} requests, {named} of them name the tenant");
-    assert!(sent >= 290, "{sent} requests of three nodes in 40 s");
-    assert!(named <= 36, "{named} of {sent} name an idle tenant");
+    run(&mut fleet, 40.0, 0.0);
+    let (sent, with_demand) = (fleet.requests.0 - before.0, fleet.requests.1 - before.1);
+    println!("{sent} quota requests, {with_demand} of them with a demand for the tenant");
+    assert!(sent >= 290, "{sent} quota requests of three nodes in 40 s");
+    assert!(with_demand <= 36, "{with_demand} of {sent} quota requests have a demand for an idle tenant");
 }
 
-/// The least and the greatest part that a node admits, where one of eight nodes gets a third of all requests of a tenant that
-/// sends six times its limit.
-fn shares_of_an_overload(probabilistic_rejection: bool, seed: u64) -> (f64, f64) {
+/// The lowest and the highest fraction of its requests that a node admits while a tenant sends six times its
+/// limit and one of eight nodes gets a third of that.
+fn admitted_fractions_under_overload(probabilistic_rejection: bool, seed: u64) -> (f64, f64) {
     let rate = 400_000.0;
     let policy = policy::Limits { probabilistic_rejection, ..policy::Limits::default() };
     let rng = Pcg64::seed_from_u64(seed);
     let mut fleet = Fleet::new(8, tenant(rate, Unit::Tokens), rng).with_policy(policy);
     fleet.weights = vec![4.0, 2.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0];
-    play(&mut fleet, 3.0, rate * 0.5);
-    play(&mut fleet, 30.0, rate * 6.0);
-    let shares: Vec<f64> =
+    run(&mut fleet, 3.0, rate * 0.5);
+    run(&mut fleet, 30.0, rate * 6.0);
+    let fractions: Vec<f64> =
         fleet.counts.by_node.iter().map(|(arrived, admitted)| admitted / arrived).collect();
-    let least = shares.iter().copied().fold(f64::INFINITY, f64::min);
-    (least, shares.iter().copied().fold(0.0, f64::max))
+    let lowest = fractions.iter().copied().fold(f64::INFINITY, f64::min);
+    (lowest, fractions.iter().copied().fold(0.0, f64::max))
 }
 
 #[test]
-fn under_heavy_overload_all_nodes_admit_similar_parts() {
+fn under_overload_all_nodes_admit_similar_fractions_with_probabilistic_rejection_only() {
     for seed in 0..4 {
-        let (least, most) = shares_of_an_overload(true, seed);
-        assert!(least > 0.66 * most, "seed {seed}: from {least:.3} to {most:.3}");
-        let (least, most) = shares_of_an_overload(false, seed);
+        let (lowest, highest) = admitted_fractions_under_overload(true, seed);
+        assert!(lowest > 0.66 * highest, "seed {seed}: from {lowest:.3} to {highest:.3}");
+        let (lowest, highest) = admitted_fractions_under_overload(false, seed);
         assert!(
-            least < 0.66 * most,
-            "seed {seed}: even without probabilistic rejection, from {least:.3} to {most:.3}"
+            lowest < 0.66 * highest,
+            "seed {seed}: similar without probabilistic rejection too, from {lowest:.3} to {highest:.3}"
         );
     }
 }
@@ -421,9 +433,9 @@
     for seed in 0..4 {
         let rate = 60_000.0;
         let mut fleet = Fleet::new(8, tenant(rate, Unit::Tokens), Pcg64::seed_from_u64(seed));
-        play(&mut fleet, 3.0, rate * 0.5);
+        run(&mut fleet, 3.0, rate * 0.5);
         let started_at = fleet.now;
-        play(&mut fleet, 12.0, rate * 6.0);
+        run(&mut fleet, 12.0, rate * 6.0);
         let admitted: f64 =
             fleet.counts.admitted.iter().filter(|(at, _)| *at >= started_at).map(|(_, cost)| cost).sum();
         let seconds = (fleet.now - started_at).as_secs_f64();
--- a/crates/quota/tests/retry_budget.rs
+++ b/crates/quota/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget: a fraction of the requests of the last window and a few beyond that.
+//! The retry budget: a fraction of the requests in the last window and a constant number beyond that.
 
 use quickcheck::quickcheck;
 use quota::RetryBudget;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn retries_are_bounded_by_a_fraction_of_the_last_window_and_a_few_beyond() {
+fn retries_are_bounded_by_a_fraction_of_recent_requests_and_a_constant() {
     let mut budget = budget();
     let now = Duration::from_secs(100);
     (0..100).for_each(|_| budget.record_request(now));
@@ -36,11 +36,12 @@
                 retries.push(now);
             }
         }
-        // The requests of a window and half a second before it, as the slots reach back.
-        let reach = WINDOW + Duration::from_millis(500);
+        // Requests up to half a second before the window count as well, as they are counted in slots of that
+        // length.
+        let counted_period = WINDOW + Duration::from_millis(500);
         retries.iter().all(|end| {
             let in_window = retries.iter().filter(|at| **at <= *end && **at + WINDOW > *end).count();
-            let counted = requests.iter().filter(|at| **at <= *end && **at + reach >= *end).count();
+            let counted = requests.iter().filter(|at| **at <= *end && **at + counted_period >= *end).count();
             in_window as f64 <= counted as f64 * 0.15 + 2.0
         })
     }
