--- a/crates/index-audit/src/audit.rs
+++ b/crates/index-audit/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit of all backends: the schedule of requests, the log of mismatches, the corrections.
+//! The audit of all backends: the schedule of requests, the log of mismatches and the corrections.
 
 use crate::backend::BackendAudit;
 use crate::early_reports::{EarlyReport, EarlyReports};
@@ -12,26 +12,27 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long after it was taken off the list a backend may be listed again under the same instance id.
+/// How long it is remembered that a backend was removed from the list, in case it is listed again under the
+/// same instance id.
 const RELISTING_WINDOW: Duration = Duration::from_secs(60);
 
 /// A correction that frontends are to apply to their own indexes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Correction {
-    /// The backend.
+    /// The backend whose index is corrected.
     pub backend: BackendKey,
-    /// The block.
+    /// The block that is added, changed or removed.
     pub block: BlockKey,
-    /// The block's tokens at the backend; `None` if it does not cache the block.
+    /// The block's tokens at the backend; `None` if the backend has not cached it.
     pub tokens: Option<u32>,
 }
 
-/// What follows from the result of a request.
+/// The actions that follow from the result of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AuditOutput {
-    /// The corrections to send to frontends.
+    /// The corrections to send to all frontends.
     pub corrections: Vec<Correction>,
-    /// The next request of the same round.
+    /// The next request of the same round, to be sent at once; `None` if the round has ended.
     pub next_request: Option<RangeRequest>,
 }
 
@@ -39,19 +40,22 @@
 pub struct Audit {
     settings: AuditSettings,
     backends: BTreeMap<BackendKey, BackendAudit>,
+    /// The frontends that have ever reported, by name.
     frontends: FxHashMap<String, FrontendId>,
     /// Reports on backends that are not listed yet.
     early_reports: EarlyReports,
-    /// When backends were taken off the list, for [`RELISTING_WINDOW`].
+    /// When backends were removed from the list, within [`RELISTING_WINDOW`].
     delisted_at: BTreeMap<BackendKey, Duration>,
-    /// Whether a backend came back whose index was dropped.
+    /// Whether a backend was listed again after its index was dropped.
     has_relisted: bool,
     log: MismatchLog,
-    /// The counts of backends that are no longer audited.
-    departed_counts: MismatchCounts,
+    /// The counts of backends that are no longer listed.
+    delisted_counts: MismatchCounts,
     /// The number of rounds that were begun.
     rounds: u64,
+    /// The number of requests without a result.
     in_flight: usize,
+    /// When the next round may begin.
     next_request_at: Duration,
 }
 
@@ -66,20 +70,21 @@
             delisted_at: BTreeMap::new(),
             has_relisted: false,
             log: MismatchLog::default(),
-            departed_counts: MismatchCounts::default(),
+            delisted_counts: MismatchCounts::default(),
             rounds: 0,
             in_flight: 0,
             next_request_at: Duration::ZERO,
         }
     }
 
-    /// Sets the backends to audit, each with its instance id. The index of a backend that is no longer listed is dropped.
+    /// Sets the backends to audit, each with its instance id. The index of a backend that is no longer listed
+    /// is dropped.
     pub fn set_backends(&mut self, now: Duration, backends: &[(BackendKey, String)]) {
         self.delisted_at.retain(|_, at| now < *at + RELISTING_WINDOW);
         self.backends.retain(|key, backend| {
             let is_listed = backends.iter().any(|(listed, _)| listed == key);
             if !is_listed {
-                self.departed_counts += backend.counts();
+                self.delisted_counts += backend.counts();
                 self.delisted_at.insert(*key, now);
             }
             is_listed
@@ -97,14 +102,15 @@
         }
     }
 
-    /// Whether reports were lost since this was last called, so that frontends have to report their whole index anew: too many
-    /// came on backends that were not listed yet, or a backend was listed again whose index had been dropped, as the platform
-    /// left it out for a while.
+    /// Whether reports were lost since the last call, so that frontends have to report their complete index
+    /// again. Reports are lost if too many arrive on backends that are not listed yet, and if a backend is
+    /// listed again after its index was dropped, since the platform had left it out of the list for a while.
     pub fn take_lost_reports(&mut self) -> bool {
         self.early_reports.take_has_lost() | std::mem::take(&mut self.has_relisted)
     }
 
-    /// Applies a frontend's report that a backend caches a block (`Some` with the block's tokens), or no longer does.
+    /// Applies a frontend's report that a backend has cached a block (`Some` with the block's tokens) or no
+    /// longer has it (`None`). A report on a backend that is not listed yet is retained until it is.
     pub fn apply_index_change(
         &mut self,
         now: Duration,
@@ -137,7 +143,8 @@
         }
     }
 
-    /// Withdraws all that a frontend has reported: it is gone, or reports its whole index anew.
+    /// Withdraws all reports of a frontend. To be called when it has left, and before it reports its complete
+    /// index again.
     pub fn forget_frontend(&mut self, now: Duration, frontend: &str) {
         let frontend = self.frontend_id(frontend);
         self.early_reports.forget_frontend(frontend);
@@ -153,8 +160,8 @@
         id
     }
 
-    /// The first request of a round, if one is due now. Its result is to be passed to [`Audit::apply_result`], and so is
-    /// that of each request that follows from it.
+    /// Begins a round if one is due, and returns its first request. The caller passes the result of each
+    /// request to [`Audit::apply_result`], which returns the next one of the round.
     pub fn next_request(&mut self, now: Duration) -> Option<RangeRequest> {
         if now < self.next_request_at || self.in_flight >= self.settings.max_in_flight {
             return None;
@@ -175,7 +182,8 @@
         self.next_request_at = now + self.settings.min_request_interval;
     }
 
-    /// Applies the result of a request. All mismatches are recorded when this returns.
+    /// Applies the result of a request. The mismatches that it confirms are recorded before this returns
+    /// their corrections.
     pub fn apply_result(
         &mut self,
         now: Duration,
@@ -217,12 +225,12 @@
         AuditOutput { corrections, next_request: None }
     }
 
-    /// The number of mismatches that were recorded so far.
+    /// The number of mismatches that were ever recorded.
     pub fn recorded_mismatches(&self) -> u64 {
         self.log.recorded()
     }
 
-    /// The retained mismatches that follow the first `recorded` ones, the oldest first.
+    /// The retained mismatches after the first `recorded` ones that were ever recorded, the oldest first.
     pub fn mismatches_since(&self, recorded: u64) -> impl Iterator<Item = &Mismatch> {
         self.log.since(recorded)
     }
@@ -232,9 +240,9 @@
         self.log.retained()
     }
 
-    /// The number of mismatches of all backends that were ever audited.
+    /// The number of mismatches of all backends that were ever listed.
     pub fn counts(&self) -> MismatchCounts {
-        let mut counts = self.departed_counts;
+        let mut counts = self.delisted_counts;
         self.backends.values().for_each(|backend| counts += backend.counts());
         counts
     }
--- a/crates/index-audit/src/backend.rs
+++ b/crates/index-audit/src/backend.rs
@@ -1,4 +1,5 @@
-//! The audit of one backend: its index, the round that is under way, and the differences that are not confirmed yet.
+//! The audit of one backend: its index, the round in progress, and the differences that are not confirmed
+//! yet.
 
 use crate::error::AuditError;
 use crate::ids::{BackendKey, BlockKey, RoundNumber};
@@ -12,9 +13,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The most blocks that the index of one backend has. Limits the memory of the auditor.
+/// The most blocks in the index of one backend. Bounds the memory of the auditor.
 const MAX_INDEXED_BLOCKS: usize = 200_000;
-/// After failed rounds in a row the next one waits for as many round intervals, at most for so many.
+/// After consecutive failures, the next round begins after as many round intervals, up to this number.
 const MAX_BACKOFF_FACTOR: u32 = 6;
 
 /// A difference that was observed and is not confirmed yet.
@@ -23,8 +24,9 @@
     kind: MismatchKind,
     difference: Difference,
     first_observed: Duration,
-    /// When the index entry had last changed at the first observation.
+    /// When the index entry had last changed at the time of the observation.
     index_changed_at: Option<Duration>,
+    /// The number of rounds that observed the difference.
     observations: u32,
 }
 
@@ -41,11 +43,14 @@
     index: BackendIndex,
     state: BackendAuditState,
     counts: MismatchCounts,
+    /// When the last complete round ended.
     compared_at: Option<Duration>,
     next_round_at: Duration,
-    /// The number of rounds that have failed since the last completed one.
+    /// The number of failures since the last complete round.
     failures: u32,
+    /// The round in progress.
     round: Option<Round>,
+    /// The differences that the last complete round observed and did not confirm.
     unconfirmed: BTreeMap<BlockKey, UnconfirmedDifference>,
 }
 
@@ -89,12 +94,12 @@
         self.index.len() > MAX_INDEXED_BLOCKS
     }
 
-    /// Whether a round is due and none is under way.
+    /// Whether a round is due and none is in progress.
     pub fn is_round_due(&self, now: Duration) -> bool {
         self.round.is_none() && self.next_round_at <= now
     }
 
-    /// Whether this round is under way.
+    /// Whether this round is the one in progress.
     pub fn is_in_round(&self, number: RoundNumber) -> bool {
         self.round.as_ref().is_some_and(|round| round.number() == number)
     }
@@ -105,12 +110,12 @@
         KeyRange::ALL
     }
 
-    /// The range of the next request in the round that is under way.
+    /// The range of the next request in the round in progress.
     pub fn next_range(&mut self) -> Option<KeyRange> {
         self.round.as_mut()?.next_range()
     }
 
-    /// Aborts the round that is under way.
+    /// Aborts the round in progress, and records the error as the result of the audit.
     pub fn fail(&mut self, error: AuditError) {
         self.round = None;
         self.failures = self.failures.saturating_add(1);
@@ -122,7 +127,7 @@
         self.next_round_at = now + settings.round_interval * self.failures.min(MAX_BACKOFF_FACTOR);
     }
 
-    /// Applies the report of a range. Returns the mismatches of the round when that is complete, and `None` before.
+    /// Applies the report of a range. Returns the mismatches once the round is complete, and `None` before.
     pub fn apply_report(
         &mut self,
         now: Duration,
@@ -155,21 +160,23 @@
         mismatches
     }
 
-    /// Ends the round. A difference that is observed again is a mismatch, and so is one that is gone.
+    /// Ends the round, and compares its differences with those of the round before. A difference that is
+    /// observed again is a mismatch, and so is one that is gone.
     fn assess_round(&mut self, now: Duration, settling_time: Duration) -> Vec<Mismatch> {
         let differences = self.round.take().map(Round::into_differences).unwrap_or_default();
-        let mut earlier = std::mem::take(&mut self.unconfirmed);
+        let mut previous = std::mem::take(&mut self.unconfirmed);
         let mut mismatches = Vec::new();
         for difference in differences {
-            let observed = earlier.remove(&BlockKey(difference.key));
-            mismatches.extend(self.assess(now, settling_time, difference, observed));
+            let earlier = previous.remove(&BlockKey(difference.key));
+            mismatches.extend(self.assess(now, settling_time, difference, earlier));
         }
-        let gone = earlier.into_values();
+        let gone = previous.into_values();
         mismatches.extend(gone.filter_map(|gone| self.gone_mismatch(now, settling_time, gone)));
         mismatches
     }
 
-    /// Assesses a difference of this round with the earlier observation of the same block.
+    /// Assesses a difference of this round. `earlier` is the difference of the same block in the round
+    /// before, if any.
     fn assess(
         &mut self,
         now: Duration,
@@ -181,15 +188,15 @@
         let block = BlockKey(difference.key);
         let index_changed_at = self.index.changed_at(block);
         if index_changed_at.is_some_and(|at| now < at + settling_time) {
-            // Another change of this block may be under way, in either direction.
+            // The change of the index, or one at the backend, may not have reached the other side yet.
             return earlier.and_then(|earlier| self.gone_mismatch(now, settling_time, earlier));
         }
         let is_same = |earlier: &UnconfirmedDifference| {
             earlier.kind == kind && earlier.index_changed_at == index_changed_at
         };
-        let same = earlier.filter(is_same);
-        let observations = same.map_or(1, |same| same.observations + 1);
-        let first_observed = same.map_or(now, |same| same.first_observed);
+        let observed_before = earlier.filter(is_same);
+        let observations = observed_before.map_or(1, |earlier| earlier.observations + 1);
+        let first_observed = observed_before.map_or(now, |earlier| earlier.first_observed);
         let current =
             UnconfirmedDifference { kind, difference, first_observed, index_changed_at, observations };
         if observations > 1 && now >= first_observed + settling_time {
@@ -197,13 +204,14 @@
             return Some(self.mismatch(now, current, MismatchOutcome::IndexCorrected));
         }
         self.unconfirmed.insert(block, current);
-        // The earlier difference is gone, and another one has taken its place.
+        // If the earlier difference is not the same, it is gone and this one has taken its place.
         let replaced = earlier.filter(|earlier| !is_same(earlier));
         replaced.and_then(|replaced| self.gone_mismatch(now, settling_time, replaced))
     }
 
-    /// The mismatch for a difference that is gone. `None` if the index entry changed soon after the first observation:
-    /// the change was under way then, and the backend's report was only ahead of it.
+    /// The mismatch for a difference that is gone. `None` if the index entry changed within the settling time
+    /// after the first observation: a report of the change was then in transit, and the backend was only
+    /// ahead of it.
     fn gone_mismatch(
         &self,
         now: Duration,
@@ -211,9 +219,9 @@
         gone: UnconfirmedDifference,
     ) -> Option<Mismatch> {
         let changed_at = self.index.changed_at(gone.block());
-        let was_under_way = changed_at != gone.index_changed_at
-            && changed_at.is_some_and(|at| at < gone.first_observed + settling_time);
-        (!was_under_way).then(|| self.mismatch(now, gone, MismatchOutcome::GoneByItself))
+        let was_in_transit = changed_at != gone.index_changed_at
+            && changed_at.is_some_and(|changed_at| changed_at < gone.first_observed + settling_time);
+        (!was_in_transit).then(|| self.mismatch(now, gone, MismatchOutcome::GoneByItself))
     }
 
     fn mismatch(&self, now: Duration, observed: UnconfirmedDifference, outcome: MismatchOutcome) -> Mismatch {
--- a/crates/index-audit/src/early_reports.rs
+++ b/crates/index-audit/src/early_reports.rs
@@ -1,22 +1,24 @@
-//! Reports on backends that the auditor does not know yet: a frontend may have a newer list, and an auditor that has just started
-//! has none. They are applied once their backends are listed.
+//! Reports on backends that are not listed yet: a frontend may have a newer list of backends than the
+//! auditor, and an auditor that has just started has none. The reports are retained and applied once their
+//! backends are listed.
 
 use crate::ids::{BackendKey, BlockKey, FrontendId};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How many reports are retained at most, so that they take little memory. Beyond that frontends have to report anew.
+/// The most reports that are retained, which bounds the memory. If there are more, frontends have to report
+/// anew.
 const MAX_REPORTS: usize = 10_000;
-/// How long a report is retained. A backend that is not on the list by then will not come.
+/// How long a report is retained. A backend that is not listed by then is not expected to be.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// A report of a frontend on one block of a backend.
+/// A frontend's report on one block of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EarlyReport {
     pub(crate) frontend: FrontendId,
     pub(crate) backend: BackendKey,
     pub(crate) block: BlockKey,
-    /// The block's tokens; `None` if the backend no longer caches it.
+    /// The block's tokens; `None` if the backend is no longer expected to have it cached.
     pub(crate) tokens: Option<u32>,
     pub(crate) received_at: Duration,
 }
@@ -25,7 +27,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EarlyReports {
     reports: VecDeque<EarlyReport>,
-    /// Whether a report was not retained.
+    /// Whether a report was dropped because of [`MAX_REPORTS`].
     has_lost: bool,
 }
 
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Removes and returns the reports on these backends, in their order.
+    /// Takes the reports on listed backends, the oldest first.
     pub(crate) fn take(&mut self, is_listed: impl Fn(BackendKey) -> bool) -> Vec<EarlyReport> {
         let (taken, kept) = self.reports.drain(..).partition(|report| is_listed(report.backend));
         self.reports = kept;
@@ -53,7 +55,7 @@
         self.reports.retain(|report| report.frontend != frontend);
     }
 
-    /// Whether reports were lost since this was last called.
+    /// Whether reports were dropped since the last call.
     pub(crate) fn take_has_lost(&mut self) -> bool {
         std::mem::take(&mut self.has_lost)
     }
--- a/crates/index-audit/src/lib.rs
+++ b/crates/index-audit/src/lib.rs
@@ -1,13 +1,14 @@
-//! The audit of the fleet's index of prompt blocks against what each backend reports to cache.
+//! Audit of the fleet's index of prompt blocks against the blocks that each backend reports to have cached.
 //!
-//! Frontends report which blocks they expect each backend to have cached; the [`Audit`] keeps the union of these reports for
-//! each backend. It requests digests of what the backend caches, in rounds, and locates the differences. As changes are
-//! always under way, only a difference that a second round observes is a mismatch. Every mismatch is recorded with its
-//! backend, block, direction, times and sizes before the index is corrected; a difference that is gone at the second round is
-//! recorded as well. A backend that can't be audited has a state of its own, and never counts as matching.
+//! Frontends report which blocks they expect each backend to have cached. The [`Audit`] holds the union of
+//! these reports for each backend. In rounds, it requests digests of the backend's cache and locates the
+//! differences. As reports are always in transit, a difference is a mismatch only once a second round has
+//! observed it. Each mismatch is recorded with its backend, block, direction, times and sizes before the
+//! index is corrected. A difference that is gone in the second round is recorded as well. A backend that
+//! can't be audited has a state of its own, and never counts as matching.
 //!
-//! No I/O, no clock: times are durations since a fixed moment of a monotonic clock. `docs/design/index-audit.md` has the
-//! alternatives that were considered.
+//! No I/O, no clock: times are durations since a fixed moment on a monotonic clock.
+//! `docs/design/index-audit.md` describes the alternatives that were considered.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/index-audit/src/mismatch.rs
+++ b/crates/index-audit/src/mismatch.rs
@@ -9,68 +9,68 @@
 /// The number of mismatches that are retained. Older ones are only counted.
 const MAX_RETAINED: usize = 256;
 
-/// The direction in which the index and the backend differ. The names of the variants are part of the status.
+/// How the index and the backend differ. The names of the variants are part of the status interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MismatchKind {
-    /// The index has a block that the backend has evicted.
+    /// The index has a block that the backend has not cached.
     Dropped,
-    /// The backend caches a block that the index does not have.
+    /// The backend has cached a block that is not in the index.
     Forgotten,
     /// Both have the block, with different numbers of tokens.
     SizeDiffers,
 }
 
-/// What was done about a mismatch after it was recorded. The names of the variants are part of the status.
+/// How a mismatch was resolved. The names of the variants are part of the status interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MismatchOutcome {
     /// A second observation confirmed it, and the index was corrected.
     IndexCorrected,
-    /// It was no longer there when the backend was compared again.
+    /// The difference was gone when the backend was compared again.
     GoneByItself,
 }
 
 /// A mismatch between the index and a backend.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mismatch {
-    /// The backend.
+    /// The backend whose index differed.
     pub backend: BackendKey,
-    /// Its instance id.
+    /// The instance id of the backend.
     pub instance_id: String,
-    /// The block.
+    /// The block that differed.
     pub block: BlockKey,
-    /// The direction in which they differ.
+    /// How the index and the backend differed.
     pub kind: MismatchKind,
-    /// The block's tokens in the index, if it is there.
+    /// The block's tokens in the index; `None` if it was not there.
     pub tokens_in_index: Option<u64>,
-    /// The block's tokens as the backend reports them, if it caches the block.
+    /// The block's tokens in the backend's report; `None` if it was not cached.
     pub tokens_at_backend: Option<u64>,
-    /// When it was first observed.
+    /// The end of the round that first observed the difference.
     pub first_observed: Duration,
-    /// When it was recorded.
+    /// When the mismatch was recorded.
     pub recorded_at: Duration,
-    /// The number of rounds that observed it.
+    /// The number of rounds that observed the difference.
     pub observations: u32,
-    /// What was done.
+    /// How the mismatch was resolved.
     pub outcome: MismatchOutcome,
 }
 
-/// The number of mismatches by kind. The names of the fields are part of the status.
+/// The number of mismatches by kind. The names of the fields are part of the status interface.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MismatchCounts {
-    /// The index had a block that the backend had evicted.
+    /// Mismatches of the kind [`MismatchKind::Dropped`].
     pub dropped: u64,
-    /// The backend cached a block that the index did not have.
+    /// Mismatches of the kind [`MismatchKind::Forgotten`].
     pub forgotten: u64,
-    /// The numbers of tokens differed.
+    /// Mismatches of the kind [`MismatchKind::SizeDiffers`].
     pub size_differs: u64,
-    /// How many of all these were gone when the backend was compared again.
+    /// Mismatches of any kind with the outcome [`MismatchOutcome::GoneByItself`], which are included above.
     pub gone_by_themselves: u64,
 }
 
 impl MismatchCounts {
-    /// Counts one mismatch.
+    /// Adds one mismatch.
     pub fn count(&mut self, kind: MismatchKind, outcome: MismatchOutcome) {
         let count = match kind {
             MismatchKind::Dropped => &mut self.dropped,
@@ -91,7 +91,7 @@
     }
 }
 
-/// The newest mismatches, and the number of those before them.
+/// The log of mismatches: the newest ones, and the number of those before them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MismatchLog {
     retained: VecDeque<Mismatch>,
@@ -112,7 +112,7 @@
         self.retained.iter()
     }
 
-    /// The retained mismatches that follow the first `recorded` ones, the oldest first.
+    /// The retained mismatches after the first `recorded` ones that were ever recorded, the oldest first.
     pub fn since(&self, recorded: u64) -> impl Iterator<Item = &Mismatch> {
         let count = usize::try_from(self.recorded().saturating_sub(recorded)).unwrap_or(usize::MAX);
         self.retained.iter().skip(self.retained.len().saturating_sub(count))
--- a/crates/index-audit/src/round.rs
+++ b/crates/index-audit/src/round.rs
@@ -1,19 +1,21 @@
-//! One round: a comparison of the index with all that a backend caches.
+//! One round: the comparison of a backend's index with the backend's complete cache.
 
 use crate::error::AuditError;
 use crate::ids::RoundNumber;
 use crate::request::RangeReport;
 use range_digest::{Difference, DigestedSet, KeyRange, RangeDigest, Walk};
 
-/// The most requests of one round. A backend that would need more can't be audited.
+/// The most requests in one round. A backend that would need more can't be audited.
 const MAX_REQUESTS_PER_ROUND: u32 = 600;
 
-/// A round that is under way.
+/// A round in progress.
 pub(crate) struct Round {
     number: RoundNumber,
-    /// `None` until the digest of the whole range is there.
+    /// `None` until the digest of all keys has arrived.
     walk: Option<Walk>,
+    /// The differences that were located so far.
     differences: Vec<Difference>,
+    /// The number of requests so far.
     requests: u32,
 }
 
@@ -25,7 +27,7 @@
 }
 
 impl Round {
-    /// A round whose first request is for all keys.
+    /// A new round. The caller sends its first request, which is for all keys.
     pub fn new(number: RoundNumber) -> Self {
         Round { number, walk: None, differences: Vec::new(), requests: 1 }
     }
@@ -34,14 +36,14 @@
         self.number
     }
 
-    /// The range of the next request, if there is one.
+    /// The range of the next request; `None` if none is needed or the first one has no report yet.
     pub fn next_range(&mut self) -> Option<KeyRange> {
         let range = self.walk.as_mut()?.next_request()?;
         self.requests += 1;
         Some(range)
     }
 
-    /// Compares a verified report with the index.
+    /// Compares a verified report on a range with the index.
     pub fn apply_report(
         &mut self,
         index: &DigestedSet,
@@ -67,7 +69,7 @@
     }
 }
 
-/// A walk whose first request, for all keys, has been sent.
+/// Begins a walk. Its first request, for all keys, is skipped, as it was sent to get `digest`.
 fn begin_walk(index: &DigestedSet, digest: RangeDigest) -> Walk {
     let mut walk = Walk::begin(index, digest);
     walk.next_request();
--- a/crates/index-audit/src/settings.rs
+++ b/crates/index-audit/src/settings.rs
@@ -2,17 +2,18 @@
 
 use std::time::Duration;
 
-/// The intervals and limits of an audit.
+/// Intervals and limits of an audit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AuditSettings {
-    /// How long an index entry must have been unchanged before a difference counts, and the least time between the two
-    /// observations that make a mismatch. Longer than a request may be queued at a backend before its prompt is read.
+    /// How long an index entry must have been unchanged for a difference to count, and the shortest time
+    /// between the two observations that make a difference a mismatch. Has to be longer than a request may be
+    /// queued at a backend before its prompt is prefilled.
     pub settling_time: Duration,
-    /// The pause between two rounds with a backend where nothing differs.
+    /// The pause between two rounds with a backend without differences.
     pub round_interval: Duration,
-    /// The least time between two first requests of rounds, whichever backends they go to.
+    /// The shortest time between a request to any backend and the start of the next round.
     pub min_request_interval: Duration,
-    /// How many requests may be in flight before no further round is started.
+    /// The number of requests in flight from which on no further round is started.
     pub max_in_flight: usize,
 }
 
