--- a/crates/index-audit/tests/audits.rs
+++ b/crates/index-audit/tests/audits.rs
@@ -1,5 +1,5 @@
-//! The audit in virtual time: no false alarm while changes are under way, and every injected fault reported on its backend.
-//! More seeds: `SEEDS=10000 cargo test --release -p index-audit`.
+//! The audit in virtual time: no false mismatch while changes are in transit, and each injected fault is
+//! reported for its backend. More seeds: `SEEDS=10000 cargo test --release -p index-audit`.
 
 mod simulation;
 
@@ -17,7 +17,7 @@
     0..count.unwrap_or(default)
 }
 
-/// A simulation after its warm-up.
+/// A simulation that has run until caches and indexes are filled.
 fn warmed_up(seed: u64) -> Simulation {
     let mut simulation = Simulation::new(seed);
     simulation.run(ms(12_000));
@@ -32,9 +32,10 @@
         .find(|mismatch| (mismatch.backend.0, mismatch.block.0, mismatch.kind) == (backend, block, kind))
 }
 
-/// Regression: with seed 4209 a backend was compared within the 30 ms between its reading of a block and the report of that.
+/// Regression: with seed 4209, a backend was compared within the 30 ms between the prefill of a block and the
+/// arrival of the frontend's report of it.
 #[test]
-fn no_mismatch_is_reported_while_changes_are_under_way() {
+fn no_mismatch_is_reported_while_changes_are_in_transit() {
     for seed in seeds(400) {
         let mut simulation = warmed_up(seed);
         simulation.run(ms(20_000));
@@ -49,19 +50,19 @@
     }
 }
 
-/// A mismatch that must be reported: backend, block, kind.
+/// A mismatch that must be reported: its backend, block and kind.
 type ExpectedMismatch = (u64, u64, MismatchKind);
 
 /// Injects a fault, and returns the mismatches that must be reported for it.
 type FaultInjection = fn(&mut Simulation) -> Vec<ExpectedMismatch>;
 
-/// A backend that depends on the seed.
-fn chosen_backend(simulation: &mut Simulation) -> u64 {
+/// Selects a backend that depends on the seed.
+fn select_backend(simulation: &mut Simulation) -> u64 {
     simulation.audit_requests % BACKENDS
 }
 
 fn lost_block(simulation: &mut Simulation) -> Vec<ExpectedMismatch> {
-    let backend = chosen_backend(simulation);
+    let backend = select_backend(simulation);
     let block = simulation.cached_block(backend);
     simulation.busy = false;
     simulation.run(ms(2_000));
@@ -70,7 +71,7 @@
 }
 
 fn lost_cache(simulation: &mut Simulation) -> Vec<ExpectedMismatch> {
-    let backend = chosen_backend(simulation);
+    let backend = select_backend(simulation);
     simulation.busy = false;
     simulation.run(ms(2_000));
     let blocks: Vec<u64> = simulation.backends[&backend].cached.iter().map(|(block, _)| block).collect();
@@ -92,30 +93,30 @@
     lost
 }
 
-fn block_of_another_caller(simulation: &mut Simulation) -> Vec<ExpectedMismatch> {
-    let backend = chosen_backend(simulation);
+fn block_of_another_client(simulation: &mut Simulation) -> Vec<ExpectedMismatch> {
+    let backend = select_backend(simulation);
     let block = block(5).wrapping_add(1);
     simulation.gain_block(backend, block);
     vec![(backend, block, MismatchKind::Forgotten)]
 }
 
 fn lost_report_of_a_block(simulation: &mut Simulation) -> Vec<ExpectedMismatch> {
-    let backend = chosen_backend(simulation);
+    let backend = select_backend(simulation);
     let block = block(7).wrapping_add(1);
-    // A frontend that was replaced right after its request had been read.
+    // As if a frontend had been replaced right after the prefill of its request.
     simulation.gain_block(backend, block);
     vec![(backend, block, MismatchKind::Forgotten)]
 }
 
 fn lost_report_of_a_removal(simulation: &mut Simulation) -> Vec<ExpectedMismatch> {
-    let backend = chosen_backend(simulation);
+    let backend = select_backend(simulation);
     let block = block(9).wrapping_add(1);
     simulation.report_change(1, backend, block, Some(300));
     vec![(backend, block, MismatchKind::Dropped)]
 }
 
-fn request_that_was_never_read(simulation: &mut Simulation) -> Vec<ExpectedMismatch> {
-    let backend = chosen_backend(simulation);
+fn request_without_prefill(simulation: &mut Simulation) -> Vec<ExpectedMismatch> {
+    let backend = select_backend(simulation);
     let block = block(11).wrapping_add(1);
     simulation.report_change(0, backend, block, Some(500));
     simulation.report_change(2, backend, block, Some(500));
@@ -123,7 +124,7 @@
 }
 
 fn wrong_size_in_a_report(simulation: &mut Simulation) -> Vec<ExpectedMismatch> {
-    let backend = chosen_backend(simulation);
+    let backend = select_backend(simulation);
     let block = block(13).wrapping_add(1);
     simulation.gain_block(backend, block);
     simulation.report_change(0, backend, block, Some(9_999));
@@ -166,8 +167,8 @@
 }
 
 fn lost_block_under_load(simulation: &mut Simulation) -> Vec<ExpectedMismatch> {
-    let backend = chosen_backend(simulation);
-    // A block that is in no inference request, so that none makes the backend read it again.
+    let backend = select_backend(simulation);
+    // The block is in no inference request, so that it is not prefilled again.
     let block = block(17).wrapping_add(1);
     simulation.gain_block(backend, block);
     simulation.report_change(0, backend, block, Some(simulation::tokens(block)));
@@ -180,10 +181,10 @@
     ("a block is lost", lost_block),
     ("the whole cache is lost", lost_cache),
     ("an eviction storm at all backends", eviction_storm_at_all_backends),
-    ("a block of a caller outside the fleet", block_of_another_caller),
+    ("a block of a client outside the fleet", block_of_another_client),
     ("the report of a block is lost", lost_report_of_a_block),
     ("the report of a removal is lost", lost_report_of_a_removal),
-    ("a request that was never read", request_that_was_never_read),
+    ("a request whose prompt is never prefilled", request_without_prefill),
     ("a report with a wrong size", wrong_size_in_a_report),
     ("a block is lost at an unreachable backend", lost_block_at_an_unreachable_backend),
     ("the auditor is replaced", auditor_replaced),
@@ -193,19 +194,19 @@
 ];
 
 #[test]
-fn every_injected_fault_is_reported_on_its_backend_and_nothing_else_is() {
+fn each_injected_fault_is_reported_for_its_backend_and_nothing_else_is() {
     for (name, inject) in FAULTS {
         let mut delays = Vec::new();
         for seed in seeds(12) {
             let mut simulation = warmed_up(seed);
             let expected = inject(&mut simulation);
-            let begun = simulation.now;
+            let injected_at = simulation.now;
             simulation.run(DETECTION_TIMEOUT);
             for (backend, block, kind) in &expected {
                 let found = reported(&simulation, *backend, *block, *kind);
                 let found = found
                     .unwrap_or_else(|| panic!("{name}, seed {seed}: {block:x} at {backend} is not reported"));
-                delays.push(found.recorded_at.saturating_sub(begun));
+                delays.push(found.recorded_at.saturating_sub(injected_at));
             }
             for mismatch in simulation.audit.mismatches() {
                 let actual = (mismatch.backend.0, mismatch.block.0, mismatch.kind);
@@ -222,7 +223,7 @@
 }
 
 #[test]
-fn nothing_is_reported_without_an_audit() {
+fn a_fault_is_not_reported_while_no_audit_requests_are_sent() {
     let mut simulation = warmed_up(1);
     simulation.audit_enabled = false;
     let expected = lost_block(&mut simulation);
@@ -231,7 +232,7 @@
 }
 
 #[test]
-fn a_difference_that_resolves_itself_between_two_rounds_is_recorded() {
+fn a_difference_that_is_gone_in_the_second_round_is_recorded() {
     let mut recorded = 0;
     for seed in seeds(12) {
         let mut simulation = warmed_up(seed);
@@ -240,7 +241,7 @@
         while comparison_times(&simulation)[backend as usize] == rounds_before[backend as usize] {
             simulation.run(ms(20));
         }
-        // A request makes the backend read the block again; the index has not changed.
+        // The backend has the block again, as after another request for it. The index is unchanged.
         simulation.gain_block(backend, block);
         simulation.run(DETECTION_TIMEOUT);
         let Some(mismatch) = reported(&simulation, backend, block, kind) else { continue };
@@ -251,22 +252,22 @@
         );
         recorded += 1;
     }
-    assert!(recorded > 8, "{recorded} of 12");
+    assert!(recorded > 8, "recorded with {recorded} of 12 seeds");
 }
 
-/// When each backend was last compared.
+/// When the last complete round with each backend ended.
 fn comparison_times(simulation: &Simulation) -> Vec<Option<Duration>> {
     simulation.audit.status().backends.iter().map(|backend| backend.compared_at).collect()
 }
 
 #[test]
-fn a_backend_that_can_not_be_audited_has_that_state_until_it_recovers() {
+fn a_backend_that_can_not_be_audited_is_reported_as_such_until_it_recovers() {
     for behavior in
         [Behavior::Unreachable, Behavior::Replaced, Behavior::WrongDigest, Behavior::InvalidContent]
     {
         let mut simulation = warmed_up(3);
         simulation.backends.get_mut(&1).expect("the backend exists").behavior = behavior;
-        // Content is requested only where something differs.
+        // Adds a difference, as content is requested only where digests differ.
         simulation.gain_block(1, 12_345);
         simulation.run(DETECTION_TIMEOUT);
         let state = simulation.audit.status().backends[1].state.clone();
@@ -280,7 +281,7 @@
 }
 
 #[test]
-fn the_mismatch_log_is_bounded_and_counts_what_it_omits() {
+fn the_mismatch_log_is_bounded_and_counts_the_mismatches_that_it_drops() {
     let mut simulation = warmed_up(5);
     for round in 0..4_u64 {
         (0..120).for_each(|number| simulation.gain_block(0, 1_000_000 + round * 1000 + number));
@@ -293,8 +294,8 @@
     assert!(status.mismatches.len() <= 256 && status.older_mismatches > 0);
 }
 
-/// One backend that is listed only later, as the auditor has just started or a frontend has a newer list.
-fn audit_of_a_later_backend(reports: u64) -> Audit {
+/// An audit that has received this number of reports on a backend that is not listed yet.
+fn audit_with_early_reports(reports: u64) -> Audit {
     let mut audit = Audit::new(AuditSettings::default());
     for number in 0..reports {
         audit.apply_index_change(
@@ -314,37 +315,37 @@
 
 #[test]
 fn reports_on_a_backend_that_is_not_listed_yet_are_applied_once_it_is() {
-    let mut audit = audit_of_a_later_backend(50);
+    let mut audit = audit_with_early_reports(50);
     audit.set_backends(ms(1_000), &[(BackendKey(8), "i-8".into())]);
-    assert_eq!(blocks_of(&audit), [0], "they are on another backend");
+    assert_eq!(blocks_of(&audit), [0], "the reports are on another backend");
     audit.set_backends(ms(2_000), &[(BackendKey(7), "i-7".into()), (BackendKey(8), "i-8".into())]);
     assert_eq!(blocks_of(&audit), [50, 0]);
     assert!(!audit.take_lost_reports());
 }
 
 #[test]
-fn withdrawn_reports_on_a_backend_that_is_not_listed_yet_do_not_return() {
-    let mut audit = audit_of_a_later_backend(50);
+fn withdrawn_reports_on_a_backend_that_is_not_listed_yet_are_not_applied() {
+    let mut audit = audit_with_early_reports(50);
     audit.apply_index_change(ms(10), "frontend-1", BackendKey(7), BlockKey(block(3)), None);
     audit.apply_index_change(ms(10), "frontend-2", BackendKey(7), BlockKey(block(60)), Some(100));
     audit.set_backends(ms(20), &[(BackendKey(7), "i-7".into())]);
-    assert_eq!(blocks_of(&audit), [50], "50 less one, and one of another frontend");
-    let mut audit = audit_of_a_later_backend(50);
+    assert_eq!(blocks_of(&audit), [50], "50 reports, less one withdrawn, and one of another frontend");
+    let mut audit = audit_with_early_reports(50);
     audit.forget_frontend(ms(10), "frontend-1");
     audit.set_backends(ms(20), &[(BackendKey(7), "i-7".into())]);
     assert_eq!(blocks_of(&audit), [0]);
 }
 
 #[test]
-fn reports_beyond_what_is_retained_are_asked_for_again() {
-    let mut audit = audit_of_a_later_backend(10_001);
+fn reports_beyond_the_retention_limit_are_requested_again() {
+    let mut audit = audit_with_early_reports(10_001);
     assert!(audit.take_lost_reports());
-    assert!(!audit.take_lost_reports(), "it is said once");
+    assert!(!audit.take_lost_reports(), "the loss is reported twice");
 }
 
 #[test]
-fn reports_on_a_backend_that_never_comes_make_room() {
-    let mut audit = audit_of_a_later_backend(10_000);
+fn reports_on_a_backend_that_is_never_listed_expire() {
+    let mut audit = audit_with_early_reports(10_000);
     audit.apply_index_change(ms(70_000), "frontend-1", BackendKey(9), BlockKey(1), Some(100));
     assert!(!audit.take_lost_reports());
     audit.set_backends(ms(70_001), &[(BackendKey(7), "i-7".into()), (BackendKey(9), "i-9".into())]);
@@ -352,14 +353,14 @@
 }
 
 #[test]
-fn the_index_is_asked_for_again_where_a_backend_was_left_out_of_the_list_for_a_while() {
+fn the_index_is_requested_again_after_a_backend_was_missing_from_the_list() {
     let listed = [(BackendKey(7), "i-7".to_string()), (BackendKey(8), "i-8".to_string())];
-    let mut audit = audit_of_a_later_backend(50);
+    let mut audit = audit_with_early_reports(50);
     audit.set_backends(ms(1_000), &listed);
     audit.set_backends(ms(2_000), &listed[1..]);
     assert!(!audit.take_lost_reports());
     audit.set_backends(ms(3_000), &listed);
-    assert_eq!(blocks_of(&audit), [0, 0], "its index was dropped");
+    assert_eq!(blocks_of(&audit), [0, 0], "the backend's index was not dropped");
     assert!(audit.take_lost_reports());
-    assert!(!audit.take_lost_reports(), "it is said once");
+    assert!(!audit.take_lost_reports(), "the loss is reported twice");
 }
--- a/crates/index-audit/tests/simulation/mod.rs
+++ b/crates/index-audit/tests/simulation/mod.rs
@@ -1,4 +1,5 @@
-//! A simulation of frontends, backends and an audit in virtual time: messages have latencies, and faults are injected.
+//! A simulation of frontends, backends and an audit in virtual time, with message latencies and injected
+//! faults.
 
 use index_audit::{
     Audit, AuditError, AuditSettings, BackendKey, BlockKey, Correction, RangeReport, RangeRequest,
@@ -17,7 +18,7 @@
 const BLOCKS: u64 = 600;
 /// The probability of an inference request in a step.
 const REQUEST_PROBABILITY: f64 = 0.8;
-/// The most blocks that a backend caches.
+/// The number of blocks that a backend can cache.
 const CACHE_CAPACITY: usize = 200;
 
 pub fn ms(ms: u64) -> Duration {
@@ -30,15 +31,15 @@
     Honest,
     /// Requests time out.
     Unreachable,
-    /// Another instance responds at its address.
+    /// Another instance responds at the backend's address.
     Replaced,
-    /// Its digests are not those of its items.
+    /// Digests do not match the reported content.
     WrongDigest,
-    /// The content that it reports is not valid.
+    /// The reported content is not valid.
     InvalidContent,
 }
 
-/// A backend and what it caches.
+/// A backend and its cache.
 pub struct SimulatedBackend {
     pub cached: DigestedSet,
     /// The blocks by last use, the oldest first.
@@ -46,10 +47,10 @@
     pub behavior: Behavior,
 }
 
-/// A message that arrives, or something that happens at a backend.
+/// The arrival of a message, or a step in the execution of an inference request.
 enum Event {
-    /// A backend reads a prompt and caches its block. The frontend learns which block is evicted for it.
-    PromptRead { backend: u64, block: u64, frontend: usize },
+    /// A backend has prefilled a prompt and cached its block, for which it may evict another.
+    PromptPrefilled { backend: u64, block: u64, frontend: usize },
     /// A response starts: its frontend expects the block to be cached from now on.
     ResponseStarted { backend: u64, block: u64, frontend: usize },
     /// A frontend's report arrives at the auditor.
@@ -79,12 +80,12 @@
     pub audit_enabled: bool,
 }
 
-/// The number of tokens of a block.
+/// The number of tokens in a block.
 pub fn tokens(block: u64) -> u32 {
     100 + (block % 7) as u32 * 50
 }
 
-/// The key of a block by its number.
+/// The key of the block with this number.
 pub fn block(number: u64) -> u64 {
     (number % BLOCKS).wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
@@ -118,7 +119,7 @@
         self.audit.set_backends(self.now, &backends);
     }
 
-    /// Another coordinator takes over the audit; frontends report their whole indexes to it.
+    /// Makes another coordinator take over the audit. Frontends report their complete indexes to it.
     pub fn replace_auditor(&mut self) {
         self.audit = Audit::new(AuditSettings::default());
         self.set_backends();
@@ -129,7 +130,7 @@
             .indexes
             .iter()
             .enumerate()
-            .flat_map(|(frontend, index)| index.iter().map(move |(at, tokens)| (frontend, *at, *tokens)))
+            .flat_map(|(frontend, index)| index.iter().map(move |(key, tokens)| (frontend, *key, *tokens)))
             .collect();
         for (frontend, (backend, block), tokens) in reports {
             self.report_change(frontend, backend, block, Some(tokens));
@@ -143,7 +144,7 @@
         self.in_flight.insert((at, self.events_scheduled), event);
     }
 
-    /// A frontend reports a change of its index to the auditor. Reports keep their order.
+    /// Sends a frontend's report of a change of its index to the auditor. Reports keep their order.
     pub fn report_change(&mut self, frontend: usize, backend: u64, block: u64, tokens: Option<u32>) {
         self.events_scheduled += 1;
         let at = self.now + ms(30);
@@ -151,7 +152,7 @@
             .insert((at, self.events_scheduled), Event::IndexChange { frontend, backend, block, tokens });
     }
 
-    /// Runs for a duration of virtual time.
+    /// Advances the virtual time by a duration.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while self.now < end {
@@ -176,22 +177,22 @@
         self.schedule(1, 60, Event::AuditRequest(request));
     }
 
-    /// A frontend sends an inference request.
+    /// Sends a random inference request.
     fn send_inference_request(&mut self) {
         let number = self.random.random_range(0..BLOCKS);
         let frontend = self.random.random_range(0..FRONTENDS);
         let backend = number % BACKENDS;
-        self.schedule(5, 1500, Event::PromptRead { backend, block: block(number), frontend });
+        self.schedule(5, 1500, Event::PromptPrefilled { backend, block: block(number), frontend });
     }
 
-    /// A frontend adds a block to its index.
+    /// Adds a block to a frontend's index, and reports the change.
     fn add_to_index(&mut self, frontend: usize, backend: u64, block: u64) {
         if self.indexes[frontend].insert((backend, block), tokens(block)).is_none() {
             self.report_change(frontend, backend, block, Some(tokens(block)));
         }
     }
 
-    /// Every frontend removes a block from its index.
+    /// Removes a block from the indexes of all frontends, and reports the changes.
     fn remove_from_indexes(&mut self, backend: u64, block: u64) {
         for frontend in 0..FRONTENDS {
             if self.indexes[frontend].remove(&(backend, block)).is_some() {
@@ -200,8 +201,9 @@
         }
     }
 
-    /// A backend reads a prompt. It reports no eviction: every frontend infers that.
-    fn read_prompt(&mut self, backend: u64, block: u64, frontend: usize) {
+    /// Caches a prompt's block at a backend. Backends do not report evictions; all frontends are assumed to
+    /// infer them.
+    fn prefill_prompt(&mut self, backend: u64, block: u64, frontend: usize) {
         let simulated = self.backends.get_mut(&backend).expect("the backend exists");
         simulated.cached.insert(block, u64::from(tokens(block)));
         simulated.by_last_use.retain(|other| *other != block);
@@ -216,7 +218,9 @@
 
     fn apply(&mut self, event: Event) {
         match event {
-            Event::PromptRead { backend, block, frontend } => self.read_prompt(backend, block, frontend),
+            Event::PromptPrefilled { backend, block, frontend } => {
+                self.prefill_prompt(backend, block, frontend)
+            }
             Event::ResponseStarted { backend, block, frontend } => {
                 self.add_to_index(frontend, backend, block)
             }
@@ -251,7 +255,7 @@
         }
     }
 
-    /// The result of a request, by the behavior of the backend.
+    /// The result of a request, according to the behavior of the backend.
     fn report_range(&self, request: &RangeRequest) -> RangeResult {
         let simulated = &self.backends[&request.backend.0];
         let digest = simulated.cached.digest(request.range);
@@ -270,20 +274,20 @@
         }
     }
 
-    /// A random block that a backend caches.
+    /// Draws a block that a backend has cached.
     pub fn cached_block(&mut self, backend: u64) -> u64 {
         let blocks: Vec<u64> = self.backends[&backend].cached.iter().map(|(block, _)| block).collect();
         blocks[self.random.random_range(0..blocks.len())]
     }
 
-    /// A backend loses a block, which no frontend learns.
+    /// Removes a block from a backend's cache without the knowledge of the frontends.
     pub fn lose_block(&mut self, backend: u64, block: u64) {
         let simulated = self.backends.get_mut(&backend).expect("the backend exists");
         simulated.cached.remove(block);
         simulated.by_last_use.retain(|other| *other != block);
     }
 
-    /// A backend caches a block that no frontend of this fleet has sent.
+    /// Adds a block to a backend's cache without the knowledge of the frontends.
     pub fn gain_block(&mut self, backend: u64, block: u64) {
         let simulated = self.backends.get_mut(&backend).expect("the backend exists");
         simulated.cached.insert(block, u64::from(tokens(block)));
