--- a/crates/policy/src/connections.rs
+++ b/crates/policy/src/connections.rs
@@ -4,12 +4,13 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// How many connections a node opens to a backend and how long it reuses them. Fields keep their old names in the file.
+/// Number and reuse of connections to a backend. The keys in the policy file are the names in the `serde`
+/// attributes.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Connections {
-    /// The most connections of a node to a backend, as a multiple of its even share of those that the backend accepts from all
-    /// nodes. Load is uneven over nodes.
+    /// The most connections of a node to a backend, as a multiple of the node's even share of those that the
+    /// backend accepts. More than 1, since load is unevenly distributed over nodes.
     #[serde(rename = "part_of_most", deserialize_with = "factor")]
     pub share_factor: f64,
     /// Whether connections are reused for further requests.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,8 @@
-//! The policy of the system: the settings by which it decides on requests, with defaults and units.
+//! The policy: the parameters by which the system decides on requests, with their units and defaults.
 //!
-//! An operator may change it by a TOML file with one table for each part ([`Policy::parse`]); what the file does not name has
-//! its default. An unknown key or a value out of range is an error with its location.
+//! An operator may set them in a TOML file with one table for each part ([`Policy::parse`]). Keys that are
+//! not in the file have their defaults. An unknown key or a value out of range is an error that states its
+//! location.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/policy/src/parse.rs
+++ b/crates/policy/src/parse.rs
@@ -7,7 +7,7 @@
     /// A policy file is invalid.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum PolicyError {
-        /// The text is not a policy.
+        /// The text is not valid TOML, or has an unknown key or an invalid value.
         Invalid(error: SyntaxError) {
             display("line {}, column {}: {}", error.line, error.column, error.problem)
             source(error.source.as_ref())
@@ -15,25 +15,25 @@
     }
 }
 
-/// The first error of a text, and its location.
+/// The first error in a policy file, and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SyntaxError {
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// The column, from 1.
+    /// The column in characters, counted from 1.
     pub column: usize,
-    /// The error in one line.
+    /// The description of the error, as a single line.
     pub problem: String,
     /// The error of the TOML parser.
     pub source: Box<toml::de::Error>,
 }
 
 impl Policy {
-    /// Parses a policy file. What it does not name has its default.
+    /// Parses a policy file. Keys that are not in it have their defaults.
     ///
     /// # Errors
     ///
-    /// The first error: text that is no TOML, an unknown key, a value of another type or out of range.
+    /// The first error: invalid TOML, an unknown key, or a value of another type or out of range.
     pub fn parse(text: &str) -> Result<Self, PolicyError> {
         toml::from_str(text).map_err(|error| {
             let offset = error.span().map_or(0, |span| span.start.min(text.len()));
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,4 +1,4 @@
-//! The policy as a whole.
+//! The complete policy.
 
 use crate::connections::Connections;
 use crate::limits::Limits;
@@ -7,19 +7,19 @@
 use crate::routing::Routing;
 use serde::Deserialize;
 
-/// The complete policy. `retries` keeps its old name in the file.
+/// The complete policy. Each field is a table of the policy file; `retries` is called `sends` there.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// Selection of a backend and what is learned about backends.
+    /// Selection of a backend, and the state of backends that it uses.
     pub routing: Routing,
-    /// Retries of requests.
+    /// Time-outs of attempts and retries of requests.
     #[serde(rename = "sends")]
     pub retries: Retries,
-    /// Connections to backends.
+    /// Number and reuse of connections to backends.
     pub connections: Connections,
-    /// Division of tenants' limits.
+    /// Division of tenants' limits between the quota leader and the nodes.
     pub limits: Limits,
-    /// Requests while the node is not ready.
+    /// Handling of requests while the node is not ready yet.
     pub recovery: Recovery,
 }
--- a/crates/policy/src/retries.rs
+++ b/crates/policy/src/retries.rs
@@ -1,17 +1,18 @@
-//! Retries, and when rejected clients are to retry.
+//! Time-outs of attempts, retries, and when rejected clients are to retry.
 
 use crate::value::{factor, milliseconds};
 use serde::Deserialize;
 use std::time::Duration;
 
-/// When an attempt times out, and when a rejected client is to retry. Fields keep their old names in the file.
+/// Time-outs of attempts, retries, and when rejected clients are to retry. The keys in the policy file are
+/// the names in the `serde` attributes.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Retries {
-    /// Whether an idempotent request is sent to another backend after an attempt has failed.
+    /// Whether a request is sent to another backend after an attempt has failed, where that is safe.
     #[serde(rename = "again")]
     pub enabled: bool,
-    /// Whether a stream that broke off is resumed at another backend, where its route allows that.
+    /// Whether a stream that has broken off is resumed at another backend, if its route allows that.
     #[serde(rename = "resume")]
     pub resume_streams: bool,
     /// The time-out of an attempt of an idempotent request, as a multiple of the latency target.
@@ -20,13 +21,14 @@
     /// The shortest time-out of an attempt, in milliseconds.
     #[serde(rename = "least_silence_ms", deserialize_with = "milliseconds")]
     pub min_timeout: Duration,
-    /// When a client whose backends have rejected its request is to retry, as a multiple of the latency target.
+    /// The time after which a client is to retry whose request was rejected by backends, as a multiple of the
+    /// latency target.
     #[serde(rename = "come_back_aims", deserialize_with = "factor")]
     pub retry_after_factor: f64,
-    /// The least of that, in milliseconds.
+    /// The shortest time after which such a client is to retry, in milliseconds.
     #[serde(rename = "soonest_back_ms", deserialize_with = "milliseconds")]
     pub min_retry_after: Duration,
-    /// The most of that, in milliseconds.
+    /// The longest time after which such a client is to retry, in milliseconds.
     #[serde(rename = "latest_back_ms", deserialize_with = "milliseconds")]
     pub max_retry_after: Duration,
 }
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -1,66 +1,74 @@
-//! Selection of a backend. The settings are fractions, factors and times of what is observed; none belongs to one deployment.
+//! Selection of a backend. The parameters are relative to observed values, so that none depends on a
+//! deployment.
 
 use crate::value::{count, factor, fraction, milliseconds};
 use serde::Deserialize;
 use std::time::Duration;
 
-/// The weights of the selection, and which of its mechanisms are on. Renamed fields keep their old names in the file.
+/// Parameters of the selection of a backend, and which of its mechanisms are enabled. Where a field has a
+/// `serde` name, that is its key in the policy file.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Routing {
-    /// Whether candidates are compared by the estimates of Join-Up-To(m); otherwise one is drawn.
+    /// Whether candidates are compared by their Join-Up-To(m) estimates; otherwise one is drawn at random.
     pub estimate: bool,
-    /// Whether a prompt goes to any backend below m requests once all that have its shared blocks cached have reached m.
+    /// Whether a prompt may go to a backend without its shared blocks if all backends that have them cached
+    /// have reached m.
     #[serde(rename = "spills")]
     pub spill_over: bool,
     /// Whether prompts are assigned to backends by rendezvous hashing of their shared blocks.
     pub rendezvous: bool,
-    /// Whether an index of the node's own attempts estimates the prefix cache of a backend.
+    /// Whether the prefix caches of backends are modelled from the node's own attempts.
     pub index: bool,
-    /// The number of backends that are to have a shared block cached, as long as one can serve its traffic.
+    /// The number of backends that are to have a shared block cached, even if fewer can serve the requests
+    /// with it.
     #[serde(rename = "copies", deserialize_with = "count")]
     pub replicas: usize,
-    /// The part of a backend's time that requests with the same shared block may take before that block goes to one more
-    /// backend.
+    /// The fraction of a backend's time that requests with the same shared block may take before one more
+    /// backend is to have the block cached.
     #[serde(rename = "hot_share", deserialize_with = "fraction")]
     pub max_block_utilization: f64,
     /// The cost of a repeated prefill of shared blocks, as a multiple of its duration.
     #[serde(rename = "reread_cost", deserialize_with = "factor")]
     pub repeated_prefill_cost: f64,
-    /// The cost of any prefill, likewise: that time is lost for the other requests there.
+    /// The cost of any prefill, as a multiple of its duration, in which the backend makes no progress on
+    /// other requests.
     #[serde(rename = "read_cost", deserialize_with = "factor")]
     pub prefill_cost: f64,
-    /// The weight of the prefill as all backends get busy: that part of the usual queueing law, 1 / (1 - busy).
+    /// How much the cost of a prefill rises with the utilization u of all backends: by this times u / (1 -
+    /// u), as waiting times do by queueing theory.
     #[serde(deserialize_with = "factor")]
     pub busy_weight: f64,
-    /// The multiple of the expected time from which on a backend counts as slow.
+    /// The ratio of observed to expected times to the first byte above which a backend counts as slow.
     #[serde(rename = "slow_from", deserialize_with = "factor")]
     pub slow_threshold: f64,
-    /// Whether the measured time of responses relative to the expected one counts at all.
+    /// Whether the ratio of observed to expected times to the first byte is taken into account.
     pub slowness: bool,
-    /// Whether requests state their urgency to backends, by the priorities of tenant and route.
+    /// Whether requests state an urgency to backends, by the priorities of their tenant and route.
     pub urgency: bool,
-    /// Whether the smaller prompts of a priority come first.
+    /// Whether the smaller prompts of the same priority are more urgent.
     #[serde(rename = "small_first")]
     pub small_prompts_first: bool,
-    /// The number of requests of a key that counts as chance, in standard deviations.
+    /// The margin that is subtracted from the observed number of requests with the same shared blocks, in
+    /// standard deviations.
     #[serde(rename = "key_margin", deserialize_with = "factor")]
     pub request_count_margin: f64,
-    /// Backends whose loss differs from the best one's by less than this part of the latency target are equally good.
+    /// Backends whose cost exceeds the lowest cost by no more than this fraction of the latency target are
+    /// candidates.
     #[serde(rename = "slack", deserialize_with = "fraction")]
     pub cost_tolerance: f64,
-    /// The part of its slots up to which a backend without a queue counts as idle.
+    /// The fraction of its slots up to which a backend without a queue counts as idle.
     #[serde(deserialize_with = "fraction")]
     pub idle_share: f64,
-    /// Whether an estimate that no response will reset expires after some seconds.
+    /// Whether estimates are reset at backends from which nothing was received for some seconds.
     #[serde(rename = "forgetting")]
     pub estimate_expiry: bool,
     /// Whether this node's share of the traffic is measured; otherwise it is assumed to be even.
     pub traffic_share: bool,
-    /// The most backends that are all considered for a request; of more, only some are.
+    /// The number of backends up to which all are considered for a request; of more, only some are.
     #[serde(rename = "looked_at_all", deserialize_with = "count")]
     pub full_scan_limit: usize,
-    /// Whether reports are requested of backends with the most requests in flight.
+    /// Whether load reports are requested of backends whose estimate has reached m.
     #[serde(rename = "reports")]
     pub load_reports: bool,
     /// Whether failing backends are ejected for a while.
@@ -71,10 +79,11 @@
     /// The duration of the longest ejection, in milliseconds.
     #[serde(rename = "longest_rest_ms", deserialize_with = "milliseconds")]
     pub max_ejection: Duration,
-    /// Whether a backend gets no more requests while a response is overdue and nothing else has arrived from it.
+    /// Whether a backend gets no further requests while a response is overdue and nothing else has arrived
+    /// from it.
     #[serde(rename = "silence")]
     pub stall_detection: bool,
-    /// The delay up to which a late response counts as no stall, in milliseconds.
+    /// The shortest time without a first byte after which a response is overdue, in milliseconds.
     #[serde(rename = "patience_ms", deserialize_with = "milliseconds")]
     pub stall_tolerance: Duration,
 }
