--- a/crates/data-plane/src/agent_link.rs
+++ b/crates/data-plane/src/agent_link.rs
@@ -1,5 +1,6 @@
-//! The link to the agent on the same machine: reconnects for as long as the process runs, and carries messages in both
-//! directions. Of their content it knows only the greeting.
+//! The link to the agent on the same machine. Reconnects for as long as the process runs, sends the greeting
+//! and heartbeats, and carries all other messages without interpreting them, except that it tracks the
+//! sequence number of the active configuration for the greeting.
 
 use bytes::BytesMut;
 use control_protocol::{ConfigurationSequence, FromProxy, ToProxy};
@@ -16,7 +17,7 @@
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
 /// The longest backoff before a reconnect.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// A heartbeat is sent when no other message was sent for so long.
+/// A heartbeat is sent when no other message was sent for this long.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Keeps the link open until the receiver of `inbound` is closed.
@@ -32,9 +33,9 @@
                 backoff = MIN_BACKOFF;
                 log::info!("agent at {address}: connected");
                 let ended = run_connection(stream, &inbound, &mut outbound, &mut active_sequence).await;
-                log::warn!("agent at {address}: the link ended: {ended}");
+                log::warn!("agent at {address}: connection ended: {ended}");
             }
-            Err(error) => log::debug!("agent at {address}: no connection: {error}"),
+            Err(error) => log::debug!("agent at {address}: cannot connect: {error}"),
         }
         if inbound.is_closed() {
             return;
@@ -68,7 +69,7 @@
         match control_protocol::decode::<ToProxy>(&mut received) {
             Ok(Some(message)) => {
                 if inbound.send(message).is_err() {
-                    return io::Error::other("the data plane has ended");
+                    return io::Error::other("the data plane no longer receives messages");
                 }
                 continue;
             }
@@ -97,20 +98,22 @@
         }
         next = match timeout(HEARTBEAT_INTERVAL, outbound.recv()).await {
             Ok(Some(message)) => message,
-            Ok(None) => return io::Error::other("the data plane has ended"),
+            Ok(None) => return io::Error::other("the data plane no longer sends messages"),
             Err(_) => FromProxy::Heartbeat,
         };
         track_sequence(&next, active_sequence);
     }
 }
 
-/// Discards what was meant for an earlier connection: it is sent again, or is out of date.
+/// Discards messages that were queued for an earlier connection. Their content is sent again, or is out of
+/// date.
 fn discard_pending(outbound: &mut UnboundedReceiver<FromProxy>, active_sequence: &mut ConfigurationSequence) {
     while let Ok(message) = outbound.try_recv() {
         track_sequence(&message, active_sequence);
     }
 }
 
+/// Updates the sequence number of the active configuration if a message reports it.
 fn track_sequence(message: &FromProxy, active_sequence: &mut ConfigurationSequence) {
     if let FromProxy::ConfigurationApplied { sequence } = message {
         *active_sequence = *sequence;
--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: a request sent to one backend, up to the head of its response, with what a failure proves.
+//! One attempt: sends a request to one backend and receives the head of the response, or determines what a
+//! failure proves about the execution of the request.
 
 use crate::backend::{Backend, Connection, IdleLookup};
 use crate::header_names::{DEADLINE, EXPECTED_INSTANCE, LOAD, NOT_EXECUTED, REQUEST_ID};
@@ -18,20 +19,21 @@
 
 /// How many times an attempt waits for the reuse delay of an idle connection before it opens a new one.
 const MAX_IDLE_WAITS: u32 = 2;
-/// How many idle connections an attempt finds closed before it ends.
+/// How many idle connections may turn out to be closed before the attempt fails.
 const MAX_STALE_CONNECTIONS: u32 = 8;
-/// A backend gets a deadline that is earlier by this, so that its rejection arrives in time.
+/// The deadline given to a backend is earlier than the client's by this much, so that a rejection arrives in
+/// time.
 const BACKEND_DEADLINE_MARGIN: Duration = Duration::from_millis(35);
 
 /// The request of an attempt.
 pub struct BackendRequest<'r> {
-    /// Its method.
+    /// As in the client's request.
     pub method: &'r Method,
-    /// Its path and query.
+    /// The path and query.
     pub target: &'r PathAndQuery,
-    /// Its headers, all but those that an attempt adds.
+    /// All headers but those that are added on sending: the expected instance and the deadline.
     pub headers: &'r HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: &'r Bytes,
     /// When the client stops waiting.
     pub client_deadline: Instant,
@@ -41,29 +43,30 @@
 
 /// A response whose head has arrived.
 pub struct BackendResponse {
-    /// Its status.
+    /// As the backend sent it.
     pub status: StatusCode,
-    /// Its headers, without the load.
+    /// The headers except the load.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body, of which nothing was read yet.
     pub body: Incoming,
-    /// Its connection.
+    /// The connection on which the body arrives.
     pub connection: Connection,
-    /// The load of the backend, where the head has it.
+    /// The load of the backend, if the head states it.
     pub load: Option<Load>,
-    /// What it proves about the request.
+    /// What the response proves about the execution of the request.
     pub evidence: ExecutionEvidence,
 }
 
 /// The result of an attempt.
 pub enum AttemptResult {
-    /// The head of a response.
+    /// The head of a response arrived.
     Response(Box<BackendResponse>),
-    /// No response that could be forwarded, and what that proves.
+    /// No usable response arrived; the value is what that proves about the execution of the request.
     Failed(ExecutionEvidence),
 }
 
-/// Sends a request on an idle connection, or on a new one where the backend has fewer than `max_connections` open.
+/// Sends a request on an idle connection, or on a new one if fewer than `max_connections` are open to the
+/// backend.
 pub async fn send(
     backend: &Backend,
     max_connections: usize,
@@ -93,7 +96,7 @@
         }
         match send_on(connection, &permit, backend, request).await {
             Some(result) => return result,
-            // The backend closed it while it was idle, which says nothing about the backend.
+            // The backend closed the connection while it was idle, which is no sign of a failure.
             None if is_reused => stale_connections += 1,
             None => return AttemptResult::Failed(ExecutionEvidence::NotWritten),
         }
@@ -107,19 +110,23 @@
     state: &DataPlaneState,
 ) -> Option<Connection> {
     if backend.open_connections() >= max_connections || !state.make_connection_capacity() {
-        log::debug!("backend {}: the limit of connections is reached", backend.id.0);
+        let open = backend.open_connections();
+        log::debug!(
+            "backend {}: no capacity for a connection: {open} of {max_connections} are open there",
+            backend.id.0
+        );
         return None;
     }
     match backend.connect(&state.connection_limit).await {
         Ok(connection) => Some(connection),
         Err(error) => {
-            log::debug!("backend {} at {}: connect: {error}", backend.id.0, backend.address);
+            log::debug!("backend {}: cannot connect to {}: {error}", backend.id.0, backend.address);
             None
         }
     }
 }
 
-/// Sends the request on a connection. `None` if that was closed before anything was written.
+/// Sends the request on a connection. `None` if the connection was closed before anything was written.
 async fn send_on(
     mut connection: Connection,
     permit: &SendPermit,
@@ -144,7 +151,7 @@
         Ok(response) => Some(read_head(response, connection, backend, request)),
         Err(_) if progress.is_untouched() => None,
         Err(error) => {
-            log::debug!("backend {}: the connection broke: {error}", backend.id.0);
+            log::debug!("backend {}: connection failed during a request: {error}", backend.id.0);
             let evidence = execution_evidence(RequestBytes::SomeWritten, AttemptEnd::ConnectionBroken);
             Some(AttemptResult::Failed(evidence))
         }
@@ -177,22 +184,22 @@
     let end = AttemptEnd::Response { status: head.status, not_executed, owner };
     let evidence = execution_evidence(RequestBytes::SomeWritten, end);
     let may_have_run = evidence == ExecutionEvidence::MayHaveRun;
-    // The rejection of a request that could not be read may have no id.
+    // A backend that rejects a request it could not parse does not know the request's id.
     if owner == ResponseOwner::OtherRequest || (owner == ResponseOwner::Unknown && may_have_run) {
-        log::warn!("backend {}: a response that belongs to another request", backend.id.0);
+        log::warn!("backend {}: the request id in a response is wrong or missing: {owner:?}", backend.id.0);
         return AttemptResult::Failed(ExecutionEvidence::MayHaveRun);
     }
     let has_no_body = *request.method == Method::HEAD
         || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     if let Some(error) = validate_framing(&head.headers).err().filter(|_| !has_no_body && may_have_run) {
-        log::warn!("backend {}: a response that can't be read: {error}", backend.id.0);
+        log::warn!("backend {}: invalid framing of a response: {error}", backend.id.0);
         return AttemptResult::Failed(ExecutionEvidence::MayHaveRun);
     }
     let (status, headers) = (head.status, head.headers);
     AttemptResult::Response(Box::new(BackendResponse { status, headers, body, connection, load, evidence }))
 }
 
-/// Which request a response belongs to. Where the request has no id, any response is taken for its own.
+/// Determines which request a response belongs to. A request without an id owns any response.
 fn response_owner(headers: &HeaderMap, request: &BackendRequest<'_>) -> ResponseOwner {
     match (headers.get(REQUEST_ID), request.headers.get(REQUEST_ID)) {
         (_, None) => ResponseOwner::ThisRequest,
--- a/crates/data-plane/src/backend.rs
+++ b/crates/data-plane/src/backend.rs
@@ -1,4 +1,4 @@
-//! One backend: its idle connections, and new ones. Chooses nothing and sends no request.
+//! One backend: its address, its pool of idle connections, and the opening of new ones. Sends no requests.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -21,17 +21,18 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// How long a connection may take to open. Guards against machines that do not respond.
+/// How long a connection may take to open, as machines that are down do not respond.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long written bytes may stay unacknowledged before the connection counts as dead (`TCP_USER_TIMEOUT`).
+/// How long written bytes may stay unacknowledged before the system closes the connection
+/// (`TCP_USER_TIMEOUT`).
 const UNACKNOWLEDGED_TIMEOUT_MS: u32 = 2000;
-/// Time without a byte after which the system sends a TCP keep-alive, and time between two of them.
+/// The idle time after which the system sends a TCP keep-alive probe, and the interval between two probes.
 const TCP_KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Unacknowledged TCP keep-alives after which the connection counts as dead.
+/// The number of unacknowledged TCP keep-alive probes after which the system closes the connection.
 const TCP_KEEPALIVE_COUNT: u32 = 2;
-/// A connection is not used in the last part of the time for which its backend keeps it open.
+/// An idle connection is closed this long before the keep-alive time-out that its backend stated.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(600);
-/// The largest head of a response, in bytes. Bounds what is buffered for a connection.
+/// The largest head of a response, in bytes. Bounds the buffer of a connection.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// A limit on the connections to all backends together.
@@ -54,9 +55,9 @@
 
 /// An open connection. Dropping it closes it.
 pub struct Connection {
-    /// Sends requests on it.
+    /// hyper's handle for sending requests.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Progress of the exchange in flight.
+    /// The progress of the exchange in flight.
     pub progress: Rc<ExchangeProgress>,
     _driver: ScopedTask,
     _open: [OpenGuard; 2],
@@ -70,25 +71,25 @@
 
 /// The result of a search for an idle connection.
 pub enum IdleLookup {
-    /// One whose reuse delay is over.
+    /// An idle connection whose reuse delay is over.
     Ready(Connection),
-    /// When the reuse delay of the next one is over.
+    /// There are idle connections, and the reuse delay of one is over at this time.
     ReadyAt(Instant),
-    /// No connection is idle.
+    /// There is no idle connection that may be reused.
     Empty,
 }
 
-/// A backend: one start of its process.
+/// A running instance of a backend.
 pub struct Backend {
-    /// Its identity.
+    /// The instance id.
     pub id: BackendId,
-    /// The identity as a header value.
+    /// The instance id as a header value.
     pub instance_header: HeaderValue,
-    /// Where it listens.
+    /// The address at which the instance accepts requests.
     pub address: SocketAddrV4,
-    /// Whether it accepts new requests.
+    /// Whether the instance accepts new requests.
     pub serving: ServingFlag,
-    /// How much of its slow start was left when it was last listed.
+    /// The remaining time of slow start in the last list of backends.
     pub slow_start_remaining: Cell<Duration>,
     policy: Connections,
     same_zone: bool,
@@ -99,7 +100,8 @@
 }
 
 impl Backend {
-    /// A backend of the list; `zone` is that of this node. `None` if its identity is no valid header value.
+    /// A listed backend. `zone` is the zone of this node. `None` if the instance id is not a valid header
+    /// value.
     pub fn new(
         id: BackendId,
         listed: &control_protocol::Backend,
@@ -123,7 +125,7 @@
         })
     }
 
-    /// Its description for the choice of a backend.
+    /// The entry for the selection of a backend.
     pub fn routing_entry(&self) -> BackendEntry {
         BackendEntry {
             id: self.id.clone(),
@@ -133,18 +135,18 @@
         }
     }
 
-    /// Sends it no new requests from now on. Those in flight go on.
+    /// Prevents new requests to the backend, and closes its idle connections. Requests in flight continue.
     pub fn retire(&self) {
         self.serving.set(false);
         self.idle.borrow_mut().clear();
     }
 
-    /// Number of open connections, those in use included.
+    /// The number of open connections, both idle and in use.
     pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// Takes an idle connection whose reuse delay is over.
+    /// Takes the newest idle connection whose reuse delay is over.
     pub fn take_idle(&self) -> IdleLookup {
         self.prune_idle();
         let mut idle = self.idle.borrow_mut();
@@ -158,13 +160,13 @@
         reusable_at.find(|at| *at > Instant::now()).map_or(IdleLookup::Empty, IdleLookup::ReadyAt)
     }
 
-    /// Closes connections that were idle for too long or were closed by the backend.
+    /// Removes idle connections that have expired or were closed by the backend.
     pub fn prune_idle(&self) {
         let now = Instant::now();
         self.idle.borrow_mut().retain(|idle| !idle.connection.sender.is_closed() && now < idle.expires_at);
     }
 
-    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    /// Closes the connection that has been idle for the longest time. Returns whether there was one.
     pub fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let has_idle = !idle.is_empty();
@@ -174,21 +176,22 @@
         has_idle
     }
 
-    /// Stores a connection for reuse after a complete response with this head, unless the head says that it closes.
+    /// Stores a connection for reuse after a response with this head. Closes it instead if the exchange is
+    /// not complete or the head has `Connection: close`.
     pub fn store_idle(&self, connection: Connection, head: &HeaderMap) {
         let closes = http_forwarding::forward::list_contains(head, header::CONNECTION, "close");
         if closes || !connection.progress.is_complete() {
             return;
         }
-        self.store_for(connection, self.idle_timeout(head));
+        self.store_with_timeout(connection, self.idle_timeout(head));
     }
 
-    /// Stores a connection that has not been used.
+    /// Stores a connection on which no request was sent.
     pub fn store_unused(&self, connection: Connection) {
-        self.store_for(connection, self.policy.default_max_idle);
+        self.store_with_timeout(connection, self.policy.default_max_idle);
     }
 
-    fn store_for(&self, connection: Connection, idle_timeout: Duration) {
+    fn store_with_timeout(&self, connection: Connection, idle_timeout: Duration) {
         if !self.serving.is_serving() || !self.policy.reuse || idle_timeout.is_zero() {
             return;
         }
@@ -198,7 +201,8 @@
         self.idle.borrow_mut().push(IdleConnection { connection, idle_since, expires_at });
     }
 
-    /// How long a connection may stay idle after a response with this head (RFC 2068, section 19.7.1: `Keep-Alive`).
+    /// How long a connection may stay idle after a response with this head, by its `Keep-Alive` header (RFC
+    /// 2068, section 19.7.1). A value without `timeout=` is taken as a number of seconds.
     fn idle_timeout(&self, head: &HeaderMap) -> Duration {
         const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
         let default = self.policy.default_max_idle;
@@ -209,10 +213,10 @@
         Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN).min(self.policy.max_idle)
     }
 
-    /// Opens a connection, which counts against `limit` until it is dropped.
+    /// Opens a connection, which counts as open in `limit` until it is dropped. Does not check the limit.
     ///
     /// # Errors
-    /// The connection was refused, or did not open in time.
+    /// The connection failed or did not open in time, or a socket option could not be set.
     pub async fn connect(&self, limit: &ConnectionLimit) -> io::Result<Connection> {
         let open = [OpenGuard::new(&limit.open), OpenGuard::new(&self.open)];
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address));
@@ -220,15 +224,15 @@
         set_socket_options(&stream)?;
         let progress = Rc::new(ExchangeProgress::default());
         progress.reset_when_abandoned();
-        let watched = MonitoredStream::new(stream, progress.clone(), None, self.reuse_delay.clone());
+        let monitored = MonitoredStream::new(stream, progress.clone(), None, self.reuse_delay.clone());
         let mut builder = http1::Builder::new();
-        let handshake = builder.max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(watched));
+        let handshake = builder.max_buf_size(MAX_HEAD_BYTES).handshake(TokioIo::new(monitored));
         let (sender, driver) = handshake.await.map_err(io::Error::other)?;
         Ok(Connection { sender, progress, _driver: ScopedTask::spawn_connection(driver), _open: open })
     }
 }
 
-/// Makes the system detect a peer that does not respond any more.
+/// Disables Nagle's algorithm, and makes the system detect a peer that no longer responds.
 fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     sockopt::set_tcp_user_timeout(stream, UNACKNOWLEDGED_TIMEOUT_MS)?;
--- a/crates/data-plane/src/client_connection.rs
+++ b/crates/data-plane/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: HTTP/1.1 on its socket until it ends, and an orderly close.
+//! One client's connection: serves HTTP/1.1 until it ends, and closes it without losing the last response.
 
 use crate::request_handler::handle;
 use crate::state::DataPlaneState;
@@ -18,22 +18,23 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long the node waits for a client to close after its last response. Guards that response against a reset.
+/// How long the node waits after the last response for the client to close. A reset could destroy that
+/// response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(250);
-/// How many bytes are discarded at a time of those that follow the last request.
+/// How many bytes after the last request are read and discarded at a time.
 const DISCARD_BYTES: usize = 16 << 10;
 /// The smallest limit on a head that hyper accepts, in bytes.
 const MIN_HEAD_BYTES: usize = 8 << 10;
 
-/// Serves one connection to its end. hyper reads on while a response is pending, so that a client's close ends this at
-/// once and drops the work on its response.
+/// Serves one connection until it ends. If the client closes it while a response is pending, that is detected
+/// at once and the work on the response is dropped.
 pub async fn serve_connection(
     state: &Rc<DataPlaneState>,
     stream: TcpStream,
     connection: &Rc<ConnectionState>,
 ) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("a client's socket: {error}");
+        log::debug!("client socket: cannot set TCP_NODELAY: {error}");
     }
     let service = service_fn(|request: Request<Incoming>| {
         let (state, connection) = (state.clone(), connection.clone());
@@ -50,20 +51,21 @@
     let mut served = builder.max_buf_size(max_head_bytes).serve_connection(io, service);
     let mut closed_while_idle = false;
     {
-        let mut client_left = pin!(wait_for_disconnect(&socket, connection, &state.body_memory_kib));
+        let mut disconnected = pin!(wait_for_disconnect(&socket, connection, &state.body_memory_kib));
         loop {
             tokio::select! {
                 end = &mut served => match end {
                     Ok(()) => break,
-                    Err(error) => return log::debug!("a client's connection: {error}"),
+                    Err(error) => return log::debug!("client connection failed: {error}"),
                 },
-                () = &mut client_left => return log::debug!("a client has closed its connection"),
-                // Unread bytes would be lost: their request gets its response, as the last on the connection.
+                () = &mut disconnected => return log::debug!("client disconnected"),
+                // Unread bytes are a request that would be lost. It is served as the last one on the
+                // connection.
                 () = connection.close_requested.notified() => if !socket.has_unread() {
                     closed_while_idle = connection.idle_since.get().is_some();
                     std::pin::Pin::new(&mut served).graceful_shutdown();
                 },
-                () = connection.abort_requested.notified() => return log::debug!("a client's connection timed out"),
+                () = connection.abort_requested.notified() => return log::debug!("client connection timed out"),
             }
         }
     }
@@ -71,8 +73,8 @@
     linger(&socket, closed_while_idle).await;
 }
 
-/// Waits for the client to close. Closed with bytes of the client unread, the connection would be reset, and the last response
-/// lost with it.
+/// Discards what the client still sends until it closes the connection. Closing a socket with unread bytes
+/// resets the connection, by which the client may lose the last response.
 async fn linger(socket: &SharedStream, closed_while_idle: bool) {
     let _ = timeout(LINGER_TIMEOUT, async {
         while !closed_while_idle && socket.wait_for_unread().await {
--- a/crates/data-plane/src/header_names.rs
+++ b/crates/data-plane/src/header_names.rs
@@ -1,30 +1,31 @@
-//! Names of the headers by which clients, frontends and backends describe a request, its response and a backend's load.
+//! Names of the headers by which clients, this node and backends describe a request, its response and a
+//! backend's load.
 
 use hyper::header::HeaderName;
 
-/// Id of a request, which its response repeats.
+/// In a request: its id, chosen by the client. In a response: the id of the request that it belongs to.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// Time for which the client waits, in milliseconds.
+/// In a request: the time for which its sender waits, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// Backend instance that a request is meant for.
+/// In a request to a backend: the instance id of the selected backend.
 pub const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("x-expected-instance");
-/// Backend instance that made a response.
+/// In a response: the instance id of the backend that made it.
 pub const INSTANCE: HeaderName = HeaderName::from_static("x-instance-id");
-/// Signature of a backend's response.
+/// In a response: its signature by the backend.
 pub const SIGNATURE: HeaderName = HeaderName::from_static("x-response-signature");
-/// Load of a backend: `running,waiting,slots`.
+/// In a backend's response: the backend's load as `running,waiting,slots`.
 pub const LOAD: HeaderName = HeaderName::from_static("x-backend-load");
-/// Present where the backend did not execute the request.
+/// In a backend's response: present if the backend did not execute the request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
-/// Tenant that a request was authenticated for.
+/// In a request to a backend: the authenticated tenant.
 pub const TENANT: HeaderName = HeaderName::from_static("x-tenant-id");
-/// Urgency of a request, 0 first.
+/// In a request to a backend: its urgency, from 0 (most urgent) to 9.
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// Model that a request is for.
+/// In a request: the model that it is for.
 pub const MODEL: HeaderName = HeaderName::from_static("x-model");
-/// Tokens of a request: `prompt,output`.
+/// In a request: the tokens of the prompt and the maximum tokens of the response as `prompt,output`.
 pub const TOKEN_USAGE: HeaderName = HeaderName::from_static("x-token-usage");
-/// Blocks of a request's prompt: `ID:TOKENS,ID:TOKENS`.
+/// In a request: the blocks of the prompt as `ID:TOKENS,ID:TOKENS`.
 pub const PROMPT_PREFIX: HeaderName = HeaderName::from_static("x-prompt-prefix");
-/// Event after which a stream resumes (WHATWG HTML, section "Server-sent events").
+/// In a request: the event after which a stream resumes (WHATWG HTML, section "Server-sent events").
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,8 +1,8 @@
-//! The data plane of the system: accepts clients' requests, matches them against the operator's configuration and forwards
+//! The data plane: accepts clients' requests, matches them against the operator's configuration and forwards
 //! each to a backend.
 //!
-//! Everything runs on one thread as local tasks. [`run`] is the program; [`serve`] is the same with sockets and an agent
-//! channel that the caller provides.
+//! Everything runs as local tasks on one thread. [`run`] is the complete program; [`serve`] is the same with
+//! sockets and a channel to the agent that the caller provides.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -47,19 +47,20 @@
 pub struct AgentChannel {
     /// Messages from the agent.
     pub from_agent: UnboundedReceiver<ToProxy>,
-    /// Messages to the agent. They are dropped where the receiver is closed.
+    /// Messages to the agent. They are dropped once the receiver is closed.
     pub to_agent: UnboundedSender<FromProxy>,
 }
 
 /// The sockets that a data plane listens on.
 pub struct Sockets {
-    /// For clients.
+    /// Accepts clients.
     pub frontend: TcpListener,
-    /// For the platform's readiness checks.
+    /// Accepts the platform's readiness checks.
     pub readiness: TcpListener,
 }
 
-/// Runs the data plane until the process receives a termination signal.
+/// Runs the data plane until the process receives a termination signal and has shut down. Fails if a socket
+/// can't be bound or a signal handler can't be installed.
 pub fn run(settings: Settings, options: RoleOptions) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let result = match runtime {
@@ -90,8 +91,8 @@
     Ok(())
 }
 
-/// Serves until `shutdown` completes and every request accepted by then has its response, at the latest shortly before
-/// the shutdown grace period ends. Must be called on a `LocalSet`.
+/// Serves until `shutdown` completes and all requests accepted by then have their responses, or until shortly
+/// before the end of the shutdown grace period. Must be called on a `LocalSet`.
 pub async fn serve(
     settings: Settings,
     sockets: Sockets,
@@ -109,10 +110,10 @@
     mut from_agent: UnboundedReceiver<ToProxy>,
     shutdown: impl Future<Output = ()>,
 ) {
-    let updated = state.clone();
+    let agent_state = state.clone();
     spawn_local(async move {
         while let Some(message) = from_agent.recv().await {
-            updated.apply(message);
+            agent_state.apply(message);
         }
     });
     spawn_local(readiness::serve(state.clone(), sockets.readiness));
@@ -134,5 +135,8 @@
         socket.bind(address.into())?;
         socket.listen(BACKLOG)
     };
-    bind().map_err(|error| io::Error::new(error.kind(), format!("listen.{setting} {address}: {error}")))
+    let context = |error: io::Error| {
+        io::Error::new(error.kind(), format!("listen.{setting}: cannot listen on {address}: {error}"))
+    };
+    bind().map_err(context)
 }
--- a/crates/data-plane/src/maintenance.rs
+++ b/crates/data-plane/src/maintenance.rs
@@ -1,5 +1,5 @@
-//! Periodic work: closes connections that are idle for too long, requests the load reports that are due, and sends the agent
-//! the changes of the prompt index.
+//! Periodic maintenance: closes connections that were idle for too long, requests the load reports that are
+//! due, and sends the changes of the prompt index to the agent.
 
 use crate::backend::{Backend, Connection, IdleLookup};
 use crate::service::Service;
@@ -15,14 +15,14 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 
-/// Time between two rounds.
+/// The interval between two rounds of maintenance.
 const INTERVAL: Duration = Duration::from_millis(250);
-/// How long a load report may take.
+/// The time-out of a load report, including a new connection for it.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(600);
-/// The largest load report, in bytes.
+/// The largest body of a load report, in bytes.
 const MAX_REPORT_BYTES: usize = 64 << 10;
 
-/// Works for as long as the process runs.
+/// Runs maintenance for as long as the process runs.
 pub async fn run(state: Rc<DataPlaneState>) {
     let mut ticks = interval(INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -1,4 +1,4 @@
-//! A data plane's metrics.
+//! The metrics of the data plane.
 
 use crate::request_error::RequestError;
 use crate::retry_safety::ExecutionEvidence;
@@ -29,20 +29,20 @@
 impl Default for DataPlaneMetrics {
     fn default() -> Self {
         let mut registry = Registry::with_prefix("marlwinch_data_plane");
-        let requests = counter(&mut registry, "requests", "Requests taken");
-        let retries = counter(&mut registry, "repeats", "Sends that the budget of retries paid for");
+        let requests = counter(&mut registry, "requests", "Requests received from clients");
+        let retries = counter(&mut registry, "repeats", "Retries, which are limited by the retry budget");
         let active_sequence =
-            gauge(&mut registry, "in_force_sequence", "Sequence of the configuration in force");
-        let list_version = gauge(&mut registry, "list_version", "Version of the list of backends");
+            gauge(&mut registry, "in_force_sequence", "Sequence number of the active configuration");
+        let list_version = gauge(&mut registry, "list_version", "Version of the current list of backends");
         let (local_responses, attempts) = (Family::default(), Family::default());
         registry.register(
             "own_answers",
-            "Requests that no backend answered, by cause",
+            "Error responses that the node made itself, by cause",
             local_responses.clone(),
         );
         registry.register(
             "sends",
-            "Sends to backends, by what they prove of their request",
+            "Attempts at backends, by what they prove about the execution of the request",
             attempts.clone(),
         );
         DataPlaneMetrics {
@@ -63,7 +63,7 @@
         self.requests.inc();
     }
 
-    /// Counts a response that the node made itself.
+    /// Counts an error response that the node made itself.
     pub fn local_response(&self, error: RequestError) {
         let cause = match error {
             RequestError::Malformed => "bad",
--- a/crates/data-plane/src/readiness.rs
+++ b/crates/data-plane/src/readiness.rs
@@ -1,4 +1,4 @@
-//! Responds to the platform's checks whether the node accepts clients.
+//! The endpoint for the platform's readiness checks.
 
 use crate::state::DataPlaneState;
 use bytes::Bytes;
@@ -14,9 +14,10 @@
 use tokio::time::{sleep, timeout};
 
 const PATH: &str = "/api/ready";
-/// The longest that a connection of the platform lasts. It checks each second, on one connection or on new ones.
+/// The longest duration of a connection. The platform checks each second, on the same connection or on new
+/// ones.
 const MAX_CONNECTION_TIME: Duration = Duration::from_secs(60);
-/// How long nothing is accepted after an error.
+/// The pause after an error of `accept`.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// Serves for as long as the process runs.
@@ -25,7 +26,7 @@
         match listener.accept().await {
             Ok((stream, _)) => drop(spawn_local(serve_connection(state.clone(), stream))),
             Err(error) => {
-                log::warn!("readiness: accept: {error}");
+                log::warn!("readiness: cannot accept a connection: {error}");
                 sleep(ACCEPT_BACKOFF).await;
             }
         }
@@ -47,6 +48,6 @@
     });
     let served = hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     if let Ok(Err(error)) = timeout(MAX_CONNECTION_TIME, served).await {
-        log::debug!("readiness: a connection ended: {error}");
+        log::debug!("readiness: connection failed: {error}");
     }
 }
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -1,5 +1,5 @@
-//! A client's request: its head matched against the active configuration, and what of it a backend gets. Reads no body and
-//! sends nothing.
+//! A client's request: matches its head against the active configuration, and determines the headers that a
+//! backend gets. Reads no body and sends nothing.
 
 use crate::header_names::{
     DEADLINE, EXPECTED_INSTANCE, INSTANCE, LOAD, MODEL, NOT_EXECUTED, PRIORITY, PROMPT_PREFIX, SIGNATURE,
@@ -22,15 +22,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// The scheme of the `Authorization` header that carries a tenant's key.
 const KEY_SCHEME: &str = "token ";
-/// Priority of a request without a tenant.
+/// The priority of a request without a tenant, the lowest.
 const NO_TENANT_PRIORITY: u8 = 9;
 
-/// The route and the tenant that a head matched.
+/// The route and the tenant that a request's head matches.
 pub struct RouteMatch {
-    /// The route.
+    /// The route for the head's host and path.
     pub route: Arc<Route>,
-    /// The tenant that owns the request's key.
+    /// The tenant that owns the key in the head; `None` without a valid key.
     pub tenant: Option<Arc<Tenant>>,
 }
 
@@ -38,7 +39,8 @@
     /// Matches a head against the active configuration.
     ///
     /// # Errors
-    /// The node has no configuration, the head names no host, no route matches, or the key is missing or unknown.
+    /// The node has no configuration, the head names no host, no route matches, or the key is
+    /// missing or unknown.
     pub fn new(state: &DataPlaneState, head: &Parts) -> Result<Self, RequestError> {
         let no_configuration = || RequestError::Unavailable(state.startup_retry_after());
         let active = state.active_configuration().ok_or_else(no_configuration)?;
@@ -52,7 +54,7 @@
     }
 }
 
-/// The host that a request is for, without its port.
+/// The host that a request is for, without user information and port. `None` if the head names none.
 fn requested_host(head: &Parts) -> Option<String> {
     let from_header = head.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let host = head.uri.authority().map(|authority| authority.as_str()).or(from_header)?;
@@ -73,30 +75,30 @@
 
 /// A complete request that is to be forwarded.
 pub struct ProxyRequest {
-    /// Its method.
+    /// As the client sent it.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub target: PathAndQuery,
-    /// The headers that a backend gets, all but those that an attempt adds.
+    /// The headers that a backend gets, except those that an attempt adds.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete body.
     pub body: Bytes,
-    /// Its route.
+    /// The route that the head matches.
     pub route: Arc<Route>,
-    /// Its service.
+    /// The service that the route's traffic split selected.
     pub service: Rc<Service>,
-    /// Its tenant.
+    /// `None` for a request without a valid key.
     pub tenant: Option<Arc<Tenant>>,
-    /// Its description for the choice of a backend, at `received_at`.
+    /// The properties for the selection of a backend. Times in it count from `received_at`.
     pub shape: RequestShape,
-    /// When its head arrived.
+    /// When the head arrived.
     pub received_at: Instant,
-    /// When its client stops waiting, or its route's time-out is over.
+    /// When the client stops waiting or the route's time-out ends, whichever is earlier.
     pub deadline: Instant,
 }
 
 impl ProxyRequest {
-    /// Makes a request from its head and body.
+    /// Builds a request from its head and body.
     ///
     /// # Errors
     /// The route names no service.
@@ -109,10 +111,11 @@
     ) -> Result<Self, RequestError> {
         let RouteMatch { route, tenant } = matched;
         let service = state.service(select_service(state, &route).ok_or(RequestError::NoRoute)?);
-        let requested =
+        let client_timeout =
             numeric_header(&head.headers, &DEADLINE).map(|ms| Duration::from_secs_f64(ms / 1000.0));
-        let longest = Duration::from_millis(route.timeout_ms);
-        let deadline = received_at + requested.map_or(longest, |requested| requested.min(longest));
+        let route_timeout = Duration::from_millis(route.timeout_ms);
+        let timeout = client_timeout.map_or(route_timeout, |timeout| timeout.min(route_timeout));
+        let deadline = received_at + timeout;
         let shape = request_shape(&head.headers, &route, tenant.as_deref(), deadline - received_at);
         let target = head.uri.path_and_query().cloned().unwrap_or(PathAndQuery::from_static("/"));
         let headers = forwarded_headers(head.headers, tenant.as_deref());
@@ -131,7 +134,7 @@
         })
     }
 
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub fn is_idempotent(&self) -> bool {
         match self.route.route_type {
             RouteType::Safe => true,
@@ -140,17 +143,17 @@
         }
     }
 
-    /// Whether its stream may be resumed at another backend.
+    /// Whether the response is a stream that may be resumed at another backend.
     pub fn is_resumable(&self) -> bool {
         self.route.route_type == RouteType::Streaming && self.route.stream_resume
     }
 
-    /// The time within which its response has its full value.
+    /// The time from `received_at` by which the response, or the first event of a stream, should arrive.
     pub fn latency_target(&self) -> Duration {
         self.shape.latency_target
     }
 
-    /// What it costs its tenant, in the unit of the tenant's limit.
+    /// The cost of the request in the unit of its tenant's limit; 0 without a tenant.
     pub fn quota_cost(&self) -> f64 {
         let tokens = u64::from(self.shape.prompt_tokens) + u64::from(self.shape.output_tokens);
         let tokens = Some(tokens).filter(|_| self.headers.contains_key(TOKEN_USAGE));
@@ -158,7 +161,7 @@
     }
 }
 
-/// The service that a request of a route is sent to: drawn by weight where there are several.
+/// Selects the service for a request: at random by weight if the route splits its traffic among several.
 fn select_service<'r>(state: &DataPlaneState, route: &'r Route) -> Option<&'r str> {
     let total: u64 = route.traffic_split.iter().map(|share| share.weight).sum();
     if total == 0 {
@@ -208,8 +211,8 @@
     }
 }
 
-/// The headers that a backend gets. Those that the node sets itself are removed from what the client sent, and the key is
-/// not forwarded.
+/// The headers that a backend gets: those of the client without hop-by-hop headers, the tenant's key, and the
+/// headers that only the node or a backend may set.
 fn forwarded_headers(headers: HeaderMap, tenant: Option<&Tenant>) -> HeaderMap {
     let mut headers = strip_hop_by_hop(headers);
     let reserved = [TENANT, EXPECTED_INSTANCE, PRIORITY, LOAD, NOT_EXECUTED, SIGNATURE, INSTANCE];
--- a/crates/data-plane/src/request_attempts.rs
+++ b/crates/data-plane/src/request_attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: whether another may be made, at which backend, and the error when none may.
+//! The attempts of one request: whether another one may be made, at which backend, and the error if none may.
 
 use crate::attempt::{AttemptResult, BackendRequest, BackendResponse, send};
 use crate::backend::Backend;
@@ -16,53 +16,54 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// The node responds itself so long before the client's deadline.
+/// How long before the client's deadline the node gives up and responds itself.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
-/// A request with less time than this is not sent: a backend could not serve it.
+/// No attempt is made with less time than this before the deadline, as no backend could respond in it.
 const MIN_REMAINING: Duration = Duration::from_millis(50);
-/// How long the rest of a discarded response is read, so that its connection can be reused.
+/// How long the body of a discarded response is read, so that the connection can be reused.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(200);
-/// The largest rest of a discarded response that is read, in bytes.
+/// The largest body of a discarded response that is read, in bytes.
 const MAX_DISCARDED_BYTES: usize = 64 << 10;
 
 /// A response that is to be forwarded to the client.
 pub struct StartedResponse {
-    /// Its head, with the body to come.
+    /// The head, and the body of which nothing was read yet.
     pub response: BackendResponse,
-    /// Its attempt.
+    /// The attempt to which the backend responds.
     pub attempt: InFlightAttempt,
-    /// The backend that sends it.
+    /// The backend that responds.
     pub backend: Rc<Backend>,
 }
 
-/// The backend that was chosen for an attempt.
+/// The backend that was selected for an attempt.
 struct SelectedBackend {
     attempt: InFlightAttempt,
     backend: Rc<Backend>,
-    /// The value of the `Priority` header, 0 first.
+    /// The value of the `Priority` header, from 0 (most urgent) to 9.
     urgency: u8,
 }
 
 /// The attempts of one request.
 pub struct RequestAttempts {
     state: Rc<DataPlaneState>,
-    /// The request.
+    /// The request that is sent, with the client's deadline.
     pub request: Rc<ProxyRequest>,
+    /// The backends that were selected before, which are not selected again.
     attempted: Vec<BackendId>,
     history: AttemptHistory,
 }
 
 impl RequestAttempts {
-    /// Those of a request that was not sent yet.
+    /// Without any attempt yet.
     pub fn new(state: Rc<DataPlaneState>, request: Rc<ProxyRequest>) -> Self {
         RequestAttempts { state, request, attempted: Vec::new(), history: AttemptHistory::default() }
     }
 
-    /// Sends the request until there is a response to be forwarded. `resume_after` is the id of the last event that the
-    /// client has of a stream that is resumed.
+    /// Makes attempts until one has a response that is to be forwarded. `resume_after` is the id of the last
+    /// event that the client has received, for a stream that is resumed.
     ///
     /// # Errors
-    /// No other attempt may be made.
+    /// No further attempt may be made.
     pub async fn next_response(
         &mut self,
         resume_after: Option<&str>,
@@ -95,12 +96,12 @@
         }
     }
 
-    /// Whether a stream of the request may be resumed at another backend.
+    /// Whether the response stream may be resumed at another backend.
     pub fn may_resume(&self) -> bool {
         self.state.policy.retries.resume_streams && self.request.is_resumable()
     }
 
-    /// When the node responds itself at the latest.
+    /// When the node gives up and responds itself.
     pub fn response_deadline(&self) -> Instant {
         self.request.deadline - RESPONSE_MARGIN
     }
@@ -129,19 +130,19 @@
         send(backend, request.service.max_connections(), &self.state, &backend_request).await
     }
 
-    /// When an attempt is abandoned.
+    /// When an attempt is abandoned: at its own time-out if the request may then be sent to another backend.
     fn attempt_deadline(&self) -> Instant {
-        let last = self.response_deadline();
-        let is_safe = self.request.is_idempotent() && !self.request.is_resumable();
-        if !is_safe || !self.may_retry() {
-            return last;
+        let response_deadline = self.response_deadline();
+        let has_own_timeout = self.request.is_idempotent() && !self.request.is_resumable();
+        if !has_own_timeout || !self.may_retry() {
+            return response_deadline;
         }
         let policy = &self.state.policy.retries;
         let timeout = self.request.latency_target().mul_f64(policy.timeout_factor).max(policy.min_timeout);
-        last.min(Instant::now() + timeout)
+        response_deadline.min(Instant::now() + timeout)
     }
 
-    /// Whether the operator's limits allow a retry.
+    /// Whether the policy, the route's limit on attempts, the deadline and the retry budget allow a retry.
     fn may_retry(&self) -> bool {
         let request = &self.request;
         if !self.state.policy.retries.enabled {
@@ -151,6 +152,7 @@
         self.history.has_attempts_left(self.retry_policy()) && has_time && request.service.has_retry_budget()
     }
 
+    /// Selects the backend for the next attempt. Charges the attempt to the retry budget if it is a retry.
     fn select_backend(&mut self) -> Result<SelectedBackend, RequestError> {
         let request = self.request.clone();
         let is_retry = self.history.has_reached_backend();
@@ -184,7 +186,7 @@
         }
     }
 
-    /// The request's description now that some of its time has passed.
+    /// The properties of the request with the times that remain now.
     fn current_shape(&self, remaining: Duration) -> routing::RequestShape {
         let mut shape = self.request.shape.clone();
         shape.latency_target = shape.latency_target.saturating_sub(self.request.received_at.elapsed());
@@ -192,9 +194,10 @@
         shape
     }
 
-    /// The error where no other attempt is made.
+    /// The error for the client if no further attempt is made. `retry_after` is given if the selection
+    /// rejected the request.
     fn final_error(&self, retry_after: Option<Duration>) -> RequestError {
-        // Without a list of backends a rejection says nothing of their load.
+        // Without a list of backends, the rejection is due to the node's start and not to load.
         let retry_after =
             if self.state.has_backend_list() { retry_after } else { Some(self.state.startup_retry_after()) };
         let is_late = Instant::now() + MIN_REMAINING >= self.request.deadline;
@@ -223,7 +226,7 @@
     headers
 }
 
-/// What an attempt that proved this says of its backend.
+/// The outcome for the selection of backends of an attempt without a usable response.
 fn outcome(evidence: ExecutionEvidence) -> Outcome {
     match evidence {
         ExecutionEvidence::NotWritten => Outcome::NotConnected,
@@ -233,13 +236,13 @@
     }
 }
 
-/// Whether another backend might do better.
+/// Whether a response with this status is a failure that another backend may not have.
 fn is_failure(status: StatusCode) -> bool {
     let is_rejection = [StatusCode::REQUEST_TIMEOUT, StatusCode::TOO_MANY_REQUESTS].contains(&status);
     status.is_server_error() || is_rejection
 }
 
-/// Reads the rest of a response that is not forwarded, and stores its connection for reuse.
+/// Reads the body of a response that is not forwarded, and then stores the connection for reuse.
 fn discard(response: BackendResponse, backend: Rc<Backend>) {
     use http_body_util::{BodyExt, Limited};
     let BackendResponse { headers, body, connection, .. } = response;
--- a/crates/data-plane/src/request_body.rs
+++ b/crates/data-plane/src/request_body.rs
@@ -1,4 +1,5 @@
-//! Reads the body of a client's request into memory, within the limits of the operator and of the node.
+//! Reads the body of a client's request into memory, within the operator's limit on its size and the node's
+//! limit on the memory of all bodies.
 
 use crate::request_error::RequestError;
 use crate::state::DataPlaneState;
@@ -10,15 +11,16 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{Instant, timeout_at};
 
-/// When a client should retry whose body exceeds the memory that is left.
+/// When a client should retry if there is not enough memory left for its request's body.
 const MEMORY_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// Memory reserved at first for a body of unknown length, in KiB.
+/// The memory that is reserved initially for a body of unknown length, in KiB.
 const CHUNKED_BODY_KIB: u32 = 16;
 
-/// Reads a complete body of at most `max_bytes`, and reserves memory for it until the permit is dropped.
+/// Reads a complete body of at most `max_bytes`, and reserves memory for it until the returned permit is
+/// dropped.
 ///
 /// # Errors
-/// The body is too large, arrives too slowly or breaks, or the node has no memory left for it.
+/// The body is too large, arrives too slowly or ends early, or not enough memory is left for it.
 pub async fn read_body(
     state: &DataPlaneState,
     mut body: Incoming,
--- a/crates/data-plane/src/request_error.rs
+++ b/crates/data-plane/src/request_error.rs
@@ -1,4 +1,4 @@
-//! The errors of requests, and the responses that the node makes of them itself.
+//! Errors of requests, and the responses by which the node reports them.
 
 use crate::response_body::ResponseBody;
 use bytes::Bytes;
@@ -6,31 +6,31 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// Why a request gets no response of a backend.
+/// Why the node responds to a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestError {
-    /// The request is ambiguous, or names no host.
+    /// The request's framing is ambiguous, its body is broken, or it names no host.
     Malformed,
-    /// Its key is not known, or it has none.
+    /// The route requires a key, and the request has none or an unknown one.
     Unauthorized,
-    /// No route matches it.
+    /// No route matches the request, or the route has no service.
     NoRoute,
-    /// Its body did not arrive in time. It has not run.
+    /// The request's body did not arrive in time. The request has not run.
     BodyTimeout,
-    /// Its body is longer than the configuration allows.
+    /// The request's body is longer than the configuration allows.
     BodyTooLarge,
-    /// Its tenant's quota is used up; the client may retry after this time. It has not run.
+    /// The tenant's quota is used up. The request has not run, and the client may retry after this time.
     QuotaExceeded(Duration),
-    /// No backend accepts it now; the client may retry after this time. It has not run.
+    /// No backend accepts the request now. It has not run, and the client may retry after this time.
     Unavailable(Duration),
-    /// A backend failed; it may have run.
+    /// A backend failed. The request may have run.
     BackendFailed,
-    /// No response arrived in time; it may have run.
+    /// No response arrived in time. The request may have run.
     BackendTimeout,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// The HTTP status by which the error is reported.
     pub fn status(self) -> StatusCode {
         match self {
             RequestError::Malformed => StatusCode::BAD_REQUEST,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Whether bytes that follow on the connection may be something else than a request.
+    /// Whether the connection has to be closed, since the next bytes on it may not be the start of a request.
     pub fn closes_connection(self) -> bool {
         matches!(self, RequestError::Malformed | RequestError::BodyTimeout | RequestError::BodyTooLarge)
     }
 
-    /// The response.
+    /// The response for the client, without a body. `Retry-After` is in seconds with three decimals.
     pub fn response(self) -> Response<ResponseBody> {
         let mut response = Response::new(ResponseBody::buffered(Bytes::new()));
         *response.status_mut() = self.status();
--- a/crates/data-plane/src/request_handler.rs
+++ b/crates/data-plane/src/request_handler.rs
@@ -1,4 +1,5 @@
-//! One request of a client: matched, read, admitted by its tenant's quota, forwarded, and answered.
+//! Handles one request of a client: matches it, reads its body, has it admitted by the tenant's quota, and
+//! forwards it.
 
 use crate::request::{ProxyRequest, RouteMatch};
 use crate::request_attempts::RequestAttempts;
@@ -16,12 +17,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A client that does not read its response is dropped so long after its deadline. Frees the backend's slot.
+/// How long after the deadline of a streamed response a client that does not read it is dropped, which frees
+/// the slot of the backend.
 const SLOW_READER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The largest body that is read although its request is rejected, in bytes.
+/// The largest body that is read of a request that is rejected, so that its connection can be kept, in bytes.
 const MAX_REJECTED_BODY_BYTES: u64 = 64 << 10;
 
-/// Makes the response to one request.
+/// Handles one request and returns the response for its client.
 pub async fn handle(
     state: &Rc<DataPlaneState>,
     connection: &Rc<ConnectionState>,
@@ -32,7 +34,7 @@
     state.metrics.request_received();
     let result = match connection.heads.fault() {
         Some(fault) => {
-            log::debug!("a request is rejected: {fault}");
+            log::debug!("request rejected: {fault}");
             Err(RequestError::Malformed)
         }
         None => proxy(state, connection, request).await,
@@ -40,7 +42,7 @@
     if let Err(error) = &result {
         state.metrics.local_response(*error);
     }
-    // After a chunked body heads are not scanned; a request on a closing connection is the last there.
+    // The connection can't be kept after a chunked body, since the heads that follow it are not checked.
     let is_last = state.shutting_down.get() || connection.closing_since.get().is_some() || is_chunked;
     let closes = is_last || result.as_ref().is_err_and(|error| error.closes_connection());
     let mut response = result.unwrap_or_else(RequestError::response);
@@ -48,9 +50,9 @@
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     if let Some(deadline) = response.body().deadline() {
-        let end = StreamDeadline::default();
-        end.bring_forward(deadline + SLOW_READER_TIMEOUT);
-        connection.response_deadline.replace(Some(end));
+        let read_deadline = StreamDeadline::default();
+        read_deadline.bring_forward(deadline + SLOW_READER_TIMEOUT);
+        connection.response_deadline.replace(Some(read_deadline));
     }
     response.body_mut().attach(busy);
     response
@@ -69,7 +71,7 @@
     }
     let (body, memory) = read_body(state, body, state.client_limits().max_body_bytes).await?;
     connection.mark_request_complete();
-    // Matched again: another configuration may have become active while the body arrived.
+    // Matched again, as another configuration may have become active while the body arrived.
     let matched = RouteMatch::new(state, &head)?;
     let request = ProxyRequest::new(state, matched, head, body, received_at)?;
     request.service.record_request();
@@ -86,12 +88,12 @@
     Ok(response)
 }
 
-/// Whether a body is too large to be read only to keep its connection.
+/// Whether a body is too large to be read just so that the connection can be kept.
 fn is_large(body: &Incoming) -> bool {
     body.size_hint().upper().is_none_or(|upper| upper > MAX_REJECTED_BODY_BYTES)
 }
 
-/// The response to a request whose body is not read, the last one on its connection.
+/// The response to a request whose body is not read. It is the last one on the connection.
 fn rejection_without_body(error: RequestError) -> Response<ResponseBody> {
     let mut response = error.response();
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/data-plane/src/response.rs
+++ b/crates/data-plane/src/response.rs
@@ -1,4 +1,5 @@
-//! A client's response made from a backend's: buffered, streamed as it arrives, or resumed at another backend.
+//! Forwards a backend's response to the client: buffered if it is short, streamed otherwise, and resumed at
+//! another backend if a stream breaks off.
 
 use crate::backend::{Backend, Connection};
 use crate::event_stream::EventSplitter;
@@ -19,7 +20,7 @@
 
 /// The largest response that is buffered until it is complete, in bytes. A larger one is streamed.
 const MAX_BUFFERED_BYTES: usize = 64 << 10;
-/// A stream is cut so long after its client's deadline.
+/// How long after the client's deadline a stream that is not complete is cut off.
 const STREAM_CUT_DELAY: Duration = Duration::from_millis(120);
 /// Statuses from which a client may conclude that its request has not run.
 const NOT_EXECUTED_STATUSES: [StatusCode; 4] = [
@@ -29,7 +30,7 @@
     StatusCode::SERVICE_UNAVAILABLE,
 ];
 
-/// Sends a request to backends until there is a response for its client.
+/// Makes attempts until there is a response for the client.
 ///
 /// # Errors
 /// No backend gave a response that could be forwarded.
@@ -42,7 +43,7 @@
     }
 }
 
-/// The body that a backend sends for one attempt.
+/// The body of a backend's response, with what is needed to end the attempt.
 struct BackendStream {
     body: Incoming,
     headers: HeaderMap,
@@ -53,7 +54,7 @@
     events: Option<EventSplitter>,
 }
 
-/// A response of which enough was read for it to be forwarded.
+/// A response of which enough was read to start forwarding it.
 struct ResponseStart {
     status: StatusCode,
     headers: HeaderMap,
@@ -61,32 +62,32 @@
 }
 
 enum StartedBody {
-    /// All of it.
     Complete(Bytes),
-    /// Its first bytes, and where the others come from.
+    /// The first bytes, and the stream of the others.
     Streaming(Bytes, Box<BackendStream>),
 }
 
 /// The result of reading from a backend's body.
 enum ReadResult {
-    /// Bytes to be forwarded.
+    /// Bytes to forward; empty if they do not complete an event.
     Data(Bytes),
     /// The body is complete.
     Complete,
-    /// The connection broke.
+    /// The connection failed.
     Broken,
     /// The deadline has passed.
     TimedOut,
 }
 
-/// Reads the first bytes of a body, or all of it. `None` where the connection broke and another attempt may be made.
+/// Reads a body until it is complete, or until it has to be streamed. `None` if the connection failed, after
+/// which the caller may make another attempt.
 async fn read_start(
     attempts: &mut RequestAttempts,
     started: StartedResponse,
 ) -> Result<Option<ResponseStart>, RequestError> {
     let status = started.response.status;
     let is_streamed = status.is_success() && is_event_stream(&started.response.headers);
-    let says_not_executed = NOT_EXECUTED_STATUSES.contains(&status);
+    let implies_not_executed = NOT_EXECUTED_STATUSES.contains(&status);
     let events = (is_streamed && attempts.may_resume()).then(EventSplitter::default);
     let mut stream = BackendStream::new(started, events);
     let headers = stream.headers.clone();
@@ -101,7 +102,7 @@
             }
             ReadResult::Broken => {
                 stream.attempt.end(Outcome::Broken, None);
-                // Whether another attempt may be made is decided when it is started.
+                // The next call of `next_response` decides whether another attempt may be made.
                 return Ok(None);
             }
             ReadResult::TimedOut => {
@@ -110,13 +111,13 @@
             }
         }
         let is_large = buffered.len() > MAX_BUFFERED_BYTES;
-        if !buffered.is_empty() && (is_streamed || is_large) && !says_not_executed {
+        if !buffered.is_empty() && (is_streamed || is_large) && !implies_not_executed {
             let body = StartedBody::Streaming(buffered.freeze(), Box::new(stream));
             return Ok(Some(ResponseStart { status, headers, body }));
         }
     }
-    // The backend has not proved what the client would conclude.
-    if says_not_executed && !attempts.request.is_idempotent() {
+    // The client would conclude that its request has not run, which the backend has not proved.
+    if implies_not_executed && !attempts.request.is_idempotent() {
         return Err(RequestError::BackendFailed);
     }
     Ok(Some(ResponseStart { status, headers, body: StartedBody::Complete(buffered.freeze()) }))
@@ -125,7 +126,7 @@
 impl ResponseStart {
     fn into_response(self, attempts: RequestAttempts) -> Response<ResponseBody> {
         let mut headers = self.headers;
-        // A response to HEAD has the length of the body that it leaves out.
+        // hyper sets the length itself, except for HEAD: there it is the length that the body would have.
         let is_head = attempts.request.method == Method::HEAD;
         let length = headers.remove(header::CONTENT_LENGTH).filter(|_| is_head);
         let body = match self.body {
@@ -143,7 +144,7 @@
     }
 }
 
-/// Forwards a body as it arrives, and resumes it where it breaks and may be resumed.
+/// Forwards a body as it arrives. If it breaks off, resumes it at another backend or truncates the response.
 async fn forward_body(
     mut attempts: RequestAttempts,
     mut stream: BackendStream,
@@ -185,12 +186,13 @@
     }
 }
 
-/// Resumes a stream after the last complete event that was forwarded.
+/// Resumes a stream at another backend, after the last complete event that was forwarded. `None` if that is
+/// not possible.
 async fn resume(attempts: &mut RequestAttempts, broken: BackendStream) -> Option<BackendStream> {
     let BackendStream { attempt, events, backend, .. } = broken;
     attempt.end(Outcome::Broken, None);
     let last_event_id = events?.last_event_id()?.to_owned();
-    log::info!("a stream of backend {} broke after event {last_event_id}", backend.id.0);
+    log::info!("backend {}: stream failed after event {last_event_id}, resuming it elsewhere", backend.id.0);
     loop {
         let started = attempts.next_response(Some(&last_event_id)).await.ok()?;
         if !started.response.status.is_success() || !is_event_stream(&started.response.headers) {
@@ -210,7 +212,7 @@
         BackendStream { body, headers, connection, backend, attempt, load, events }
     }
 
-    /// The next bytes that may be forwarded; empty where no complete event has arrived.
+    /// Reads the next part of the body.
     async fn read(&mut self, deadline: Instant) -> ReadResult {
         if self.body.is_end_stream() {
             return ReadResult::Complete;
@@ -219,11 +221,11 @@
             Err(_) => ReadResult::TimedOut,
             Ok(None) => ReadResult::Complete,
             Ok(Some(Err(error))) => {
-                log::debug!("backend {}: a response broke: {error}", self.backend.id.0);
+                log::debug!("backend {}: response failed before its end: {error}", self.backend.id.0);
                 ReadResult::Broken
             }
             Ok(Some(Ok(frame))) => {
-                // Trailers are not forwarded: no client has asked for them.
+                // Trailers are not forwarded.
                 let bytes = frame.into_data().unwrap_or_default();
                 self.attempt.body_received();
                 ReadResult::Data(match &mut self.events {
@@ -234,11 +236,12 @@
         }
     }
 
+    /// Takes the bytes after the last complete event.
     fn take_partial_event(&mut self) -> Bytes {
         self.events.as_mut().map(EventSplitter::take_partial).unwrap_or_default()
     }
 
-    /// Ends the attempt after a complete response.
+    /// Ends the attempt after a complete response, and stores the connection for reuse.
     fn finish(self, status: StatusCode) {
         let outcome = if status.is_server_error() { Outcome::Failed } else { Outcome::Served };
         self.attempt.end(outcome, self.load);
--- a/crates/data-plane/src/response_body.rs
+++ b/crates/data-plane/src/response_body.rs
@@ -10,13 +10,14 @@
 use tokio::sync::mpsc::{Receiver, Sender, channel};
 use tokio::time::Instant;
 
-/// A response that ended early. Its connection is broken, so that the response does not look complete.
+/// The error of a body whose backend's response ended early. hyper then aborts the client's connection, so
+/// that the truncated response does not look complete.
 #[derive(Debug)]
 pub struct TruncatedBody;
 
 impl fmt::Display for TruncatedBody {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("the backend's response ended early")
+        f.write_str("response of the backend ended before its body was complete")
     }
 }
 
@@ -25,7 +26,7 @@
 /// The body of a response to a client.
 pub struct ResponseBody {
     kind: BodyKind,
-    /// Dropped when the response is over.
+    /// Dropped with the body, when the response was sent or its connection has ended.
     guards: Vec<Box<dyn Any>>,
 }
 
@@ -40,17 +41,17 @@
     deadline: Instant,
 }
 
-/// Takes the chunks of a streamed response.
+/// The sender by which a producer passes the chunks of a streamed response.
 pub type ChunkSender = Sender<Result<Bytes, TruncatedBody>>;
 
 impl ResponseBody {
-    /// A body of these bytes.
+    /// A body with a known length.
     pub fn buffered(bytes: Bytes) -> Self {
         ResponseBody { kind: BodyKind::Buffered(Full::new(bytes)), guards: Vec::new() }
     }
 
-    /// A body that `producer` sends, complete by `deadline` if its client reads. The producer is polled only while the client
-    /// reads, and dropped with the client's connection.
+    /// A body whose chunks `producer` sends. The producer completes by `deadline` if the client reads. It is
+    /// polled only when the client's connection takes more, and dropped with that connection.
     pub fn streamed<P: Future<Output = ()> + 'static>(
         deadline: Instant,
         producer: impl FnOnce(ChunkSender) -> P,
@@ -60,7 +61,7 @@
         ResponseBody { kind: BodyKind::Streamed(streamed), guards: Vec::new() }
     }
 
-    /// When a streamed body is complete, if its client reads.
+    /// When a streamed body is complete if its client reads; `None` for a buffered one.
     pub fn deadline(&self) -> Option<Instant> {
         match &self.kind {
             BodyKind::Buffered(_) => None,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Drops `guard` only when the response is over.
+    /// Keeps `guard` until the body is dropped.
     pub fn attach(&mut self, guard: impl Any) {
         self.guards.push(Box::new(guard));
     }
--- a/crates/data-plane/src/retry_safety.rs
+++ b/crates/data-plane/src/retry_safety.rs
@@ -1,45 +1,46 @@
-//! What the end of an attempt proves about the execution of its request, and whether the request may be sent once more.
-//! The only place that decides it. No I/O, no clock.
+//! Decides what the end of an attempt proves about the execution of its request, and whether another attempt
+//! may be made. No other module decides this. No I/O, no clock.
 //!
-//! A request that may have run is retried only where its route is idempotent. Two things alone prove that it has not run:
-//! not a byte of it was written, or its backend says so (421, or `X-Not-Executed` on a response to it that is no success).
-//! A time-out, a reset, a close and a response to another request prove nothing.
+//! A request that may have run is retried only if its route is idempotent. Only two things prove that it has
+//! not run: no byte of it was written, or its backend states it, by status 421 or by `X-Not-Executed` on a
+//! response to this request that is not a success. A time-out, a reset, a closed connection or a response to
+//! another request prove nothing.
 
 use hyper::StatusCode;
 
-/// Attempts of one request that may end without a byte written.
+/// The number of attempts without a byte written after which a request fails.
 const MAX_UNWRITTEN_ATTEMPTS: u32 = 3;
 
 /// What an attempt proves about the execution of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ExecutionEvidence {
-    /// Nothing of the request was written, so it has not run.
+    /// No byte of the request was written, so it has not run.
     NotWritten,
-    /// The backend says that it has not run the request.
+    /// The backend states that it has not run the request.
     Rejected,
-    /// The backend is another instance than the expected one, and has not run the request.
+    /// Another instance than the expected one responded, and has not run the request.
     Misdirected,
     /// The request may have run.
     MayHaveRun,
 }
 
-/// Which request a response belongs to, by the request id that it repeats.
+/// Which request a response belongs to, by the request id in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ResponseOwner {
-    /// The request of the attempt.
+    /// The ids are equal, or the request has none.
     ThisRequest,
     /// The response has no id.
     Unknown,
-    /// Another request.
+    /// The response has another id.
     OtherRequest,
 }
 
 /// Whether an attempt has written any byte of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequestBytes {
-    /// Not a byte was written.
+    /// Nothing was passed to the system for sending.
     NoneWritten,
-    /// At least one byte was written.
+    /// At least one byte was, so that the backend may have received it.
     SomeWritten,
 }
 
@@ -48,20 +49,21 @@
 pub enum AttemptEnd {
     /// No response arrived before the attempt's deadline.
     TimedOut,
-    /// The connection broke, was reset or closed, or the bytes received are no response.
+    /// The connection failed or was closed, or what was received is not an HTTP response.
     ConnectionBroken,
     /// The head of a response arrived.
     Response {
-        /// Its status.
+        /// The status of the response.
         status: StatusCode,
-        /// Whether it has the header `X-Not-Executed`.
+        /// Whether the response has the header `X-Not-Executed`.
         not_executed: bool,
-        /// Which request it belongs to.
+        /// The request that the response belongs to.
         owner: ResponseOwner,
     },
 }
 
-/// What an attempt proves that has ended so.
+/// Determines what an attempt proves, from whether any byte of the request was written and how the attempt
+/// ended.
 pub fn execution_evidence(written: RequestBytes, end: AttemptEnd) -> ExecutionEvidence {
     match end {
         AttemptEnd::TimedOut | AttemptEnd::ConnectionBroken if written == RequestBytes::NoneWritten => {
@@ -80,25 +82,27 @@
     }
 }
 
-/// What a route allows.
+/// The retries that a route allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RetryPolicy {
-    /// Whether its requests may run more than once.
+    /// Whether requests may run more than once.
     pub idempotent: bool,
-    /// The most backends that one request may reach.
+    /// The most attempts of one request that may reach a backend.
     pub max_attempts: u32,
 }
 
 /// The attempts of one request so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct AttemptHistory {
+    /// Attempts that have reached a backend.
     written: u32,
+    /// Attempts without a byte written.
     unwritten: u32,
     may_have_run: bool,
 }
 
 impl AttemptHistory {
-    /// Adds an attempt by what it proved.
+    /// Adds an attempt that has ended.
     pub fn record(&mut self, evidence: ExecutionEvidence) {
         match evidence {
             ExecutionEvidence::NotWritten => self.unwritten += 1,
@@ -110,22 +114,23 @@
         }
     }
 
-    /// Whether the request may have run somewhere.
+    /// Whether the request may have run at any backend.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// Whether any attempt has reached a backend, so that the next one is a retry which the retry budget pays for.
+    /// Whether any attempt has reached a backend. The next one is then a retry, which counts against the
+    /// retry budget.
     pub fn has_reached_backend(&self) -> bool {
         self.written > 0
     }
 
-    /// Whether the route allows another attempt beyond those that have reached a backend.
+    /// Whether fewer attempts have reached a backend than the route allows.
     pub fn has_attempts_left(&self, policy: RetryPolicy) -> bool {
         self.written < policy.max_attempts
     }
 
-    /// Whether another attempt may be made.
+    /// Whether another attempt may be made. A first attempt is allowed even if the route's maximum is 0.
     pub fn allows_attempt(&self, policy: RetryPolicy) -> bool {
         let may_run = policy.idempotent || !self.may_have_run;
         let has_attempts_left = !self.has_reached_backend() || self.has_attempts_left(policy);
--- a/crates/data-plane/src/server.rs
+++ b/crates/data-plane/src/server.rs
@@ -13,28 +13,28 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, sleep_until, timeout};
 
-/// Time between two sweeps of the open connections.
+/// The interval between two checks of the open connections for time-outs.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// For how long the node goes on accepting after a termination signal: the platform checks each second whether it is ready
-/// and needs two misses.
+/// How long the node goes on accepting connections after a termination signal. The platform checks the
+/// readiness each second, and stops sending clients after two failed checks.
 const ACCEPT_GRACE: Duration = Duration::from_millis(2300);
-/// The part of the shutdown grace period that is left when the process ends whatever is open.
+/// How long before the end of the shutdown grace period the process exits even if connections are open.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
-/// Time between two checks whether all responses are complete, once the process shuts down.
+/// The interval between two checks for open connections during shutdown.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a connection may be idle before it is closed, once none is accepted any more.
+/// The idle time after which a connection is closed during shutdown, once no new ones are accepted.
 const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long the listen queue is read for, after the time for accepting is over.
+/// How long the node waits for another connection from the listen queue after the grace for accepting.
 const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(5);
-/// How long nothing is accepted after an error.
+/// The pause after an error of `accept`.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
-/// Sent to a client that connects when the limit of clients is reached.
+/// Sent to a client that connects when the maximum number of clients is reached.
 const REJECTION: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.3\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
 type Accepted = io::Result<(TcpStream, SocketAddr)>;
 
-/// Serves clients until `shutdown` completes and every accepted request has its response.
+/// Serves clients until `shutdown` completes, and then shuts down gracefully.
 pub async fn serve(state: &Rc<DataPlaneState>, listener: TcpListener, shutdown: impl Future<Output = ()>) {
     let connections = Rc::new(Connections::default());
     let mut shutdown = pin!(shutdown);
@@ -51,22 +51,24 @@
     shut_down(state, &connections, listener).await;
 }
 
+/// Goes on accepting for a while, and then waits until all connections have ended or the grace period is
+/// almost over.
 async fn shut_down(state: &Rc<DataPlaneState>, connections: &Rc<Connections>, listener: TcpListener) {
     let started_at = Instant::now();
     let grace = Duration::try_from_secs_f64(state.bounds.grace_s).unwrap_or_default();
-    let longest = grace.saturating_sub(EXIT_MARGIN);
+    let max_duration = grace.saturating_sub(EXIT_MARGIN);
     state.shutting_down.set(true);
-    log::info!("told to end: {} connections are open", connections.open.borrow().len());
-    accept_until(state, connections, &listener, started_at + ACCEPT_GRACE.min(longest / 2)).await;
+    log::info!("shutting down: {} connections open", connections.open.borrow().len());
+    accept_until(state, connections, &listener, started_at + ACCEPT_GRACE.min(max_duration / 2)).await;
     drop(listener);
-    while !connections.open.borrow().is_empty() && started_at.elapsed() < longest {
+    while !connections.open.borrow().is_empty() && started_at.elapsed() < max_duration {
         connections.close_after_responses(DRAIN_IDLE_TIMEOUT);
         sleep(DRAIN_POLL_INTERVAL).await;
     }
-    log::info!("ends with {} connections open", connections.open.borrow().len());
+    log::info!("exiting: {} connections open", connections.open.borrow().len());
 }
 
-/// Goes on accepting until `deadline`, and then accepts what is left in the listen queue.
+/// Accepts connections until `deadline`, and then those that are left in the listen queue.
 async fn accept_until(
     state: &Rc<DataPlaneState>,
     connections: &Rc<Connections>,
@@ -85,7 +87,8 @@
     }
 }
 
-/// Closes connections that were idle for too long, and drops those that do not complete a head or read a response.
+/// Closes connections that were idle for too long, and aborts those whose client does not complete a request
+/// head, does not close after its last response, or does not read a streamed response.
 fn sweep(state: &DataPlaneState, connections: &Connections) {
     let limits = state.client_limits();
     let idle_timeout = Duration::from_millis(limits.idle_timeout_ms);
@@ -105,18 +108,19 @@
     }
 }
 
-/// Serves an accepted connection in a task of its own, or rejects it where the limit of clients is reached.
+/// Serves an accepted connection in a task of its own, or rejects it if the maximum number of clients is
+/// reached.
 async fn accept(state: &Rc<DataPlaneState>, connections: &Rc<Connections>, accepted: Accepted) {
     let stream = match accepted {
         Ok((stream, _)) => stream,
         Err(error) => {
-            connections.accept_error_log.warn(|| format!("a client's connection was not accepted: {error}"));
+            connections.accept_error_log.warn(|| format!("cannot accept a client connection: {error}"));
             return sleep(ACCEPT_BACKOFF).await;
         }
     };
     if connections.open.borrow().len() >= state.max_clients {
         connections.evict();
-        // Nothing was read from the connection, so no request has run.
+        // Nothing was read from the connection, so that none of its requests has run.
         let _ = stream.try_write(REJECTION);
         return;
     }
--- a/crates/data-plane/src/service.rs
+++ b/crates/data-plane/src/service.rs
@@ -1,4 +1,4 @@
-//! One service at this node: its backends, the choice among them, and its retry budget.
+//! One service at this node: its backends, the selection among them, and its retry budget.
 
 use crate::backend::Backend;
 use http_transport::reuse_delay::ReuseDelay;
@@ -12,20 +12,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The longest reuse delay of a connection, where a backend sends bytes after its responses.
+/// The longest delay before an idle connection is reused, for backends that send bytes after the end of a
+/// response.
 const MAX_REUSE_DELAY: Duration = Duration::from_millis(25);
-/// Tokens in an event of a stream, where the operator does not say.
+/// The tokens in one event of a stream if the configuration does not state them.
 const DEFAULT_TOKENS_PER_EVENT: u32 = 1;
 
-/// The part of the operator's ratio that a node makes use of: nodes count for themselves, and windows slide.
-const PART_OF_RATIO: f64 = 0.75;
-/// Retries that a node may make in a window whatever its requests: a single failure is retried at a quiet hour too.
+/// The fraction of the configured retry ratio that a node uses. The margin covers the difference between each
+/// node's own sliding window and that of the fleet.
+const USED_RATIO_FRACTION: f64 = 0.75;
+/// The retries per window that a node may make beyond the ratio, so that a single failure is retried under
+/// low traffic too.
 const MIN_RETRIES_PER_WINDOW: f64 = 2.0;
 
-/// A node with fewer connections to a backend than this could not serve two requests at once.
+/// The least number of connections to a backend, so that a node can have two requests in flight there.
 const MIN_CONNECTIONS: usize = 2;
 
-/// This node's share of a backend's connections: `factor` times an even share.
+/// This node's share of the connections that a backend accepts from all nodes: `factor` times an even share.
 fn connection_share(max_connections: u64, nodes: u32, factor: f64) -> usize {
     let share = max_connections as f64 * factor / f64::from(nodes.max(1));
     (share as usize).clamp(MIN_CONNECTIONS, (max_connections as usize).max(MIN_CONNECTIONS))
@@ -33,26 +36,28 @@
 
 fn budget(bounds: &Bounds) -> RetryBudget {
     let window = Duration::try_from_secs_f64(bounds.budget_window_s).unwrap_or(Duration::from_secs(10));
-    RetryBudget::new(bounds.retry_budget_ratio * PART_OF_RATIO, window, MIN_RETRIES_PER_WINDOW)
+    RetryBudget::new(bounds.retry_budget_ratio * USED_RATIO_FRACTION, window, MIN_RETRIES_PER_WINDOW)
 }
 
-/// A service.
+/// The state of a service at this node.
 pub struct Service {
-    /// Its name.
+    /// The name in the configuration.
     pub name: String,
     connection_policy: Connections,
+    /// The origin of the times in `routing` and `budget`.
     started_at: Instant,
     routing: RefCell<routing::Service>,
     backends: RefCell<HashMap<BackendId, Rc<Backend>>>,
     budget: RefCell<RetryBudget>,
     reuse_delay: Rc<ReuseDelay>,
     max_connections: Cell<usize>,
-    /// Whether its backends are engines, which report their load on request.
+    /// Whether the backends are engines, which report their load on request.
     serves_load_reports: Cell<bool>,
 }
 
 impl Service {
-    /// A service without backends. `started_at` is the origin of its clock, `nodes` the number of frontend nodes.
+    /// A service without backends. `started_at` is any instant that is not in the future, `nodes` the number
+    /// of frontend nodes that share the backends.
     pub fn new(
         name: &str,
         started_at: Instant,
@@ -78,7 +83,7 @@
         self.started_at.elapsed()
     }
 
-    /// Applies what a configuration says of it.
+    /// Applies the service's entry in a configuration.
     pub fn reconfigure(&self, configured: &configuration::Service, nodes: u32) {
         let engine = configured.engine.as_ref().map(|engine| EngineSettings {
             slots: engine.slots,
@@ -96,23 +101,26 @@
         self.max_connections.set(max_connections);
     }
 
-    /// The most connections that this node opens to one of its backends.
+    /// The most connections that this node opens to one backend of the service.
     pub fn max_connections(&self) -> usize {
         self.max_connections.get()
     }
 
-    /// The backend of a listed instance: the known one, or a new one. `None` if its identity is no valid header value.
+    /// The backend for a listed instance: the present one if its address is unchanged, or a new one. `None`
+    /// if the instance id is not a valid header value.
     pub fn backend(&self, listed: &control_protocol::Backend, zone: &str) -> Option<Rc<Backend>> {
         let id = BackendId(listed.instance_id.as_str().into());
-        let known = self.backends.borrow().get(&id).filter(|known| known.address == listed.address).cloned();
-        if let Some(known) = known {
-            known.slow_start_remaining.set(Duration::from_millis(listed.cold_remaining_ms));
-            return Some(known);
+        let present =
+            self.backends.borrow().get(&id).filter(|present| present.address == listed.address).cloned();
+        if let Some(present) = present {
+            present.slow_start_remaining.set(Duration::from_millis(listed.cold_remaining_ms));
+            return Some(present);
         }
         Backend::new(id, listed, zone, self.reuse_delay.clone(), &self.connection_policy).map(Rc::new)
     }
 
-    /// Replaces the backends that accept new requests. All others get none from now on.
+    /// Replaces the backends that accept new requests. Those that are no longer among them get none from now
+    /// on.
     pub fn replace_backends(&self, backends: Vec<Rc<Backend>>) {
         let now = self.now();
         let entries = backends.iter().map(|backend| backend.routing_entry()).collect();
@@ -131,32 +139,34 @@
         self.backends.borrow().values().cloned().collect()
     }
 
-    /// A backend that accepts new requests.
+    /// The backend with this id, if it accepts new requests.
     pub fn get(&self, id: &BackendId) -> Option<Rc<Backend>> {
         self.backends.borrow().get(id).cloned()
     }
 
-    /// Counts a client's request for this service.
+    /// Counts a client's request to this service, by which the retry budget grows.
     pub fn record_request(&self) {
         self.budget.borrow_mut().record_request(self.now());
     }
 
-    /// Whether the retry budget could pay for a retry.
+    /// Whether the retry budget allows a retry now.
     pub fn has_retry_budget(&self) -> bool {
         self.budget.borrow_mut().has_capacity(self.now())
     }
 
-    /// Pays for a retry. Returns whether the retry budget allowed it.
+    /// Counts a retry if the retry budget allows it. Returns whether it does.
     pub fn spend_retry_budget(&self) -> bool {
         self.budget.borrow_mut().try_retry(self.now())
     }
 
-    /// Chooses a backend for a request that was sent to `attempted` before.
+    /// Selects a backend for a request, or rejects it. `attempted` are the backends that it was sent to
+    /// before.
     pub fn decide(&self, shape: &RequestShape, attempted: &[BackendId]) -> Decision {
         self.routing.borrow_mut().decide(self.now(), shape, attempted)
     }
 
-    /// The backends whose load report is due. Backends that are no engines would take it for a client's request.
+    /// The backends to request a load report of now. None unless they are engines, as others would handle it
+    /// as a client's request.
     pub fn due_load_reports(&self) -> Vec<Rc<Backend>> {
         if !self.serves_load_reports.get() {
             return Vec::new();
@@ -165,7 +175,7 @@
         due.iter().filter_map(|id| self.get(id)).collect()
     }
 
-    /// What has changed in the prompt index since the last call.
+    /// Takes the changes of the prompt index since the last call.
     pub fn index_changes(&self) -> Vec<control_protocol::IndexChange> {
         self.routing.borrow_mut().index_changes().iter().map(protocol_change).collect()
     }
@@ -175,7 +185,7 @@
         self.routing.borrow_mut().complete_index().iter().map(protocol_change).collect()
     }
 
-    /// Applies the findings of an audit. Those about backends of other services are ignored.
+    /// Applies the corrections of an audit. Those for backends of other services are ignored.
     pub fn correct_index(&self, changes: &[control_protocol::IndexChange]) {
         let backends = self.backends.borrow();
         let by_key: HashMap<u64, &BackendId> =
@@ -188,7 +198,7 @@
         }
     }
 
-    /// Applies the result of a load report that was requested at `requested_at`. `None` where none arrived.
+    /// Applies a load report that was requested at `requested_at`. `report` is `None` if none arrived.
     pub fn report_received(
         &self,
         backend: &BackendId,
@@ -205,7 +215,8 @@
     control_protocol::IndexChange { backend, block: change.block, tokens: change.tokens }
 }
 
-/// An attempt in flight, as the choice of backends counts it. Dropped before its end it was cancelled.
+/// An attempt that counts as in flight in the selection of backends. Counts as cancelled if it is dropped
+/// before [`InFlightAttempt::end`].
 pub struct InFlightAttempt {
     service: Rc<Service>,
     id: AttemptId,
@@ -213,24 +224,24 @@
 }
 
 impl InFlightAttempt {
-    /// An attempt that was decided on.
+    /// Wraps the attempt of a decision to forward a request.
     pub fn new(service: Rc<Service>, id: AttemptId) -> Self {
         InFlightAttempt { service, id, has_ended: false }
     }
 
-    /// Bytes of the response's body have arrived.
+    /// Records that bytes of the response's body have arrived.
     pub fn body_received(&self) {
         let service = &self.service;
         service.routing.borrow_mut().response_started(service.now(), self.id);
     }
 
-    /// The response's head has the load of the backend.
+    /// Records the load in the head of the response.
     pub fn load_received(&self, load: Load) {
         let service = &self.service;
         service.routing.borrow_mut().load_received(service.now(), self.id, load);
     }
 
-    /// The attempt has ended.
+    /// Records the end of the attempt, with the load in the head of its response, if any.
     pub fn end(mut self, outcome: Outcome, load: Option<Load>) {
         self.record_end(outcome, load);
     }
--- a/crates/data-plane/src/shutdown.rs
+++ b/crates/data-plane/src/shutdown.rs
@@ -1,10 +1,10 @@
-//! The signals that the platform sends to the process.
+//! Signals to the process.
 
 use std::io;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// A future that completes once the process receives a termination signal. On a hang-up the settings are only checked:
-/// nothing that this program uses of them changes while it runs.
+/// A future that completes when the process receives SIGTERM or SIGINT. On SIGHUP the settings are only
+/// checked, since the data plane uses none that may change while it runs.
 ///
 /// # Errors
 /// A signal handler could not be installed.
@@ -25,7 +25,7 @@
 
 fn check_settings() {
     match node_settings::Settings::from_environment() {
-        Ok(_) => log::info!("settings: read again"),
-        Err(error) => log::warn!("settings: not read again: {error}"),
+        Ok(_) => log::info!("settings: valid; changes take effect at the next start"),
+        Err(error) => log::warn!("settings: invalid: {error}"),
     }
 }
--- a/crates/data-plane/src/state.rs
+++ b/crates/data-plane/src/state.rs
@@ -1,5 +1,5 @@
-//! The state that all parts of a data plane share: the active configuration, the services and the limits. Applies the
-//! agent's messages; sends nothing to a backend.
+//! The shared state of the data plane: the active configuration, the services and the limits. Applies the
+//! agent's messages; sends nothing to backends.
 
 use crate::backend::{Backend, ConnectionLimit};
 use crate::metrics::DataPlaneMetrics;
@@ -23,54 +23,55 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::{Instant, timeout_at};
 
-/// Descriptors reserved for listeners, the agent's link, readiness checks, the runtime and the platform.
+/// File descriptors reserved for listeners, the agent's link, readiness checks, the runtime and the platform.
 const RESERVED_DESCRIPTORS: u64 = 260;
-/// Descriptors for connections that are assumed at least, however low the platform's limit is.
+/// The least number of file descriptors for connections, however low the platform's limit is.
 const MIN_CONNECTION_DESCRIPTORS: u64 = 64;
-/// Buffered request bodies may occupy this fraction of the memory: one in so many.
+/// Buffered request bodies may occupy the node's memory divided by this.
 const BODY_MEMORY_DIVISOR: u64 = 4;
-/// Drained instances that are remembered. Far more than a day has; bounds the memory.
+/// The most drained instances that are remembered, which is far more than drain in a day. Bounds the memory.
 const MAX_DRAINED_INSTANCES: usize = 20_000;
-/// Frontend nodes that are assumed to share the backends until the agent says how many there are.
+/// The number of frontend nodes that is assumed until the agent reports it.
 const ASSUMED_FRONTENDS: u32 = 6;
 
 /// The configuration that requests are matched against.
 pub struct ActiveConfiguration {
-    /// Its sequence number; higher is newer.
+    /// Higher for a newer configuration.
     pub sequence: ConfigurationSequence,
-    /// Its routes and tenants, indexed.
+    /// The configuration, with its routes and tenants indexed.
     pub table: RouteTable,
 }
 
-/// Shared state of a data plane.
+/// The shared state of the data plane.
 pub struct DataPlaneState {
-    /// Zone of the machine.
+    /// The zone of the machine.
     pub zone: String,
-    /// Bounds that the operators' rules set.
+    /// The operator's bounds on retries, quotas and the shutdown.
     pub bounds: Bounds,
-    /// Tunable parameters of the node's decisions.
+    /// The parameters of the node's decisions.
     pub policy: Policy,
-    /// Quotas of the tenants at this node.
+    /// The quotas of the tenants at this node.
     pub quotas: TenantQuotas,
-    /// Limit on connections to all backends.
+    /// The limit on connections to all backends together.
     pub connection_limit: Rc<ConnectionLimit>,
-    /// Most connections of clients.
+    /// The maximum number of open client connections.
     pub max_clients: usize,
-    /// Memory that is left for buffered request bodies, in KiB.
+    /// A permit for each KiB of memory that is left for buffered request bodies.
     pub body_memory_kib: Arc<Semaphore>,
-    /// Counters of the data plane.
+    /// Updated by all parts of the data plane.
     pub metrics: Arc<DataPlaneMetrics>,
-    /// Whether the process was asked to shut down.
+    /// Whether the process has received a termination signal.
     pub shutting_down: Cell<bool>,
     started_at: Instant,
     active: RefCell<Option<Rc<ActiveConfiguration>>>,
     services: RefCell<HashMap<String, Rc<Service>>>,
     list_version: Cell<Option<BackendListVersion>>,
+    /// Instance ids of backends that were ever listed as draining.
     drained_instances: RefCell<HashSet<Arc<str>>>,
     frontend_count: Cell<u32>,
     random: RefCell<Pcg64Mcg>,
     to_agent: UnboundedSender<FromProxy>,
-    /// Notified after each message of the agent.
+    /// Notified after each message from the agent.
     updated: Notify,
 }
 
@@ -104,13 +105,14 @@
         }
     }
 
-    /// Whether the node accepts clients.
+    /// Whether the node is ready for clients: it has a configuration and a list of backends, and is not
+    /// shutting down.
     pub fn is_ready(&self) -> bool {
         !self.shutting_down.get() && self.has_configuration_and_backends()
     }
 
-    /// Waits until a configuration and a list of backends have arrived, at most for the time that a node takes which
-    /// starts alone.
+    /// Waits until a configuration and a list of backends have arrived, or until the policy's `startup_wait`
+    /// has passed since the start.
     pub async fn wait_until_ready(&self) {
         while !self.has_configuration_and_backends() {
             let updated = self.updated.notified();
@@ -129,8 +131,8 @@
         self.list_version.get().is_some()
     }
 
-    /// When a client should retry that was rejected because the node is not ready yet. Drawn from a range, so that
-    /// clients do not return at once.
+    /// When a client should retry that was rejected because the node is not ready yet. Includes a random
+    /// delay, so that clients do not all return at once.
     pub fn startup_retry_after(&self) -> Duration {
         let recovery = &self.policy.recovery;
         let remaining = recovery.ready_after.saturating_sub(self.started_at.elapsed());
@@ -143,13 +145,13 @@
         self.active.borrow().clone()
     }
 
-    /// Limits on clients by the active configuration.
+    /// The limits on clients in the active configuration; the defaults without one.
     pub fn client_limits(&self) -> Limits {
         let active = self.active_configuration();
         active.map(|active| active.table.configuration.limits.clone()).unwrap_or_default()
     }
 
-    /// A service by name, created where it is not known yet.
+    /// The service with this name, which is created if there is none.
     pub fn service(&self, name: &str) -> Rc<Service> {
         let mut services = self.services.borrow_mut();
         if let Some(service) = services.get(name) {
@@ -168,25 +170,26 @@
         self.services.borrow().values().cloned().collect()
     }
 
-    /// Whether a connection to a backend may be opened. Closes an idle one where the limit is reached.
+    /// Makes room for another connection to a backend, by closing an idle one if the limit is reached.
+    /// Returns whether there is room.
     pub fn make_connection_capacity(&self) -> bool {
         let close_idle =
             || self.services().iter().flat_map(|service| service.backends()).any(|b| b.close_oldest_idle());
         self.connection_limit.has_capacity() || close_idle()
     }
 
-    /// A random number below `bound`.
+    /// A random number below `bound`; 0 for the bound 0.
     pub fn random_below(&self, bound: u64) -> u64 {
         self.random.borrow_mut().random_range(0..bound.max(1))
     }
 
     /// Sends a message to the agent.
     pub fn send_to_agent(&self, message: FromProxy) {
-        // The receiver is closed only as the process ends.
+        // Fails only while the process exits, when the receiver is closed.
         let _ = self.to_agent.send(message);
     }
 
-    /// Applies a message of the agent.
+    /// Applies a message from the agent.
     pub fn apply(&self, message: ToProxy) {
         match message {
             ToProxy::Configuration { sequence, document } => self.apply_configuration(sequence, &document),
@@ -202,7 +205,7 @@
         self.updated.notify_waiters();
     }
 
-    /// Sends the agent what has changed in the prompt indexes that are audited.
+    /// Sends the agent the changes of the prompt indexes that are audited.
     pub fn send_index_changes(&self) {
         let changes: Vec<_> = self.services().iter().flat_map(|service| service.index_changes()).collect();
         self.send_in_messages(&changes);
@@ -223,17 +226,17 @@
     fn apply_configuration(&self, sequence: ConfigurationSequence, document: &[u8]) {
         let newest = self.active.borrow().as_ref().map(|active| active.sequence);
         if newest.is_some_and(|newest| newest >= sequence) {
-            log::debug!("configuration {sequence} is ignored: {newest:?} is active");
+            log::debug!("configuration {sequence} ignored: {newest:?} is active");
             return;
         }
         let configuration: Configuration = match serde_json::from_slice(document) {
             Ok(configuration) => configuration,
             Err(error) => {
-                log::error!("configuration {sequence} can't be read: {error}");
+                log::error!("configuration {sequence} of {} bytes is invalid: {error}", document.len());
                 return;
             }
         };
-        log::info!("configuration {sequence}: generation {} is in force", configuration.generation);
+        log::info!("configuration {sequence}: generation {} is active", configuration.generation);
         self.quotas.configure(&configuration.tenants);
         let table = RouteTable::new(configuration);
         self.metrics.configuration_applied(sequence);
@@ -252,11 +255,11 @@
     fn apply_backend_list(&self, list: BackendList) {
         let current = self.list_version.get();
         if current.is_some_and(|version| version >= list.version) {
-            log::debug!("list {} is ignored: {current:?} is current", list.version);
+            log::debug!("backend list {} ignored: {current:?} is current", list.version);
             return;
         }
         if self.list_version.replace(Some(list.version)).is_none() {
-            log::info!("list {}: {} backends are known", list.version, list.backends.len());
+            log::info!("first backend list {}: {} backends", list.version, list.backends.len());
         }
         self.metrics.backend_list_applied(list.version);
         self.record_draining(&list);
@@ -274,13 +277,13 @@
         }
     }
 
-    /// Remembers the instances that drain: a drain once seen is final.
+    /// Remembers the instances that are draining. An instance that drains never accepts new requests again.
     fn record_draining(&self, list: &BackendList) {
         let mut drained = self.drained_instances.borrow_mut();
         let draining = list.backends.iter().filter(|backend| backend.state == BackendState::Draining);
         for backend in draining {
             if drained.len() < MAX_DRAINED_INSTANCES && drained.insert(backend.instance_id.as_str().into()) {
-                log::info!("backend {} of {} drains", backend.instance_id, backend.service);
+                log::info!("backend {} of service {} is draining", backend.instance_id, backend.service);
             }
         }
     }
@@ -297,7 +300,7 @@
     }
 }
 
-/// A seed derived from a node's name (FNV-1a), so that two nodes do not draw the same numbers.
+/// Derives a random seed from a node's name (FNV-1a), so that nodes do not draw the same numbers.
 fn seed_from_name(name: &str) -> u64 {
     let offset_basis = 0xcbf2_9ce4_8422_2325_u64;
     name.bytes().fold(offset_basis, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
--- a/crates/data-plane/src/tenant_quotas.rs
+++ b/crates/data-plane/src/tenant_quotas.rs
@@ -1,5 +1,5 @@
-//! Tenants' quotas at this node: admits requests, waits for the quota leader's response where admission is undecided, and
-//! requests quota through the agent.
+//! Tenants' quotas at this node: admits requests, waits for a response of the quota leader if the reserve
+//! does not cover a request, and sends quota requests through the agent.
 
 use crate::request_error::RequestError;
 use configuration::{Tenant, Unit};
@@ -12,7 +12,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// What a request costs its tenant, in the unit of the tenant's limit. `tokens` is the count that the request states.
+/// The cost of a request in the unit of its tenant's limit. `tokens` is the number that the request states;
+/// without one, a limit in tokens charges the tenant's `plain_tokens`, or 1.
 pub fn cost(tenant: &Tenant, tokens: Option<u64>) -> f64 {
     match (tenant.unit, tokens) {
         (Unit::Requests, _) => 1.0,
@@ -21,32 +22,34 @@
     }
 }
 
-/// The quotas of all tenants, and the requests that wait for a decision.
+/// The quotas of all tenants.
 pub struct TenantQuotas {
+    /// The origin of the times in `limits`.
     started_at: Instant,
     limits: RefCell<TenantLimits>,
-    /// Notified when a response of the quota leader was applied.
-    response_applied: Notify,
-    /// Notified when the next quota request may be due sooner than before.
+    /// Notified when requests that wait for quota may be decided: after a response of the quota leader or
+    /// another configuration.
+    decidable: Notify,
+    /// Notified when the next quota request may be due earlier than before.
     due_changed: Notify,
 }
 
-/// The cost of an admitted request, counted against its tenant's quota.
+/// The cost of an admitted request, by which it can be refunded.
 pub struct AdmittedCost {
     tenant: Arc<Tenant>,
     cost: f64,
 }
 
 impl TenantQuotas {
-    /// Quotas of no tenants. `started_at` is the origin of their clock.
+    /// Without tenants. `started_at` is any instant that is not in the future.
     pub fn new(bounds: &Bounds, policy: policy::Limits, started_at: Instant) -> Self {
-        let terms = QuotaSettings {
+        let settings = QuotaSettings {
             window_s: bounds.quota_window_s,
             overuse_ratio: bounds.quota_over,
             token_slack: bounds.quota_slack,
         };
-        let limits = RefCell::new(TenantLimits::with_policy(terms, policy, Duration::ZERO));
-        TenantQuotas { started_at, limits, response_applied: Notify::new(), due_changed: Notify::new() }
+        let limits = RefCell::new(TenantLimits::with_policy(settings, policy, Duration::ZERO));
+        TenantQuotas { started_at, limits, decidable: Notify::new(), due_changed: Notify::new() }
     }
 
     fn now(&self) -> Duration {
@@ -56,26 +59,26 @@
     /// Applies the tenants of a new configuration.
     pub fn configure(&self, tenants: &[Tenant]) {
         self.limits.borrow_mut().configure(self.now(), tenants);
-        self.response_applied.notify_waiters();
+        self.decidable.notify_waiters();
         self.due_changed.notify_one();
     }
 
     /// Applies a response of the quota leader.
     pub fn apply_response(&self, response: &QuotaResponse) {
         self.limits.borrow_mut().apply_response(self.now(), response);
-        self.response_applied.notify_waiters();
+        self.decidable.notify_waiters();
         self.due_changed.notify_one();
     }
 
-    /// Admits a request of this cost. Waits where the quota leader has to be asked first.
+    /// Admits a request of this cost, or waits for quota if the node's reserve does not cover it.
     ///
     /// # Errors
-    /// The quota is used up; the error says when to retry.
+    /// [`RequestError::QuotaExceeded`], with the time after which the client may retry.
     pub async fn admit(&self, tenant: &Arc<Tenant>, cost: f64) -> Result<AdmittedCost, RequestError> {
         let first = self.limits.borrow_mut().admit(self.now(), &tenant.name, cost);
         self.due_changed.notify_one();
         let admission = match first {
-            Admission::Pending(ticket) => self.wait_for_decision(tenant, cost, ticket).await,
+            Admission::Pending(pending) => self.wait_for_decision(tenant, cost, pending).await,
             decided => decided,
         };
         match admission {
@@ -84,26 +87,31 @@
         }
     }
 
-    async fn wait_for_decision(&self, tenant: &Tenant, cost: f64, mut ticket: PendingAdmission) -> Admission {
+    async fn wait_for_decision(
+        &self,
+        tenant: &Tenant,
+        cost: f64,
+        mut pending: PendingAdmission,
+    ) -> Admission {
         loop {
-            // Registered before the decision, so that no response is missed.
-            let response_applied = self.response_applied.notified();
-            match self.limits.borrow_mut().decide(self.now(), &tenant.name, cost, ticket) {
-                Admission::Pending(next) => ticket = next,
+            // Created before the decision, so that no notification is missed.
+            let decidable = self.decidable.notified();
+            match self.limits.borrow_mut().decide(self.now(), &tenant.name, cost, pending) {
+                Admission::Pending(next) => pending = next,
                 decided => return decided,
             }
-            // The quota may have to be requested once more.
+            // The request may wait for another grant, so that another quota request is due.
             self.due_changed.notify_one();
-            let _ = timeout_at(self.started_at + ticket.deadline, response_applied).await;
+            let _ = timeout_at(self.started_at + pending.deadline, decidable).await;
         }
     }
 
-    /// Returns the cost of an admitted request that has not run and never will.
+    /// Credits the cost of an admitted request that was not run and will not be.
     pub fn refund(&self, admitted: AdmittedCost) {
         self.limits.borrow_mut().refund(self.now(), &admitted.tenant.name, admitted.cost);
     }
 
-    /// Sends quota requests whenever they are due, for as long as the process runs.
+    /// Calls `send` with each quota request when it is due. Runs for as long as the process does.
     pub async fn send_requests(&self, send: impl Fn(QuotaRequest)) {
         loop {
             let due = self.limits.borrow().next_request_at();
--- a/crates/marlwinch/tests/golden_cli_log.rs
+++ b/crates/marlwinch/tests/golden_cli_log.rs
@@ -540,11 +540,11 @@
     transcript += &lines(
         "data-plane",
         &mut data_plane,
-        &["metrics: ", ": connected", "is in force", "backends are known"],
+        &["metrics: ", ": connected", "is active", "first backend list"],
     );
     transcript += &lines("agent", &mut agent, &["proxy connected"]);
     *draining.lock().expect("a state") = true;
-    transcript += &lines("data-plane", &mut data_plane, &[" drains"]);
+    transcript += &lines("data-plane", &mut data_plane, &["is draining"]);
     // Settings that make no sense, and again ones that do.
     folder.write("core.yaml", core.replace("node_name: core-1\n", ""));
     folder.write("front.yaml", front.replace("node_name: frontend-1\n", ""));
@@ -553,15 +553,15 @@
     agent.signal("HUP");
     transcript += &lines("agent", &mut agent, &["those before stay in force"]);
     data_plane.signal("HUP");
-    transcript += &lines("data-plane", &mut data_plane, &["settings: not read again"]);
+    transcript += &lines("data-plane", &mut data_plane, &["settings: invalid"]);
     folder.write("front.yaml", &front);
     data_plane.signal("HUP");
-    transcript += &lines("data-plane", &mut data_plane, &["settings: read again"]);
+    transcript += &lines("data-plane", &mut data_plane, &["settings: valid"]);
     folder.write("core.yaml", core.replace(":8665\"]", &format!(":8665\", \"{}:8665\"]", net.machine(2))));
     coordinator.signal("HUP");
     transcript += &lines("coordinator", &mut coordinator, &["settings: other seeds"]);
     data_plane.signal("TERM");
-    transcript += &lines("data-plane", &mut data_plane, &["told to end", "ends with"]);
+    transcript += &lines("data-plane", &mut data_plane, &["shutting down", "exiting"]);
     transcript += &format!("data-plane | exit code {}\n", data_plane.end().0.expect("a code"));
     transcript += &ended("agent", &mut agent, "proxy 127.0.0.1:");
     agent.signal("TERM");
