--- a/crates/control-protocol/src/backend.rs
+++ b/crates/control-protocol/src/backend.rs
@@ -58,8 +58,8 @@
         hasher.finish()
     }
 
-    /// Whether all fields except the remaining warm-up are equal.
-    pub fn is_same_as(&self, other: &Backend) -> bool {
+    /// Whether all fields except the remaining warm-up are equal, as for [`Self::content_hash`].
+    pub fn has_same_content(&self, other: &Backend) -> bool {
         self.instance_id == other.instance_id
             && self.state == other.state
             && self.address == other.address
--- a/crates/control-protocol/src/backends.rs
+++ b/crates/control-protocol/src/backends.rs
@@ -45,7 +45,7 @@
     pub fn between(before: &[Backend], after: &[Backend]) -> Self {
         let contains = |list: &[Backend], id: &str| find(list, id).is_ok();
         let is_unchanged = |backend: &Backend| {
-            find(before, &backend.instance_id).is_ok_and(|index| before[index].is_same_as(backend))
+            find(before, &backend.instance_id).is_ok_and(|index| before[index].has_same_content(backend))
         };
         BackendChanges {
             changed: after.iter().filter(|backend| !is_unchanged(backend)).cloned().collect(),
--- a/crates/coordinator/src/endpoints/reader_election.rs
+++ b/crates/coordinator/src/endpoints/reader_election.rs
@@ -278,7 +278,7 @@
 }
 
 fn is_same(one: &[Backend], other: &[Backend]) -> bool {
-    one.len() == other.len() && one.iter().zip(other).all(|(one, other)| one.is_same_as(other))
+    one.len() == other.len() && one.iter().zip(other).all(|(one, other)| one.has_same_content(other))
 }
 
 /// A few bits of an address that hardly two coordinators share.
--- a/crates/coordinator/tests/one_world/fleet/endpoint_lists.rs
+++ b/crates/coordinator/tests/one_world/fleet/endpoint_lists.rs
@@ -473,7 +473,7 @@
         let known = &self.lists.frontends[frontend];
         let (Some(list), Some(read)) = (&known.list, self.lists.reads.get(&known.version)) else { return };
         let is_as_read = |(one, read): (&Backend, &Backend)| {
-            one.is_same_as(read)
+            one.has_same_content(read)
                 || (one.instance_id == read.instance_id && known.drained.contains(&one.instance_id))
         };
         let read = &read.seen;
@@ -537,7 +537,7 @@
             truth.sort_by(|one, other| one.instance_id.cmp(&other.instance_id));
             let agrees = known.is_some_and(|list| {
                 list.backends.len() == truth.len()
-                    && list.backends.iter().zip(&truth).all(|(one, other)| one.is_same_as(other))
+                    && list.backends.iter().zip(&truth).all(|(one, other)| one.has_same_content(other))
             });
             if !agrees && self.broken().is_none() {
                 self.fail(format!("frontend {frontend}: its list is not the platform's once all is over"));
