--- a/crates/control-protocol/tests/golden/compare.rs
+++ b/crates/control-protocol/tests/golden/compare.rs
@@ -25,7 +25,7 @@
 
 /// Asserts that a text equals a golden file, or writes the file if the environment variable requests it.
 #[track_caller]
-pub fn hold(name: &str, actual: &str) {
+pub fn assert_matches_golden(name: &str, actual: &str) {
     if std::env::var_os(VARIABLE).is_some_and(|value| value == "write") {
         let path = path(name);
         let directory = path.parent().expect("a parent directory");
--- a/crates/control-protocol/tests/golden/frames.rs
+++ b/crates/control-protocol/tests/golden/frames.rs
@@ -34,7 +34,7 @@
     /// Asserts that the samples contain every variant under its name on the wire, that the frame of each
     /// sample equals the approved one, and that this frame is decoded into the sample and encoded into the
     /// same bytes again.
-    pub fn hold(&self) {
+    pub fn assert_match_golden(&self) {
         let mut seen = BTreeSet::new();
         let mut frames = Vec::new();
         for (title, message) in &self.samples {
@@ -50,7 +50,7 @@
             "{}: variants among the samples",
             self.file
         );
-        compare::hold(self.file, &text(self.about, &frames));
+        compare::assert_matches_golden(self.file, &text(self.about, &frames));
         let approved = read(self.file);
         assert_eq!(approved.len(), self.samples.len());
         for ((title, message), frame) in self.samples.iter().zip(approved) {
@@ -61,14 +61,14 @@
 }
 
 /// Asserts that frames of older versions, which lack some fields, are still decoded into these messages.
-pub fn hold_old<M: DeserializeOwned + PartialEq + Debug>(
+pub fn assert_old_frames_decode<M: DeserializeOwned + PartialEq + Debug>(
     file: &str,
     about: &str,
     samples: &[(&str, Vec<u8>, M)],
 ) {
     let frames: Vec<(&str, Vec<u8>)> =
         samples.iter().map(|(title, frame, _)| (*title, frame.clone())).collect();
-    compare::hold(file, &text(about, &frames));
+    compare::assert_matches_golden(file, &text(about, &frames));
     let approved = read(file);
     assert_eq!(approved.len(), samples.len());
     for ((title, _, message), frame) in samples.iter().zip(approved) {
--- a/crates/control-protocol/tests/golden_frames.rs
+++ b/crates/control-protocol/tests/golden_frames.rs
@@ -15,7 +15,7 @@
     QUOTA_REQUEST_INTERVAL_MS, QuotaDemand, QuotaGrant, QuotaRequest, QuotaResponse, ToAgent, ToProxy,
     VERSION,
 };
-use frames::{Messages, decoded, hold_old, without};
+use frames::{Messages, assert_old_frames_decode, decoded, without};
 use range_digest::{KeyRange, RangeContent, RangeDigest};
 use std::fmt::Write;
 
@@ -188,7 +188,7 @@
             "Heartbeat",
         ],
     }
-    .hold();
+    .assert_match_golden();
 }
 
 #[test]
@@ -300,7 +300,7 @@
             "Heartbeat",
         ],
     }
-    .hold();
+    .assert_match_golden();
 }
 
 #[test]
@@ -328,7 +328,7 @@
         },
         variants: &["Hello", "InForce", "Demands", "IndexChanges", "Heartbeat"],
     }
-    .hold();
+    .assert_match_golden();
 }
 
 #[test]
@@ -381,7 +381,7 @@
             "Heartbeat",
         ],
     }
-    .hold();
+    .assert_match_golden();
 }
 
 /// A demand from a node of an older version lacks the rejected cost, and a grant from a quota leader of an
@@ -398,14 +398,30 @@
     response.grants.iter_mut().for_each(|grant| grant.pressure = 0.0);
     let title = "Demands without turned_away";
     let about = "What an agent of an older version says to a coordinator";
-    hold_old("older_from_agent.txt", about, &[(title, demands, FromAgent::QuotaRequest(request.clone()))]);
+    assert_old_frames_decode(
+        "older_from_agent.txt",
+        about,
+        &[(title, demands, FromAgent::QuotaRequest(request.clone()))],
+    );
     let about = "What a proxy of an older version says to the agent on its machine";
-    hold_old("older_from_proxy.txt", about, &[(title, demands_of_proxy, FromProxy::QuotaRequest(request))]);
+    assert_old_frames_decode(
+        "older_from_proxy.txt",
+        about,
+        &[(title, demands_of_proxy, FromProxy::QuotaRequest(request))],
+    );
     let title = "Allotments without pressure";
     let about = "What a coordinator of an older version says to an agent";
-    hold_old("older_to_agent.txt", about, &[(title, grants, ToAgent::QuotaResponse(response.clone()))]);
+    assert_old_frames_decode(
+        "older_to_agent.txt",
+        about,
+        &[(title, grants, ToAgent::QuotaResponse(response.clone()))],
+    );
     let about = "What an agent of an older version says to the proxy on its machine";
-    hold_old("older_to_proxy.txt", about, &[(title, grants_to_proxy, ToProxy::QuotaResponse(response))]);
+    assert_old_frames_decode(
+        "older_to_proxy.txt",
+        about,
+        &[(title, grants_to_proxy, ToProxy::QuotaResponse(response))],
+    );
 }
 
 /// An incomplete frame is not decoded, and decoding a frame leaves the following one in the buffer.
@@ -453,5 +469,5 @@
     let digest = control_protocol::list_digest(&backends());
     assert_eq!(control_protocol::list_digest_set(&backends()).digest(KeyRange::ALL), digest);
     record("digest of these backends", format!("{} backends, sum {:016x}", digest.count, digest.sum));
-    compare::hold("agreed.txt", &text);
+    compare::assert_matches_golden("agreed.txt", &text);
 }
--- a/crates/coordinator/tests/golden_frames.rs
+++ b/crates/coordinator/tests/golden_frames.rs
@@ -47,7 +47,7 @@
         },
         variants: &["Peer", "Hello"],
     }
-    .hold();
+    .assert_match_golden();
     // The first frame of an agent is the same bytes in both types that have it, and each decodes it.
     let mut agents = 0;
     for ((_, message), approved) in first_frames().into_iter().zip(frames::read(FIRST_FRAMES)) {
@@ -133,5 +133,5 @@
         },
         variants: &["Replica", "Backends", "BackendsWanted", "Leaving"],
     }
-    .hold();
+    .assert_match_golden();
 }
--- a/crates/coordinator/tests/golden_metrics.rs
+++ b/crates/coordinator/tests/golden_metrics.rs
@@ -85,7 +85,7 @@
         counters.record_read_index(&answer);
     }
     let figures = Arc::new(CoordinatorMetrics::new(&machine.node));
-    compare::hold("interfaces/metrics_coordinator.txt", &exposition_response(figures).await);
+    compare::assert_matches_golden("interfaces/metrics_coordinator.txt", &exposition_response(figures).await);
 }
 
 #[tokio::test]
@@ -93,5 +93,8 @@
     let figures = AgentMetrics::default();
     figures.count_link();
     figures.update(&AgentState::default());
-    compare::hold("interfaces/metrics_agent.txt", &exposition_response(Arc::new(figures)).await);
+    compare::assert_matches_golden(
+        "interfaces/metrics_agent.txt",
+        &exposition_response(Arc::new(figures)).await,
+    );
 }
--- a/crates/coordinator/tests/golden_operator.rs
+++ b/crates/coordinator/tests/golden_operator.rs
@@ -243,7 +243,7 @@
     operator
         .request_unclear(&core.machines[0], &ApiRequest::replace(Some("5"), "generation 7", document(7)))
         .await;
-    compare::hold("interfaces/operator.txt", &operator.transcript);
+    compare::assert_matches_golden("interfaces/operator.txt", &operator.transcript);
 }
 
 /// A document whose route names a service that it does not have.
@@ -263,7 +263,7 @@
     let core = Core::start().await;
     let head = format!("POST {REPLACE} HTTP/1.1\r\nHost: c\r\nTransfer-Encoding: chunked\r\n\r\n");
     let answer = raw_answer(core.machines[0].control, &format!("{head}no number\r\n")).expect("an answer");
-    compare::hold("interfaces/operator_unreadable_body.txt", &answer);
+    compare::assert_matches_golden("interfaces/operator_unreadable_body.txt", &answer);
 }
 
 /// A coordinator whose clock is the test's: the time that it allows a client passes at once.
@@ -294,7 +294,7 @@
         sender.send(answer).expect("the test waits");
     });
     let answer = received.await.expect("the client has a response");
-    compare::hold("interfaces/operator_late_body.txt", &answer);
+    compare::assert_matches_golden("interfaces/operator_late_body.txt", &answer);
 }
 
 /// Sends a text on a connection of its own and reads the response, up to its content length; `None` if there is none.
@@ -451,7 +451,7 @@
 fn a_status_in_json() {
     for (name, status) in [("full", full_status()), ("least", least_status())] {
         let file = format!("interfaces/status_{name}.json");
-        compare::hold(&file, &pretty(&status));
+        compare::assert_matches_golden(&file, &pretty(&status));
         let approved = compare::read(&file);
         let read: CoordinatorStatus = serde_json::from_str(&approved).expect("a status");
         assert_eq!(pretty(&read), approved);
@@ -527,7 +527,7 @@
         states.extend(looked_at.map(|shown| format!("{}: {}\n", shown.instance_id, shown.state)));
         agent.until(|message| (message == ToAgent::Heartbeat).then_some(())).await;
     }
-    compare::hold("interfaces/index_states.txt", &Vec::from_iter(states).concat());
+    compare::assert_matches_golden("interfaces/index_states.txt", &Vec::from_iter(states).concat());
     let (full, found) = (places_of(&pretty(&full_status())), places_of(&status));
     let names = |places: &BTreeSet<(String, &str)>| -> BTreeSet<String> {
         places.iter().map(|(place, _)| place.clone()).collect()
--- a/crates/coordinator/tests/golden_platform_list.rs
+++ b/crates/coordinator/tests/golden_platform_list.rs
@@ -19,7 +19,7 @@
     for name in PAGES {
         let text = compare::read(&format!("interfaces/platform/{name}.json"));
         let page = parse_page(text.as_bytes()).expect("a page");
-        compare::hold(&format!("interfaces/platform/{name}.read.txt"), &describe(&page));
+        compare::assert_matches_golden(&format!("interfaces/platform/{name}.read.txt"), &describe(&page));
     }
 }
 
--- a/crates/marlwinch/tests/golden_data_plane.rs
+++ b/crates/marlwinch/tests/golden_data_plane.rs
@@ -288,5 +288,5 @@
     for proof in ["not_written", "rejected", "misdirected", "may_have_run"] {
         assert!(told("sends", proof), "{proof}: {figures}");
     }
-    compare::hold("golden_data_plane_metrics.txt", &figures);
+    compare::assert_matches_golden("golden_data_plane_metrics.txt", &figures);
 }
--- a/crates/node-settings/tests/golden.rs
+++ b/crates/node-settings/tests/golden.rs
@@ -157,7 +157,7 @@
 #[test]
 fn the_settings_of_each_file_match_its_golden_file() {
     for name in FILES {
-        compare::hold(&format!("{name}.read.txt"), &read(name).text());
+        compare::assert_matches_golden(&format!("{name}.read.txt"), &read(name).text());
     }
 }
 
