--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -35,7 +35,7 @@
     last_sent: Duration,
 }
 
-/// The agreed view of the core.
+/// The view that the coordinators have agreed on.
 #[derive(Clone, Debug, Default)]
 struct View {
     number: u64,
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -42,7 +42,7 @@
 pub struct Route {
     /// The name of the route.
     pub name: String,
-    /// The host that requests name in their `Host` header, in any case.
+    /// The host in the `Host` header of requests, compared without regard to case.
     pub hostname: String,
     /// The prefix of the paths of requests. Begins and ends with a slash.
     pub path_prefix: String,
