--- a/crates/coordinator/tests/golden_metrics.rs
+++ b/crates/coordinator/tests/golden_metrics.rs
@@ -86,7 +86,7 @@
         counters.record_read_index(&outcome);
     }
     let metrics = Arc::new(CoordinatorMetrics::new(&machine.node));
-    compare::hold("interfaces/metrics_coordinator.txt", &metrics_response(metrics).await);
+    compare::assert_matches_golden("interfaces/metrics_coordinator.txt", &metrics_response(metrics).await);
 }
 
 #[tokio::test]
@@ -94,5 +94,5 @@
     let metrics = AgentMetrics::default();
     metrics.count_link();
     metrics.update(&AgentState::default());
-    compare::hold("interfaces/metrics_agent.txt", &metrics_response(Arc::new(metrics)).await);
+    compare::assert_matches_golden("interfaces/metrics_agent.txt", &metrics_response(Arc::new(metrics)).await);
 }
