--- a/crates/coordinator/tests/golden_metrics.rs
+++ b/crates/coordinator/tests/golden_metrics.rs
@@ -94,5 +94,8 @@
     let metrics = AgentMetrics::default();
     metrics.count_link();
     metrics.update(&AgentState::default());
-    compare::assert_matches_golden("interfaces/metrics_agent.txt", &metrics_response(Arc::new(metrics)).await);
+    compare::assert_matches_golden(
+        "interfaces/metrics_agent.txt",
+        &metrics_response(Arc::new(metrics)).await,
+    );
 }
