--- a/crates/http-forwarding/src/attempt.rs
+++ b/crates/http-forwarding/src/attempt.rs
@@ -1,16 +1,16 @@
-//! The stages and events of an attempt: what the end of an attempt proves about the execution of its request, and whether
-//! a retry is allowed. Starts no attempt and chooses no backend.
+//! The stages of an attempt and the events that end it: what the end proves about the execution of the
+//! request, and whether a retry is allowed. Starts no attempt and selects no backend.
 
 use join_up_to::{Outcome, Repeat};
 
 /// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AttemptStage {
-    /// No byte of the request was written.
+    /// No byte of the request was written to the backend.
     NothingSent,
-    /// A part of the head was written.
+    /// Only a part of the head was written.
     SendingHead,
-    /// All of the head was written, and not all of the body.
+    /// The head was written completely, the body was not.
     SendingBody,
     /// The last byte was written: from here on the backend may have executed the request.
     RequestSent,
@@ -23,7 +23,7 @@
 }
 
 impl AttemptStage {
-    /// All stages, in order.
+    /// All stages, from the first to the last.
     pub const ALL: [AttemptStage; 7] = [
         AttemptStage::NothingSent,
         AttemptStage::SendingHead,
@@ -42,20 +42,20 @@
     ConnectFailed,
     /// The connection was closed or reset.
     ConnectionLost,
-    /// The bytes received are no response, or one whose end cannot be determined.
+    /// The received bytes are not an HTTP response, or the end of the response cannot be determined.
     InvalidResponse,
-    /// The time-out of the attempt, or that of a connection without progress.
+    /// The attempt has timed out, or its connection has made no progress for too long.
     TimedOut,
-    /// The client's body was aborted or does not match its length: the rest will not arrive.
+    /// The client aborted the body or sent fewer bytes than announced: the rest will not arrive.
     ClientBodyFailed,
-    /// The client has closed its connection.
+    /// The client closed its connection.
     ClientDisconnected,
-    /// Another attempt of the request has got its response.
+    /// Another attempt of the same request received its response first.
     Superseded,
 }
 
 impl AttemptEvent {
-    /// All events.
+    /// All events, in the order of their declaration.
     pub const ALL: [AttemptEvent; 7] = [
         AttemptEvent::ConnectFailed,
         AttemptEvent::ConnectionLost,
@@ -70,37 +70,39 @@
 /// What a connection was used for before the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// The attempt is its first exchange.
+    /// Nothing: the attempt is the first exchange on it.
     New,
-    /// It has carried another exchange. A backend may close an idle connection, which says nothing about its health.
+    /// Another exchange. A backend may close an idle connection at any time, which says nothing about its
+    /// health.
     Reused,
 }
 
 /// What the proxy does after an event of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptAction {
-    /// Nothing was sent: the same attempt goes on with another connection.
+    /// Nothing was sent: the same attempt continues on another connection.
     UseOtherConnection,
     /// The attempt has ended with this outcome.
     End(Outcome),
-    /// The response to the client is incomplete, and the client must see that: its connection is aborted, not closed
-    /// cleanly.
+    /// A part of the response was forwarded and the rest is missing: the client's connection is aborted
+    /// rather than closed cleanly, so that the client detects the truncation.
     AbortClientConnection,
-    /// Nothing is left to do.
+    /// The response was already forwarded completely.
     NoAction,
 }
 
 /// Determines the action after an event.
 ///
-/// A request whose last byte was written may have been executed, whatever the event; one whose last byte was not written
-/// has not: a backend that executes an incomplete request violates HTTP (RFC 9112, section 8).
+/// Whatever the event, a request whose last byte was written may have been executed. One whose last byte was
+/// not written was not executed: a backend that executes an incomplete request violates HTTP (RFC 9112,
+/// section 8).
 pub fn action_after(stage: AttemptStage, event: AttemptEvent, connection: ConnectionUse) -> AttemptAction {
     use AttemptAction::{AbortClientConnection, End, NoAction, UseOtherConnection};
     use AttemptEvent::*;
     use AttemptStage::*;
     match (stage, event) {
         (Complete, _) => NoAction,
-        // The client has a part of this response: a retry can no longer replace it.
+        // The client has received a part of this response, which a retry can no longer replace.
         (ForwardingResponse, _) => AbortClientConnection,
         (_, ClientDisconnected | Superseded) => End(Outcome::Cancelled),
         (NothingSent, ConnectionLost | InvalidResponse) if connection == ConnectionUse::Reused => {
@@ -115,37 +117,39 @@
     }
 }
 
-/// How much of a request's body is available for another attempt.
+/// How much of the body of a request is available for another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum BodyAvailability {
-    /// All of it is buffered.
+    /// The whole body is buffered.
     Complete,
-    /// It is not all buffered, but no byte that is no longer available was sent.
+    /// The body is only partly buffered, but every byte that was sent is still buffered.
     NothingSent,
-    /// Some of it was sent and is no longer available.
+    /// Bytes were sent that are no longer available.
     Incomplete,
 }
 
-/// Whether another attempt is allowed. `previous` is the outcome of the attempt that may have been executed, or else of any
-/// attempt before; `None` if there was none. A request that may have been executed is sent again only if its class is
-/// idempotent, and one whose body is gone not at all. Time-outs, budgets and scopes are checked elsewhere.
+/// Whether another attempt is allowed. `previous` is the outcome of an earlier attempt that may have been
+/// executed if there is one, else that of any earlier attempt; `None` before the first attempt. A request
+/// that may have been executed is sent again only if its class is idempotent, and one whose body is no longer
+/// available is never sent again. Time-outs, retry budgets and scopes are checked elsewhere.
 pub fn may_retry(repeat: Repeat, previous: Option<Outcome>, body: BodyAvailability) -> bool {
-    let may_have_run = previous.is_some_and(|outcome| !outcome.never_ran());
+    let may_have_been_executed = previous.is_some_and(|outcome| !outcome.never_ran());
     let has_body = match body {
         BodyAvailability::Complete => true,
-        // A body that is still being received is sent once: another attempt needs proof that nothing of it was used.
-        BodyAvailability::NothingSent => !may_have_run,
+        // A body that is still being received can be sent only once: another attempt requires proof that no
+        // earlier one was executed.
+        BodyAvailability::NothingSent => !may_have_been_executed,
         BodyAvailability::Incomplete => false,
     };
-    has_body && (!may_have_run || repeat != Repeat::Unsafe)
+    has_body && (!may_have_been_executed || repeat != Repeat::Unsafe)
 }
 
-/// The parts of a response's head that determine the outcome of its attempt.
+/// The parts of a response head that determine the outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
-    /// Whether the backend reports that it did not execute the request.
+    /// Whether the backend declares that it did not execute the request.
     pub unprocessed: bool,
 }
 
@@ -154,11 +158,11 @@
 pub enum SuccessCriterion {
     /// Status 200 only.
     Status200,
-    /// Every status that is no failure of the backend: those below 500 except 101 and 429.
+    /// Every status that does not indicate a failure of the backend: those below 500 except 101 and 429.
     NoBackendFailure,
 }
 
-/// The outcome of an attempt whose response has this head.
+/// Determines the outcome of an attempt from the head of its response.
 pub fn response_outcome(head: ResponseHead, criterion: SuccessCriterion) -> Outcome {
     let accepts_all = criterion == SuccessCriterion::NoBackendFailure;
     match (head.status, head.unprocessed) {
--- a/crates/http-forwarding/src/forward.rs
+++ b/crates/http-forwarding/src/forward.rs
@@ -1,6 +1,6 @@
 //! Which header fields are forwarded, and what a backend learns about the client: `Forwarded` (RFC 7239),
-//! `X-Forwarded-*`, `Via` and `Max-Forwards` (RFC 9110, sections 7.6 and 7.6.2). Such fields of a request are kept only if
-//! they come from a hop that the operator trusts.
+//! `X-Forwarded-*`, `Via` and `Max-Forwards` (RFC 9110, sections 7.6 and 7.6.2). Such fields of a request are
+//! kept only if they come from a hop that the operator trusts.
 
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use http::{Method, Version};
@@ -13,7 +13,8 @@
 const X_FORWARDED_PROTO: HeaderName = HeaderName::from_static("x-forwarded-proto");
 const X_REAL_IP: HeaderName = HeaderName::from_static("x-real-ip");
 
-/// Fields that concern one connection, whether or not `Connection` lists them (RFC 9110, section 7.6.1).
+/// Fields that apply to a single connection, whether or not `Connection` lists them (RFC 9110, section
+/// 7.6.1).
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -26,17 +27,19 @@
     header::EXPECT,
 ];
 
-/// Fields that are part of a request's meaning: a client that lists them in `Connection` must not make the proxy remove what
-/// its decisions depend on.
+/// Fields that a client cannot have removed by listing them in `Connection`: the meaning of a request, and
+/// the decisions of the proxy, depend on them.
 const PROTECTED: [&str; 4] = ["host", "authorization", "cookie", "idempotency-key"];
 
-/// Whether a field that holds a list, such as `Connection` or `TE`, contains this token. Letter case is ignored.
+/// Whether a field that holds a list, such as `Connection` or `TE`, contains this token. Letter case is
+/// ignored.
 pub fn list_contains(headers: &HeaderMap, field: HeaderName, token: &str) -> bool {
     let lists = headers.get_all(field).into_iter().filter_map(|list| list.to_str().ok());
     lists.flat_map(|list| list.split(',')).any(|name| name.trim().eq_ignore_ascii_case(token))
 }
 
-/// Removes the hop-by-hop fields, those that `Connection` lists, and the length, which is set for each message anew.
+/// Removes the hop-by-hop fields, the fields that `Connection` lists, and `Content-Length`, which is set anew
+/// for each forwarded message.
 pub fn strip_hop_by_hop(mut headers: HeaderMap) -> HeaderMap {
     let listed: Vec<_> = headers.get_all(header::CONNECTION).iter().cloned().collect();
     for list in listed.iter().filter_map(|list| list.to_str().ok()) {
@@ -55,9 +58,9 @@
     pub x_forwarded: bool,
     /// Whether `Forwarded` is written.
     pub forwarded: bool,
-    /// The name of the proxy in `Via`; `None` if `Via` is not written.
+    /// The name under which the proxy adds itself to `Via`; `None` if `Via` is not written.
     pub via: Option<HeaderValue>,
-    /// The networks of the hops whose fields about earlier hops are kept.
+    /// Networks of trusted hops, whose fields about earlier hops are kept.
     pub trusted: Vec<IpNet>,
 }
 
@@ -68,7 +71,7 @@
     }
 }
 
-/// The connection that a request was received on.
+/// The connection on which a request was received.
 #[derive(Clone, Copy, Debug)]
 pub struct Hop {
     /// The client's address.
@@ -85,7 +88,8 @@
         self.trusted.iter().any(|net| net.contains(&hop))
     }
 
-    /// Writes the fields about the client into a request's header, and removes those that come from an untrusted hop.
+    /// Writes the fields about the client into a request header. Fields of that kind that an untrusted hop
+    /// sent are removed first.
     pub fn write(&self, headers: &mut HeaderMap, hop: Hop) {
         let client = hop.from.ip().to_canonical();
         if !self.trusts(client) {
@@ -116,7 +120,8 @@
     }
 }
 
-/// Appends the client to `X-Forwarded-For`, and sets the other two unless a trusted hop has.
+/// Appends the client to `X-Forwarded-For`. Sets `X-Forwarded-Host` and `X-Forwarded-Proto` unless a trusted
+/// hop has set them.
 fn write_x_forwarded(headers: &mut HeaderMap, client: IpAddr, proto: &'static str) {
     append(headers, X_FORWARDED_FOR, &client.to_string());
     if let Some(host) = headers.get(header::HOST).cloned() {
@@ -132,13 +137,14 @@
         IpAddr::V6(ip) => format!("\"[{ip}]\""),
     };
     let host = headers.get(header::HOST).and_then(|host| host.to_str().ok());
-    // A host may contain a colon, so it is always quoted; one that contains a quote is invalid.
+    // A host may contain a colon and is therefore always quoted. One that contains a quote or a backslash is
+    // invalid and omitted.
     let host = host.filter(|host| !host.contains(['"', '\\']));
     let host = host.map_or(String::new(), |host| format!(";host=\"{host}\""));
     append(headers, FORWARDED, &format!("for={node}{host};proto={proto}"));
 }
 
-/// Appends an element to a list, and joins the lines of the list into one.
+/// Appends an element to a list field, and merges all lines of the field into one.
 fn append(headers: &mut HeaderMap, name: HeaderName, element: &str) {
     let before = headers.get_all(&name).iter().filter_map(|value| value.to_str().ok());
     let mut list = before.collect::<Vec<_>>().join(", ");
@@ -153,14 +159,14 @@
 /// What `Max-Forwards` demands for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaxForwards {
-    /// It is forwarded, with this number of further forwards; `None` if the request sets no limit.
+    /// It is forwarded, with this value in `Max-Forwards`; `None` if the request sets no limit.
     Forward(Option<u32>),
-    /// It is not forwarded: the proxy responds itself.
+    /// It is not forwarded: the proxy responds to it.
     RespondLocally,
 }
 
-/// Reads `Max-Forwards`, which applies to `OPTIONS` and `TRACE` only. A value that is no number is ignored, as RFC 9110
-/// (section 7.6.2) permits for other methods.
+/// Reads `Max-Forwards`, which applies to `OPTIONS` and `TRACE` only. A value that is not a number is
+/// ignored, as RFC 9110 (section 7.6.2) permits for other methods.
 pub fn max_forwards(method: &Method, headers: &HeaderMap) -> MaxForwards {
     if *method != Method::OPTIONS && *method != Method::TRACE {
         return MaxForwards::Forward(None);
--- a/crates/http-forwarding/src/framing.rs
+++ b/crates/http-forwarding/src/framing.rs
@@ -1,59 +1,60 @@
-//! The framing of requests: where a request ends, and whether two readers of its head could disagree about that (RFC 9112,
-//! sections 2.2, 5 and 6). An ambiguous head is rejected, never repaired: whoever reads it the other way finds a second
-//! request in the body of the first (request smuggling). Only heads are parsed.
+//! The framing of requests: where a request ends, and whether two readers of its head could disagree about
+//! that (RFC 9112, sections 2.2, 5 and 6). An ambiguous head is rejected, never repaired: a recipient that
+//! reads it the other way finds a second request in the body of the first (request smuggling). Only heads are
+//! parsed.
 
 use quick_error::quick_error;
 
-/// The maximum number of header lines of a head, the same as hyper's.
+/// The maximum number of header lines in a head, the same as that of hyper.
 pub const MAX_HEADERS: usize = 100;
 
 /// Which line endings a head may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LineEndings {
-    /// Each line ends with CR LF.
+    /// Every line must end with CR LF.
     Strict,
-    /// A line may end with LF alone, as RFC 9112 (section 2.2) permits.
+    /// A line may also end with LF alone, as RFC 9112 (section 2.2) permits.
     Lenient,
 }
 
 /// What delimits the body of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// Its length in bytes.
+    /// A length in bytes.
     Length(u64),
-    /// Its last chunk.
+    /// The chunked coding, whose last chunk ends the body.
     Chunked,
 }
 
 quick_error! {
-    /// Why the framing of a request is rejected. Clients get the texts.
+    /// Why the framing of a request is rejected. The texts are sent to clients.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum FramingError {
-        /// Two lengths, or a length and a transfer coding.
+        /// `Content-Length` occurs twice, or beside `Transfer-Encoding`.
         ConflictingLengths {
             display("content-length: said twice, or beside transfer-encoding")
         }
-        /// A length that is no number.
+        /// `Content-Length` is not a number.
         InvalidLength {
             display("content-length: not a number")
         }
-        /// `chunked` more than once, or not as the last coding.
+        /// `chunked` occurs more than once, or is not the last transfer coding.
         InvalidChunked {
             display("transfer-encoding: chunked, and that more than once or not last")
         }
-        /// A coding that is not known here: its bytes could not be forwarded unchanged.
+        /// An unsupported transfer coding: the body could not be forwarded unchanged.
         UnsupportedCoding {
             display("transfer-encoding: a coding that is not passed on")
         }
-        /// A transfer coding in HTTP/1.0, which has none.
+        /// A transfer coding in HTTP/1.0, which defines none.
         CodingInHttp10 {
             display("transfer-encoding: HTTP/1.0 has none")
         }
-        /// A line that ends with LF alone.
+        /// A line ends with LF alone.
         BareLineFeed {
             display("a line of the head ends without CR")
         }
-        /// A line that is continued on the next (obsolete line folding).
+        /// A line is continued on the next one (obsolete line folding).
         FoldedLine {
             display("a line of the head goes on in the next")
         }
@@ -70,14 +71,17 @@
 /// A complete head of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Its length in bytes, with the blank line.
+    /// The length of the head in bytes, including the blank line.
     pub length: usize,
     /// The framing of the body, or why it is rejected.
     pub body: Result<BodyFraming, FramingError>,
 }
 
-/// Parses the head at the start of these bytes with hyper's parser, so that both read the same. `None` if the head is
-/// incomplete; an error if the parser rejects it, and so hyper does too.
+/// Parses the head at the start of these bytes. Uses the parser that hyper uses, so that both agree. `None`
+/// if the head is incomplete.
+///
+/// # Errors
+/// The parser rejects the head, as hyper will.
 pub fn parse_head(bytes: &[u8], endings: LineEndings) -> Result<Option<RequestHead>, httparse::Error> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -92,7 +96,7 @@
 
 /// Checks that each line of a head ends with CR LF and is not folded.
 fn check_line_endings(head: &[u8]) -> Result<(), FramingError> {
-    // Every reader skips empty lines before the request line.
+    // Every parser skips empty lines before the request line.
     let start = head.iter().position(|byte| !matches!(byte, b'\r' | b'\n')).unwrap_or(head.len());
     let mut previous = 0;
     for (offset, byte) in head.iter().enumerate().skip(start) {
@@ -109,7 +113,7 @@
     Ok(())
 }
 
-/// The framing of the body, by all fields of a head. `minor_version` is that of HTTP/1.
+/// Determines the framing of the body from the header fields. `minor_version` is that of HTTP/1.x.
 fn body_framing(
     headers: &[httparse::Header],
     minor_version: Option<u8>,
@@ -137,22 +141,23 @@
     length.map_or(Ok(BodyFraming::Length(0)), parse_length)
 }
 
-/// Parses the value of `Content-Length`: digits only, where `u64`'s parser would take a sign.
+/// Parses the value of `Content-Length`. Accepts digits only; the parser of `u64` would also accept a sign.
 fn parse_length(value: &[u8]) -> Result<BodyFraming, FramingError> {
     let text = std::str::from_utf8(value.trim_ascii()).ok();
     let digits = text.filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
     digits.and_then(|digits| digits.parse().ok()).map(BodyFraming::Length).ok_or(FramingError::InvalidLength)
 }
 
-/// The position of the next byte in a stream of requests. The result does not depend on how the stream is divided into reads.
+/// The position of the next byte in a stream of requests. The result does not depend on how the stream is
+/// divided into reads.
 #[derive(Debug)]
 pub enum StreamPosition {
-    /// In a head, of which these bytes were received.
+    /// In a head, of which these bytes have been received.
     Head(Vec<u8>),
     /// In a body with this number of bytes remaining.
     Body(u64),
-    /// In a part that is not checked: hyper rejects the head, or closes the connection after the request, as after a chunked
-    /// one.
+    /// In a part that is not checked: hyper has rejected the head, or the connection is closed after this
+    /// request, as it is after one with a chunked body.
     Unchecked,
 }
 
@@ -162,17 +167,17 @@
     }
 }
 
-/// What was observed in the bytes of one read.
+/// What the bytes of one read contained.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct HeadObservation {
-    /// The first framing error of a head.
+    /// The first framing error in any of the heads.
     pub error: Option<FramingError>,
     /// Whether the bytes end within a head.
     pub is_head_incomplete: bool,
 }
 
 impl StreamPosition {
-    /// Advances by these bytes.
+    /// Advances the position by these bytes, and reports what they contain.
     pub fn advance(&mut self, mut bytes: &[u8], endings: LineEndings) -> HeadObservation {
         let mut observed = HeadObservation::default();
         while !bytes.is_empty() {
@@ -189,7 +194,8 @@
                 StreamPosition::Head(received) => {
                     let received_before = received.len();
                     received.extend_from_slice(bytes);
-                    // Only a line feed can complete a head: one that arrives byte by byte is not parsed for each byte.
+                    // Only a line feed can complete a head. This avoids parsing a head again for each byte
+                    // where it arrives byte by byte.
                     let head = if bytes.contains(&b'\n') { parse_head(received, endings) } else { Ok(None) };
                     match head {
                         Ok(Some(head)) => {
--- a/crates/http-forwarding/src/lib.rs
+++ b/crates/http-forwarding/src/lib.rs
@@ -2,11 +2,12 @@
 //!
 //! - [`framing`]: where a request ends, and whether two readers of its head could disagree about that.
 //! - [`forward`]: which header fields are forwarded, and what a backend learns about the client.
-//! - [`attempt`]: what the end of an attempt proves, and whether a retry is allowed.
+//! - [`attempt`]: what the end of an attempt proves about the execution of its request, and whether a retry
+//!   is allowed.
 //! - [`local_response`]: when a local response replaces the error response of a backend.
 //!
-//! Which backend an attempt goes to, and whether a retry is made, is decided elsewhere (`join-up-to`, `routing`): this
-//! package says what is allowed.
+//! This package says what is allowed. Which backend an attempt goes to, and whether an allowed retry is made,
+//! is decided in `join-up-to` and `routing`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/http-forwarding/tests/attempt.rs
+++ b/crates/http-forwarding/tests/attempt.rs
@@ -19,7 +19,8 @@
 
 /// The action for each stage, by event in the order of `AttemptEvent::ALL`, on a reused connection.
 const ACTIONS: [(AttemptStage, [AttemptAction; 7]); 7] = [
-    // connect failed, connection lost, invalid response, timed out, client body failed, client disconnected, superseded
+    // connect failed, connection lost, invalid response, timed out, client body failed, client disconnected,
+    // superseded
     (
         AttemptStage::NothingSent,
         [CONNECT_FAILED, OTHER_CONNECTION, OTHER_CONNECTION, NOT_SENT, NOT_SENT, CANCELLED, CANCELLED],
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn response_heads_are_judged_by_status_and_criterion() {
+fn outcome_of_a_response_depends_on_its_status_and_the_success_criterion() {
     let of = |status, unprocessed| ResponseHead { status, unprocessed };
     for (head, ok, all) in [
         (of(200, false), Outcome::Served, Outcome::Served),
@@ -84,11 +85,12 @@
 ];
 
 #[test]
-fn retries_depend_on_idempotence_evidence_and_available_body() {
+fn retry_requires_proof_of_non_execution_or_idempotence_and_an_available_body() {
     for repeat in REPEATS {
         for body in [BodyAvailability::Complete, BodyAvailability::NothingSent, BodyAvailability::Incomplete]
         {
-            // A request that certainly never ran may be retried in every class if its body is available.
+            // A request that was certainly not executed may be retried in every class if its body is
+            // available.
             for never in [Outcome::ConnectFailed, Outcome::NotSent, Outcome::Rejected] {
                 assert_eq!(may_retry(repeat, Some(never), body), body != BodyAvailability::Incomplete);
             }
@@ -100,8 +102,8 @@
     }
 }
 
-/// The reference model: a backend executes a request once it has all of it, and a client has received all or part of a
-/// response. It knows only what was written to the backend and what was forwarded to the client.
+/// The reference model: a backend executes a request once it has all of it, and a client has received all or
+/// part of a response. It knows only what was written to the backend and what was forwarded to the client.
 struct ReferenceAttempt {
     is_request_sent: bool,
     is_response_forwarded: bool,
@@ -109,10 +111,10 @@
 }
 
 proptest! {
-    /// A request that may have run is never reported as never run, nothing is retried once the head of a response is being
-    /// forwarded, and a complete attempt stays complete.
+    /// A request that may have been executed is never reported as not executed, nothing is retried once the
+    /// head of a response is being forwarded, and a complete attempt stays complete.
     #[test]
-    fn agrees_with_a_reference_model(
+    fn actions_agree_with_a_reference_model(
         stage_index in 0usize..7, event_index in 0usize..7, reused in any::<bool>(), repeat_index in 0usize..3,
     ) {
         let (stage, event) = (AttemptStage::ALL[stage_index], AttemptEvent::ALL[event_index]);
--- a/crates/http-forwarding/tests/forward.rs
+++ b/crates/http-forwarding/tests/forward.rs
@@ -17,7 +17,7 @@
         x_forwarded: true,
         forwarded: true,
         via: Some(HeaderValue::from_static("node-1")),
-        trusted: vec![trusted.parse().expect("a net")],
+        trusted: vec![trusted.parse().expect("a network")],
     }
 }
 
@@ -40,7 +40,8 @@
     assert_eq!(map["forwarded"], "for=192.0.2.7;host=\"tally.example:80\";proto=http");
     assert_eq!(map["via"], "1.1 before, 1.1 node-1");
     assert!(!map.contains_key("x-real-ip"));
-    // The fields of a trusted hop stay, and the hop itself is appended. An IPv4-mapped IPv6 address is the IPv4 address.
+    // The fields of a trusted hop stay, and the hop itself is appended. An IPv4-mapped IPv6 address is the
+    // IPv4 address.
     let mut map = headers(&received);
     all("10.0.0.0/8").write(&mut map, hop("[::ffff:10.1.2.3]:5000"));
     assert_eq!(map["x-forwarded-for"], "6.6.6.6, 10.1.2.3");
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn ipv6_address_is_quoted_in_forwarded() {
+fn an_ipv6_address_is_quoted_in_forwarded() {
     let mut map = headers(&[("host", "a")]);
     all("10.0.0.0/8").write(&mut map, hop("[2001:db8::7]:5000"));
     assert_eq!(map["forwarded"], "for=\"[2001:db8::7]\";host=\"a\";proto=http");
--- a/crates/http-forwarding/tests/framing.rs
+++ b/crates/http-forwarding/tests/framing.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn each_form_of_body_framing() {
+fn body_framing_is_determined_or_rejected_by_header_and_line_endings() {
     use FramingError::*;
     for (lines, expected) in [
         ("X: y", Ok(BodyFraming::Length(0))),
