--- a/crates/http-transport/src/backend_stream.rs
+++ b/crates/http-transport/src/backend_stream.rs
@@ -1,5 +1,5 @@
-//! A backend's socket, monitored for what hyper does not report: how much of a request was written, whether the peer has
-//! closed, and how much of its response has arrived.
+//! The socket of a backend, monitored for what hyper does not report: how much of a request was written,
+//! whether the peer has closed the connection, and how much of the response has arrived.
 
 use crate::body::Upload;
 use crate::process_pause::StallDetector;
@@ -20,47 +20,52 @@
 use tokio::time::{Instant, sleep_until};
 use tracing::debug;
 
-/// The most informational responses (1xx) before the final one. Guards against a backend that never sends anything else.
+/// The maximum number of informational responses (1xx) before the final one. Guards against a backend that
+/// never sends the final one.
 const MAX_INFORMATIONAL_RESPONSES: u32 = 16;
 
-/// The progress of the exchange in flight. hyper writes and reads out of sight of its caller. Whether a request may have run
-/// depends on whether its last byte was written; whether a response is still to be expected, on when it began.
+/// The progress of the exchange in flight, which hyper does not report to its caller. A request may have been
+/// executed once its last byte was written; a response has stalled if it has begun and nothing more of it
+/// arrives.
 #[derive(Default)]
 pub struct ExchangeProgress {
     /// The size of the request's body in bytes.
     body_size: Cell<usize>,
-    /// How many bytes of the blank line that ends the head were written, 4 once the head is complete.
+    /// How many of the 4 bytes CR LF CR LF that end the head were written last; 4 once the head is complete.
     blank_line: Cell<usize>,
     body_written: Cell<usize>,
     /// Whether any byte of the request was written.
     started: Cell<bool>,
     response_head: Cell<ResponseHeadState>,
-    /// How many informational responses have arrived.
+    /// The number of informational responses that have arrived.
     informational_count: Cell<u32>,
     /// When the latest bytes of the final response arrived.
     last_response_bytes: Cell<Option<Instant>>,
     response_started: Notify,
-    /// The body, where it is streamed and its size is not known.
+    /// The body if it is streamed and its size is unknown.
     upload: RefCell<Option<Rc<Upload>>>,
     /// The last bytes written of such a body.
     tail: Cell<[u8; 5]>,
-    /// What must hold for the first byte to be sent.
+    /// The conditions for sending the first byte.
     permit: RefCell<Option<SendPermit>>,
-    /// Whether an abandoned request resets its connection, so that nothing of it arrives later.
+    /// Whether the connection of an abandoned request is reset, so that no part of the request arrives later.
     resets_when_abandoned: Cell<bool>,
-    /// Whether the first byte was withheld, as the permit had expired or the process had been stalled.
+    /// Whether the first byte was withheld, as the permit was no longer valid or the process had been
+    /// stalled.
     withheld: Cell<bool>,
     /// Counts the requests whose last byte was written.
     sent_count: RefCell<Option<Rc<Cell<u64>>>>,
-    /// Since when the connection has been idle behind a response. Bytes that arrive from then on until the next request is
-    /// written belong to no request.
+    /// Since when the connection has been idle after a response. Bytes that arrive between then and the next
+    /// request belong to no request.
     idle_since: Cell<Option<Instant>>,
 }
 
-/// The position in the head of a response.
+/// The state of the parser of response heads.
 #[derive(Clone, Copy, Default)]
 struct ResponseHeadState {
+    /// The number of bytes of the head so far.
     bytes: usize,
+    /// Whether the response is informational and another one follows. 101 does not count.
     informational: bool,
     /// Whether the current line is empty so far.
     line_empty: bool,
@@ -68,7 +73,8 @@
 }
 
 impl ExchangeProgress {
-    /// Begins a request whose body has `body_size` bytes. `sent_count` is incremented once its last byte is written.
+    /// Begins a request whose body has `body_size` bytes. `sent_count` is incremented once its last byte is
+    /// written.
     pub fn begin(&self, body_size: usize, sent_count: Option<Rc<Cell<u64>>>) {
         self.sent_count.replace(sent_count);
         self.upload.take();
@@ -101,7 +107,7 @@
             self.blank_line.set(next);
         }
     }
-    /// Begins a request with a streamed body. One of unknown size is complete with its last chunk.
+    /// Begins a request with a streamed body. A body of unknown size is complete with its last chunk.
     pub fn begin_upload(&self, upload: &Rc<Upload>, sent_count: Option<Rc<Cell<u64>>>) {
         match upload.size() {
             Some(size) => self.begin(usize::try_from(size).unwrap_or(usize::MAX), sent_count),
@@ -111,20 +117,22 @@
             }
         }
     }
-    /// Sets what must hold for the first byte to be sent.
+    /// Sets the conditions for sending the first byte.
     pub fn set_permit(&self, permit: SendPermit) {
         self.permit.replace(Some(permit));
         self.withheld.set(false);
     }
-    /// Whether the first byte was withheld here, so that neither the backend nor its connection caused the failure.
+    /// Whether the first byte was withheld, so that neither the backend nor the connection caused the
+    /// failure.
     pub fn is_withheld(&self) -> bool {
         self.withheld.get()
     }
-    /// From now on an abandoned request resets its connection, so that nothing of it arrives later.
+    /// From now on resets the connection of an abandoned request, so that no part of the request arrives
+    /// later.
     pub fn reset_when_abandoned(&self) {
         self.resets_when_abandoned.set(true);
     }
-    /// Whether a request was started whose response has not begun, and has to be reset.
+    /// Whether the connection must be reset, as a request was started whose response has not begun.
     fn is_abandoned(&self) -> bool {
         self.resets_when_abandoned.get()
             && !self.is_untouched()
@@ -155,7 +163,8 @@
     pub fn is_complete(&self) -> bool {
         let body_complete = match &*self.upload.borrow() {
             None => self.body_written.get() >= self.body_size.get(),
-            // Bytes of the body may look like the last chunk: to count the request as complete then errs on the safe side.
+            // The body may contain bytes that look like the last chunk. The request then counts as complete
+            // too early, which is the safe direction: it may have been executed.
             Some(upload) => upload.is_finished() && self.tail.get() == *b"0\r\n\r\n",
         };
         self.blank_line.get() == 4 && body_complete
@@ -179,7 +188,7 @@
                 self.last_response_bytes.set(Some(Instant::now()));
                 self.response_started.notify_one();
             }
-            // "HTTP/1.1 1xx" has its class in the tenth byte. 101 is the last response on its connection.
+            // The first digit of the status is the tenth byte of "HTTP/1.1 1xx". 101 is a final response.
             head.bytes += 1;
             match head.bytes {
                 10 => head.informational = *byte == b'1',
@@ -198,25 +207,25 @@
                 _ => head.line_empty = false,
             }
         }
-        // A large or slow response arrives in pieces: as long as they arrive, it does not stall.
+        // A large or slow response arrives in pieces. It has not stalled as long as they arrive.
         if !bytes.is_empty() && self.last_response_bytes.get().is_some() {
             self.last_response_bytes.set(Some(Instant::now()));
         }
         self.response_head.set(head);
     }
-    /// Whether more informational responses have arrived than a sound backend sends.
+    /// Whether more informational responses than allowed have arrived.
     pub fn is_flooded(&self) -> bool {
         self.informational_count.get() > MAX_INFORMATIONAL_RESPONSES
     }
-    /// Waits until a response has begun and nothing more of it has arrived for `after`. The caller drops the future once the
-    /// response is complete.
+    /// Waits until a response has begun and then no byte of it has arrived for `after`. The caller must drop
+    /// the future once the response is complete.
     pub async fn wait_for_stall(&self, after: Duration) {
         loop {
             match self.last_response_bytes.get() {
                 None => self.response_started.notified().await,
                 Some(at) => {
                     sleep_until(at + after).await;
-                    // Where the node itself was delayed, what has arrived meanwhile is read first.
+                    // If this process was delayed, bytes that have arrived in the meantime are read first.
                     yield_now().await;
                     yield_now().await;
                     if self.last_response_bytes.get() == Some(at) {
@@ -228,19 +237,21 @@
     }
 }
 
-/// A backend's socket that records what was written, and checks for the peer's close before the first byte of a request: a
-/// write to a connection that the backend has closed counts as a request that may have run.
+/// The socket of a backend. Records what is written and read. Before the first byte of a request it checks
+/// whether the peer has closed the connection, as a request that was written to a closed connection counts as
+/// possibly executed.
 pub struct MonitoredStream {
     /// `None` only after `into_stream`.
     stream: Option<TcpStream>,
     progress: Rc<ExchangeProgress>,
-    /// `None` where a request that was selected before a stall of the process may be sent all the same.
+    /// `None` if a request whose backend was selected before a stall of the process may still be sent.
     stall_detector: Option<Rc<StallDetector>>,
     reuse_delay: Rc<ReuseDelay>,
 }
 
 impl MonitoredStream {
-    /// Monitors a connected socket.
+    /// Monitors a connected socket. Without `stall_detector`, requests are not withheld after stalls of the
+    /// process.
     pub fn new(
         stream: TcpStream,
         progress: Rc<ExchangeProgress>,
@@ -250,15 +261,15 @@
         let stall_detector = stall_detector.into();
         MonitoredStream { stream: Some(stream), progress, stall_detector, reuse_delay }
     }
-    /// Records that bytes arrived. Behind a response they belong to no request: the next ones may be as late, on another
-    /// connection.
+    /// Records that bytes arrived. Bytes after a response belong to no request, and show how late such bytes
+    /// may arrive on other connections too.
     fn record_arrival(&self) {
         if let Some(since) = self.progress.idle_since.take()
             && self.reuse_delay.record_late_bytes(since.elapsed())
         {
-            // docs/operators/service.md quotes this line.
+            // Quoted in docs/operators/service.md.
             debug!(
-                "bytes came {:?} behind an answer: connections rest for {:?}",
+                "bytes arrived {:?} after a response: the reuse delay is now {:?}",
                 since.elapsed(),
                 self.reuse_delay.current()
             );
@@ -268,8 +279,9 @@
     pub fn into_stream(mut self) -> Option<TcpStream> {
         self.stream.take()
     }
-    /// The last check before the system has the first byte of a request. A process that is stopped between here and the write
-    /// itself sends a request that it selected in time; nothing on this side of the socket can prevent that.
+    /// The last check before the first byte of a request is passed to the system. If the process is stopped
+    /// between this check and the write, an outdated request is sent; this side of the socket cannot prevent
+    /// that.
     fn check_first_write(mut self: Pin<&mut Self>) -> io::Result<()> {
         if !self.progress.is_untouched() {
             return Ok(());
@@ -279,7 +291,8 @@
             self.progress.withheld.set(true);
             return Err(io::ErrorKind::TimedOut.into());
         }
-        // Checks the socket itself; the runtime may not have been notified yet. Anything to read belongs to no request.
+        // Checks the socket itself, as the runtime may not have been notified yet. Unread bytes belong to no
+        // request.
         match socket2::SockRef::from(&*self.stream()?).peek(&mut [MaybeUninit::uninit()]) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(()),
             peeked => {
@@ -297,8 +310,8 @@
 
 impl Drop for MonitoredStream {
     fn drop(&mut self) {
-        // An abandoned request must not arrive later: where the path to the backend is interrupted, the system would go on
-        // sending what it has of the request, for minutes after the close.
+        // An abandoned request must not arrive later: if the path to the backend is interrupted, the system
+        // would retransmit the queued part of the request for minutes after the close.
         if let Some(stream) = self.stream.as_ref().filter(|_| self.progress.is_abandoned()) {
             let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
         }
@@ -330,7 +343,8 @@
         }
         written
     }
-    // Without this, a body would be copied behind its head into a buffer that the connection keeps for as long as it lasts.
+    // Without vectored writes, hyper would copy the body into the buffer of the head, which the connection
+    // keeps until it ends.
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
--- a/crates/http-transport/src/body/buffer.rs
+++ b/crates/http-transport/src/body/buffer.rs
@@ -1,4 +1,4 @@
-//! Reading of a body into memory, up to a maximum size.
+//! Reads a body into memory, up to a maximum size.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -6,20 +6,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// The largest body of a request or response that is buffered, in bytes, where no setting says otherwise. A larger one is
+/// The default maximum size, in bytes, of a request or response body that is buffered. A larger one is
 /// streamed.
 pub const MAX_BUFFERED_BODY: usize = 64 << 10;
 
 /// What has been read of a body.
 pub enum ReadBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// More than may be buffered, and more will follow.
+    /// A first part that exceeds the maximum size of the buffer. The rest follows.
     Partial(Bytes),
 }
 
 impl ReadBody {
-    /// The size of the body in bytes: as announced, or what has been received of it where nothing was announced.
+    /// The announced size of the body in bytes, or the number of received bytes if no size was announced.
     pub fn size(&self, announced: Option<u64>) -> usize {
         let (ReadBody::Complete(received) | ReadBody::Partial(received)) = self;
         announced.and_then(|size| usize::try_from(size).ok()).unwrap_or(received.len())
@@ -31,14 +31,16 @@
     received: BytesMut,
     max_size: usize,
     last_arrival: Option<Instant>,
-    /// The longest wait between two arrivals, and the number of such waits.
+    /// The longest wait between two arrivals.
     longest_wait: Duration,
+    /// The number of waits between arrivals.
     waits: u32,
 }
 
-/// Bytes that follow others sooner than this arrived together with them.
+/// Bytes that follow others within this time count as having arrived together with them.
 const MIN_WAIT: Duration = Duration::from_millis(1);
-/// A body still arrives while its present pause is shorter than its longest wait so far times this.
+/// A body counts as still arriving while the current pause is shorter than this multiple of the longest wait
+/// so far.
 const ARRIVING_PAUSE_FACTOR: u32 = 3;
 
 impl BodyBuffer {
@@ -52,7 +54,8 @@
             waits: 0,
         }
     }
-    /// Adds a received frame. Returns `false` once the body exceeds the maximum; the frame is in the buffer all the same.
+    /// Adds a received frame. Returns `false` once the body exceeds the maximum; the frame is in the buffer
+    /// all the same.
     pub fn add(&mut self, frame: Frame<Bytes>) -> bool {
         if let Ok(data) = frame.into_data() {
             self.received.extend_from_slice(&data);
@@ -64,8 +67,8 @@
         self.last_arrival = Some(now);
         self.received.len() <= self.max_size
     }
-    /// Whether the body arrives in several pieces and has not stopped. One that arrived at once and then stopped may well be
-    /// a response that never ends.
+    /// Whether the body has arrived in several pieces and has not stalled. A body that has arrived in one
+    /// piece without its end may never end.
     pub fn is_arriving(&self) -> bool {
         let pause = self.last_arrival.map(|last| last.elapsed());
         self.waits > 0 && pause.is_some_and(|pause| pause < ARRIVING_PAUSE_FACTOR * self.longest_wait)
@@ -84,24 +87,24 @@
     }
 }
 
-/// Why the reading of a body into a buffer ended.
+/// Why reading a body into a buffer has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadEnd {
     /// The body is complete.
     Complete,
-    /// It is too large for the buffer.
+    /// The body exceeds the maximum size of the buffer.
     TooLarge,
-    /// It pauses for longer than it may.
+    /// Nothing has arrived for longer than allowed.
     Paused,
     /// The deadline has passed.
     TimedOut,
 }
 
-/// Reads a body into a buffer until the body is complete or too large, the deadline has passed, or nothing has arrived for
-/// `max_pause`.
+/// Reads a body into a buffer until the body is complete or too large, the deadline has passed, or nothing
+/// has arrived for `max_pause`.
 ///
 /// # Errors
-/// The connection broke, or the body is malformed.
+/// The connection was lost, or the body is malformed.
 pub async fn buffer_body(
     body: &mut Incoming,
     buffer: &mut BodyBuffer,
--- a/crates/http-transport/src/body/download.rs
+++ b/crates/http-transport/src/body/download.rs
@@ -1,4 +1,4 @@
-//! A backend's body that is streamed to a client.
+//! The body of a backend's response, streamed to a client.
 
 use super::BodyError;
 use crate::stream_deadline::StreamDeadline;
@@ -13,21 +13,23 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// How long a backend may pause in the middle of a streamed response, where no setting says otherwise.
+/// The default maximum time for which a backend may send nothing in the middle of a streamed response.
 pub const DEFAULT_MAX_GAP: Duration = Duration::from_secs(10);
 
-/// A backend's body that is streamed to a client.
+/// The body of a backend's response, streamed to a client.
 pub struct Download {
+    /// The first part of the body, until it has been passed on.
     head: Option<Bytes>,
     remaining: Incoming,
     max_gap: Duration,
     gap_timer: Pin<Box<Sleep>>,
-    /// Whether `gap_timer` runs for the present gap.
+    /// Whether `gap_timer` is running.
     waiting: bool,
-    /// When the stream is cut off at the latest.
+    /// When the stream is aborted at the latest.
     pub deadline: StreamDeadline,
     /// Called once the body is complete.
     on_complete: Option<Box<dyn FnOnce()>>,
+    /// Set once the body is complete.
     completion_flag: Option<Rc<Cell<bool>>>,
     /// Dropped with the body, however it ends.
     guards: Vec<Box<dyn Any>>,
@@ -40,7 +42,8 @@
 }
 
 impl Download {
-    /// A body whose first part, `head`, has been received. It breaks off where the backend then sends nothing for `max_gap`.
+    /// A body whose first part, `head`, has been received. It fails if the backend then sends nothing for
+    /// `max_gap`. `on_complete` is called once the body is complete.
     pub fn new(
         head: Bytes,
         remaining: Incoming,
@@ -67,11 +70,11 @@
     pub fn attach_guard(&mut self, guard: impl Any) {
         self.guards.push(Box::new(guard));
     }
-    /// Whether all of the body has been handed on.
+    /// Whether the whole body has been passed on.
     pub(super) fn is_end_stream(&self) -> bool {
         self.head.is_none() && self.remaining.is_end_stream()
     }
-    /// The size of what is left of the body, as far as it is known.
+    /// The size of the rest of the body, as far as it is known.
     pub(super) fn size_hint(&self) -> SizeHint {
         let head = self.head.as_ref().map_or(0, Bytes::len) as u64;
         let remaining = self.remaining.size_hint();
@@ -82,7 +85,7 @@
         }
         hint
     }
-    /// The next frame: the received part at first, and then what the backend sends.
+    /// The next frame: first the received part, then what the backend sends.
     pub(super) fn poll_frame(&mut self, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(head) = self.head.take() {
             return Poll::Ready(Some(Ok(Frame::data(head))));
@@ -97,7 +100,8 @@
             }
             Poll::Ready(frame) => {
                 self.waiting = false;
-                // hyper does not poll again once it has all that was announced, so each frame may be the last.
+                // hyper does not poll again once it has received the announced size, so any frame may be the
+                // last.
                 if (frame.is_none() || matches!(frame, Some(Ok(_))) && self.remaining.is_end_stream())
                     && let Some(on_complete) = self.on_complete.take()
                 {
--- a/crates/http-transport/src/body/mod.rs
+++ b/crates/http-transport/src/body/mod.rs
@@ -1,6 +1,6 @@
-//! Bodies of messages: buffered up to a limit, or streamed where they are larger, from a client to a backend and from a
-//! backend to a client. Bytes are read from one side only when the other side accepts them. Which attempts are made, and
-//! what follows a broken one, is decided elsewhere.
+//! Bodies of messages: buffered up to a limit, or streamed if they are larger, from a client to a backend or
+//! from a backend to a client. Bytes are read from one side only when the other side accepts them. Makes no
+//! attempts and does not decide about retries.
 
 mod buffer;
 mod download;
@@ -20,18 +20,19 @@
 use std::task::{Context, Poll};
 
 quick_error! {
-    /// Why a streamed body broke off. The error of the sender's connection is in the text but is no `source`: hyper wraps
-    /// this error in that of the receiver's connection, whose sources decide what is evident about the receiver.
+    /// Why a streamed body failed. The error of the sender's connection is in the text but is not the
+    /// `source`: hyper wraps this error in that of the receiver's connection, and the sources of that one are
+    /// used to tell how the receiver failed.
     #[derive(Debug)]
     pub enum BodyError {
-        /// The sender's connection broke.
-        Sender(error: hyper::Error) { display("the sender: {error}") }
+        /// The sender's connection was lost.
+        Sender(error: hyper::Error) { display("the connection of the sender failed: {error}") }
         /// The sender was too slow.
-        TooSlow { display("too slow") }
+        TooSlow { display("the sender is too slow") }
         /// The body exceeds the maximum size.
-        TooLarge { display("too large") }
-        /// Its bytes were sent in another attempt.
-        Spent { display("sent already") }
+        TooLarge { display("the body exceeds its maximum size") }
+        /// The part that is not retained was sent in an earlier attempt.
+        Spent { display("the body was sent in an earlier attempt") }
     }
 }
 
@@ -39,11 +40,11 @@
 pub enum MessageBody {
     /// A buffered body.
     Buffered(Full<Bytes>),
-    /// A client's body, streamed to a backend.
+    /// The body of a client's request, streamed to a backend.
     Upload(UploadAttempt),
-    /// A backend's body, streamed to a client.
+    /// The body of a backend's response, streamed to a client.
     Download(Box<Download>),
-    /// No body: the connection switches to another protocol behind the head.
+    /// No body: the connection switches to another protocol after the head.
     Tunnel(Option<Box<Tunnel>>),
 }
 
@@ -78,7 +79,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             MessageBody::Buffered(body) => body.is_end_stream(),
-            // Its end is an event of its own.
+            // The end of an upload is reported by `poll_frame`.
             MessageBody::Upload(_) => false,
             MessageBody::Download(body) => body.is_end_stream(),
             MessageBody::Tunnel(_) => true,
--- a/crates/http-transport/src/body/upload.rs
+++ b/crates/http-transport/src/body/upload.rs
@@ -1,4 +1,4 @@
-//! A client's body that is streamed to a backend, and its use by one attempt.
+//! The body of a client's request, streamed to a backend, and its use by an attempt.
 
 use super::BodyError;
 use bytes::Bytes;
@@ -12,10 +12,10 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// How long a client's body may take in addition to what its size allows. Guards a backend's connection against clients
-/// that stop in the middle of a body.
+/// Added to the time that the size of a client's body allows. Keeps clients that stop in the middle of a body
+/// from occupying a connection to a backend.
 const UPLOAD_TIMEOUT_SLACK: Duration = Duration::from_millis(2500);
-/// The slowest rate of a client's body, in bytes per second: 64 kB/s with a margin.
+/// The minimum rate of a client's body, in bytes per second: 64 kB/s with a margin.
 const MIN_UPLOAD_RATE: u64 = 48_000;
 
 /// How long a client may take to send a body of `bytes` bytes.
@@ -23,17 +23,17 @@
     UPLOAD_TIMEOUT_SLACK + Duration::from_millis(bytes.saturating_mul(1000) / MIN_UPLOAD_RATE)
 }
 
-/// A client's body that is streamed to a backend. Only its first part is retained, so it can be sent again only while
-/// nothing behind that part has been read.
+/// The body of a client's request, streamed to a backend. Only the first part is retained, so the body can be
+/// sent again only while nothing after that part has been read.
 pub struct Upload {
     /// The retained first part.
     head: Bytes,
     remaining: RefCell<Option<Incoming>>,
-    /// In bytes, where it is known.
+    /// The announced size in bytes.
     size: Option<u64>,
     max_size: u64,
     finished: Cell<bool>,
-    /// Whether bytes behind `head` have been read.
+    /// Whether bytes after `head` have been read.
     streaming: Cell<bool>,
     on_event: Box<dyn Fn(UploadEvent)>,
 }
@@ -54,8 +54,8 @@
 }
 
 impl Upload {
-    /// A body whose first part, `head`, has been received. It breaks off where it exceeds `max_size` bytes. `on_event` is
-    /// called at most once for each event.
+    /// A body whose first part, `head`, has been received. It fails once it exceeds `max_size` bytes.
+    /// `on_event` is called at most once for each event.
     pub fn new(
         head: Bytes,
         remaining: Incoming,
@@ -73,7 +73,7 @@
             on_event: Box::new(on_event),
         }
     }
-    /// The announced size in bytes.
+    /// The announced size in bytes; `None` if the client announced none.
     pub fn size(&self) -> Option<u64> {
         self.size
     }
@@ -97,14 +97,16 @@
     }
 }
 
-/// One attempt's use of a client's body.
+/// The use of a client's body by an attempt.
 pub struct UploadAttempt {
     upload: Rc<Upload>,
     started: bool,
+    /// The number of bytes passed on so far.
     received: u64,
-    /// How long the client was waited for. Time in which the backend accepts nothing does not count.
+    /// The total time spent waiting for the client. Time in which the backend accepts nothing is not
+    /// included.
     waited: Duration,
-    /// Since when the client is waited for, and the timer of its limit.
+    /// The start of the current wait for the client, and the timer of its time-out.
     wait: Option<(Instant, Pin<Box<Sleep>>)>,
 }
 
@@ -119,7 +121,7 @@
         self.upload.size
     }
 
-    /// The next bytes of the body: the retained part at first, and then what the client sends.
+    /// The next bytes of the body: first the retained part, then what the client sends.
     pub(super) fn poll_data(&mut self, cx: &mut Context) -> Poll<Option<Result<Bytes, BodyError>>> {
         if !std::mem::replace(&mut self.started, true) && !self.upload.head.is_empty() {
             self.received = self.upload.head.len() as u64;
@@ -148,7 +150,7 @@
                     return Poll::Ready(Some(Err(BodyError::Sender(e))));
                 }
                 Some(Ok(frame)) => {
-                    // Trailers concern one connection, as they are of no use to a backend that does not request them.
+                    // Trailers are not forwarded: a backend that does not request them has no use for them.
                     let Ok(data) = frame.into_data() else { continue };
                     self.received += data.len() as u64;
                     if self.received > self.upload.max_size {
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Is ready once the client has been waited for too long.
+    /// Ready once the client has taken longer than its received bytes allow.
     fn poll_wait(&mut self, cx: &mut Context) -> Poll<()> {
         let remaining = upload_timeout(self.received).saturating_sub(self.waited);
         let (_, sleep) = self.wait.get_or_insert_with(|| {
--- a/crates/http-transport/src/client_connections.rs
+++ b/crates/http-transport/src/client_connections.rs
@@ -1,4 +1,5 @@
-//! The open connections of clients: which one is closed when there is no capacity, and which is of no more use. Reads none.
+//! The open client connections: which one is closed when there is no capacity, and which ones are idle or
+//! stuck. Reads none.
 
 use crate::rate_limited_log;
 use crate::request_heads::HeadMonitor;
@@ -11,49 +12,50 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How long an idle connection that is being closed may stay open.
+/// How long an idle connection may stay open after its close was requested.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a new connection may be silent, and how long the head of a request may take. Guards against clients that
-/// occupy a connection and never send a request.
+/// How long a new connection may be silent, and how long the head of a request may take to arrive. Guards
+/// against clients that occupy a connection and never send a request.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// A new connection that has been silent for this long is the first to be closed when there is no capacity: a client that
-/// opens a connection for a request sends the request at once.
+/// A new connection that has been silent for this long is closed first when there is no capacity. A client
+/// that opens a connection to send a request sends it at once.
 const SILENT_CONNECTION_AGE: Duration = Duration::from_millis(50);
 
-/// The open connections.
+/// The open client connections.
 #[derive(Default)]
 pub struct Connections {
     /// The id of the next connection.
     pub next_id: Cell<u64>,
     /// The open connections by id.
     pub open: RefCell<HashMap<u64, Rc<ConnectionState>>>,
-    /// For warnings about connections that could not be accepted.
+    /// The log for warnings about connections that could not be accepted.
     pub accept_error_log: rate_limited_log::RateLimitedLog,
 }
 
-/// What is known of a connection outside its task.
+/// The state of a connection that is accessible outside its task.
 pub struct ConnectionState {
     /// Since when it has had no request in flight; `None` while it has one.
     pub idle_since: Cell<Option<Instant>>,
     /// Whether it has ever had a request.
     pub has_had_request: Cell<bool>,
-    /// Whether the request in flight is complete, so that further bytes are sent ahead of its response.
+    /// Whether the request in flight has arrived completely, so that further bytes belong to pipelined
+    /// requests.
     pub request_complete: Cell<bool>,
     /// Notified when a request begins, and when it is complete.
     pub request_progress: Notify,
-    /// What the heads of its requests have shown.
+    /// Monitors the heads of its requests.
     pub heads: Rc<HeadMonitor>,
-    /// Notified when the task shall close the connection once no request is in flight.
+    /// Notifies the task that it must close the connection once no request is in flight.
     pub close_requested: Notify,
     /// Since when the connection is being closed.
     pub closing_since: Cell<Option<Instant>>,
-    /// Notified when the task shall drop the connection at once.
+    /// Notifies the task that it must drop the connection at once.
     pub abort_requested: Notify,
-    /// The deadline of the response that is being streamed.
+    /// The deadline of the streamed response or tunnel, if there is one.
     pub response_deadline: RefCell<Option<StreamDeadline>>,
-    /// The backend's side, once the connection switches to another protocol.
+    /// The connection to the backend, once this connection switches to another protocol.
     pub tunnel: RefCell<Option<Box<Tunnel>>>,
 }
 
@@ -79,7 +81,7 @@
             tunnel: RefCell::default(),
         }
     }
-    /// Records that the request in flight is complete.
+    /// Records that the request in flight has arrived completely.
     pub fn mark_request_complete(&self) {
         self.request_complete.set(true);
         self.request_progress.notify_one();
@@ -88,12 +90,13 @@
     pub fn is_idle_for(&self, duration: Duration) -> bool {
         self.idle_since.get().is_some_and(|since| since.elapsed() >= duration)
     }
-    /// Requests that the task closes the connection once no request is in flight.
+    /// Asks the task to close the connection once no request is in flight.
     pub fn close(&self) {
         self.closing_since.set(self.closing_since.get().or_else(|| Some(Instant::now())));
         self.close_requested.notify_one();
     }
-    /// Whether the client sends no request, does not finish one, or does not read its response.
+    /// Whether the client sends no request, does not finish a head, does not close the connection when asked
+    /// to, or has a response past its deadline.
     pub fn is_stuck(&self) -> bool {
         if self.response_deadline.borrow().as_ref().is_some_and(StreamDeadline::has_passed) {
             return true;
@@ -105,7 +108,7 @@
     }
 }
 
-/// Marks a connection as busy, from the head of a request to the last byte of its response.
+/// Marks a connection as busy from the head of a request to the last byte of the response.
 pub struct BusyGuard(Rc<ConnectionState>);
 
 impl BusyGuard {
@@ -127,8 +130,9 @@
 }
 
 impl Connections {
-    /// Closes one connection to free capacity: one that is slow to send its first request, else the one that has been idle
-    /// for longest. A connection that was just opened is about to send its request and is spared.
+    /// Closes one connection to free capacity: one that is slow to send its first request, else the one that
+    /// has been idle for longest. A connection that was just opened is not closed, as its first request is
+    /// about to arrive.
     pub fn evict(&self) {
         let open = self.open.borrow();
         let idle = open.values().filter(|state| state.closing_since.get().is_none());
@@ -152,8 +156,9 @@
         }
     }
 
-    /// Closes the connections that have been idle for `min_idle`, and busy ones once their response has ended: a client whose
-    /// response ends just before the process does would send its next request into a connection that nobody serves.
+    /// Closes the connections that have been idle for `min_idle`, and busy ones once their response has
+    /// ended. Otherwise a client whose response ends just before the process does would send its next request
+    /// on a connection that is no longer served.
     pub fn close_after_responses(&self, min_idle: Duration) {
         for state in self.open.borrow().values() {
             let is_busy = state.idle_since.get().is_none();
@@ -170,8 +175,8 @@
         streams.for_each(|stream| stream.bring_forward(deadline));
     }
 
-    /// Closes the connections that have been idle for `max_idle`, and drops those that are stuck or whose stream is past its
-    /// deadline.
+    /// Closes the connections that have been idle for `max_idle`, and drops those that are stuck or whose
+    /// stream is past its deadline.
     pub fn sweep(&self, max_idle: Duration) {
         self.close_idle(max_idle);
         let open = self.open.borrow();
--- a/crates/http-transport/src/lib.rs
+++ b/crates/http-transport/src/lib.rs
@@ -1,6 +1,6 @@
-//! HTTP/1.1 connections on sockets, as both data planes use them: clients' connections and the heads of their requests,
-//! monitored streams to backends, streamed bodies, deadlines of streams, and stalls of the process. Selects no backend and
-//! decides nothing about a request.
+//! HTTP/1.1 connections on sockets, shared by `standalone-proxy` and `data-plane`: client connections and the
+//! heads of their requests, monitored streams to backends, streamed bodies, deadlines of streams, and
+//! detection of stalls of the process. Selects no backend and decides nothing about a request.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/http-transport/src/open_count.rs
+++ b/crates/http-transport/src/open_count.rs
@@ -1,4 +1,4 @@
-//! The number of open connections, counted by guards that live as long as the connections.
+//! Counts open connections by guards that live as long as the connections.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 pub struct OpenGuard(Rc<Cell<usize>>);
 
 impl OpenGuard {
-    /// Increments `count`; the drop of the guard decrements it.
+    /// Increments `count`. Dropping the guard decrements it.
     pub fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         OpenGuard(count.clone())
--- a/crates/http-transport/src/process_pause.rs
+++ b/crates/http-transport/src/process_pause.rs
@@ -1,5 +1,6 @@
-//! Detects that the process was not running: stopped, swapped out, or without a core. Until all input that arrived meanwhile
-//! has been read, nothing new is sent to a backend. Sends nothing and decides nothing about a request.
+//! Detects stalls of the process: times in which it was not running because it was stopped, swapped out, or
+//! got no CPU. Nothing new should be sent to a backend until all input that arrived during a stall has been
+//! read. Sends nothing itself.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,44 +10,47 @@
 use tokio::time::{Instant, MissedTickBehavior};
 use tracing::info;
 
-/// How often the clock is read where nothing else causes it.
+/// How often the clock is read by the background task.
 const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// A gap between two readings of the clock that no load explains: six intervals. One iteration of the event loop takes some
-/// 10 ms under full load; a stall of 300 ms is always detected, as the reading before it was in the past already.
+/// The minimum gap between two readings of the clock that counts as a stall. Load does not explain such a
+/// gap: it is six intervals, and an iteration of the event loop takes about 10 ms under full load. A stall of
+/// 300 ms is always detected, as the gap between the readings before and after it is at least as long.
 const STALL_THRESHOLD: Duration = Duration::from_millis(300);
-/// Iterations of the runtime after which all input that the system had queued has been read. One iteration delivers up to
-/// 1,024 ready sockets and runs 61 tasks, and a node holds at most 1,024 descriptors unless the limit is raised; twice as many
-/// for the tasks that these wake.
-const CATCH_UP_TURNS: u32 = 2 * 1024 / 61;
+/// The number of iterations of the runtime after which all input that the system had queued has been read. An
+/// iteration delivers up to 1,024 ready sockets and runs 61 tasks. A node has at most 1,024 descriptors
+/// unless the limit is raised. Doubled for the tasks that are woken in turn.
+const CATCH_UP_ITERATIONS: u32 = 2 * 1024 / 61;
 
-/// How long catching up waits for connections that clients opened during a stall to be accepted. Guards a node that accepts no
-/// more connections, as it shuts down or another process has its sockets.
+/// The maximum time that catching up waits until connections that were opened during a stall are accepted.
+/// Needed for a node that accepts no more connections, as it shuts down or another process has its sockets.
 const MAX_ACCEPT_WAIT: Duration = Duration::from_millis(250);
 
-/// The stalls that readings of the clock show. Has no clock: the time is passed in.
+/// Derives stalls from readings of the clock. Has no clock itself: the time is passed in.
 #[derive(Debug)]
 struct StallHistory {
-    last_seen: Instant,
-    /// When the process was last seen running before the stall whose input is still being read.
+    /// The latest reading of the clock.
+    last_reading: Instant,
+    /// The last reading before the first stall whose input may still be unread; `None` once all input has
+    /// been read.
     catching_up_since: Option<Instant>,
-    /// How many stalls there were.
+    /// The number of stalls since the start.
     count: u64,
-    /// The latest stalls, each from its start to its end.
+    /// The start and end of the latest stalls, the latest first.
     recent: [Option<(Instant, Instant)>; 4],
 }
 
 impl StallHistory {
     fn new(now: Instant) -> Self {
-        StallHistory { last_seen: now, catching_up_since: None, count: 0, recent: [None; 4] }
+        StallHistory { last_reading: now, catching_up_since: None, count: 0, recent: [None; 4] }
     }
 
-    /// Records that the process runs. Returns whether it was stalled before.
+    /// Records a reading of the clock. Returns whether the process was stalled before it.
     fn record(&mut self, now: Instant) -> bool {
-        let last = self.last_seen;
-        self.last_seen = now.max(last);
+        let last = self.last_reading;
+        self.last_reading = now.max(last);
         let stalled = now.saturating_duration_since(last) >= STALL_THRESHOLD;
         if stalled {
-            // Where input of an earlier stall is still unread, what is read next may be as old as that.
+            // If input of an earlier stall is still unread, what is read next may be as old as that stall.
             self.catching_up_since.get_or_insert(last);
             self.recent.rotate_right(1);
             self.recent[0] = Some((last, now));
@@ -55,27 +59,27 @@
         stalled
     }
 
-    /// For how long the process was stalled since `from`.
+    /// For how long the process was stalled since `from`, by the latest four stalls.
     fn stalled_since(&self, from: Instant) -> Duration {
         let recent = self.recent.iter().flatten();
         recent.map(|(start, end)| end.saturating_duration_since(from.max(*start))).sum()
     }
 }
 
-/// Detects stalls of this process. Shared by all that read input from outside or send there.
+/// Detects stalls of this process. Shared by all parts that read from sockets or write to them.
 #[derive(Debug)]
 pub struct StallDetector {
     history: RefCell<StallHistory>,
     stall_detected: Notify,
     caught_up: Notify,
     catch_up_requested: Notify,
-    /// Whether connections that clients opened during a stall may still wait to be accepted.
+    /// Whether connections that were opened during a stall may still wait to be accepted.
     accepts_pending: Cell<bool>,
     delayed_requests: Cell<u64>,
 }
 
 impl StallDetector {
-    /// Starts a detector with its local tasks, which run as long as the local set.
+    /// Starts a detector with its background tasks on the local set.
     pub fn start() -> Rc<Self> {
         let detector = Rc::new(StallDetector::without_tasks());
         tokio::task::spawn_local(check_clock(detector.clone()));
@@ -83,7 +87,7 @@
         detector
     }
 
-    /// A detector without the tasks that read the clock periodically and catch up.
+    /// A detector without background tasks: the clock is read only by calls, and catching up never ends.
     pub fn without_tasks() -> Self {
         StallDetector {
             history: RefCell::new(StallHistory::new(Instant::now())),
@@ -95,8 +99,8 @@
         }
     }
 
-    /// Reads the clock. Returns whether input that arrived during a stall may still be unread. To be called before input is
-    /// processed or anything is sent.
+    /// Reads the clock. Returns whether input that arrived during a stall may still be unread. Must be called
+    /// before input is processed or anything is sent.
     pub fn is_catching_up(&self) -> bool {
         let mut history = self.history.borrow_mut();
         if history.record(Instant::now()) {
@@ -113,7 +117,8 @@
         self.history.borrow().catching_up_since.unwrap_or_else(Instant::now)
     }
 
-    /// How many stalls there were. What was selected or read under another number is older than the latest stall.
+    /// The number of stalls since the start. A decision made under another number is older than the latest
+    /// stall.
     pub fn stall_count(&self) -> u64 {
         self.is_catching_up();
         self.history.borrow().count
@@ -126,19 +131,19 @@
         }
     }
 
-    /// For how long the process was stalled since `from`.
+    /// For how long the process was stalled since `from`. Considers the latest four stalls.
     pub fn stalled_since(&self, from: Instant) -> Duration {
         self.history.borrow().stalled_since(from)
     }
 
-    /// Waits until there was a stall during which clients may have connected.
+    /// Waits until connections that were opened during a stall may wait to be accepted.
     pub async fn wait_for_pending_accepts(&self) {
         while !self.accepts_pending.get() {
             self.stall_detected.notified().await;
         }
     }
 
-    /// Records that no connection waits to be accepted, or that there is no capacity for one.
+    /// Records that no connection waits to be accepted, or that there is no capacity for further ones.
     pub fn mark_all_accepted(&self) {
         self.accepts_pending.set(false);
     }
@@ -159,18 +164,20 @@
     }
 }
 
-/// After each stall, lets the runtime read all input that has arrived, and then marks the process as caught up.
+/// After each stall, lets the runtime read all input that has arrived, and then marks the process as caught
+/// up.
 async fn catch_up(detector: Rc<StallDetector>) {
     loop {
         detector.catch_up_requested.notified().await;
         let (started, count) = (Instant::now(), detector.stall_count());
-        let mut turns = 0;
-        while turns < CATCH_UP_TURNS || detector.accepts_pending.get() && started.elapsed() < MAX_ACCEPT_WAIT
+        let mut iterations = 0;
+        while iterations < CATCH_UP_ITERATIONS
+            || detector.accepts_pending.get() && started.elapsed() < MAX_ACCEPT_WAIT
         {
             yield_now().await;
-            turns += 1;
+            iterations += 1;
         }
-        // Another stall meanwhile starts it again.
+        // Starts again if there was another stall in the meantime.
         if detector.stall_count() != count {
             detector.catch_up_requested.notify_one();
             continue;
@@ -180,9 +187,9 @@
         if let Some((start, end)) = history.recent[0] {
             let (stalled, elapsed) = (end - start, started.elapsed());
             let delayed = detector.delayed_requests.take();
-            // docs/operators/trials.md quotes this line.
+            // Quoted in docs/operators/trials.md.
             info!(
-                "was not running for {stalled:?}; looked again within {elapsed:?}, {delayed} requests held meanwhile"
+                "process stalled for {stalled:?}; caught up within {elapsed:?}, {delayed} requests delayed"
             );
         }
         drop(history);
--- a/crates/http-transport/src/process_pause/tests.rs
+++ b/crates/http-transport/src/process_pause/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parent module that need its private items.
+//! Unit tests of the private items of the parent module.
 
 use super::*;
 use rand::{Rng, SeedableRng};
@@ -13,9 +13,9 @@
     for reading in 1..100u32 {
         assert!(!history.record(start + reading * CLOCK_CHECK_INTERVAL));
     }
-    let last = history.last_seen;
+    let last = history.last_reading;
     assert!(!history.record(last + STALL_THRESHOLD - MS) && history.catching_up_since.is_none());
-    let last = history.last_seen;
+    let last = history.last_reading;
     assert!(history.record(last + STALL_THRESHOLD));
     assert_eq!((history.catching_up_since, history.count), (Some(last), 1));
     // A second stall before the input of the first is read: what is read may be as old as the first.
@@ -40,9 +40,9 @@
     assert_eq!(history.stalled_since(start + 3100 * MS), Duration::ZERO);
 }
 
-/// Random sequences of iterations and stops, one for each seed. Bytes arrive at any time and are read at the next iteration:
-/// the reported earliest arrival is later than the real one by less than the threshold; no iteration counts as a stall; and
-/// the stalled time is exact.
+/// Random sequences of iterations and stops, one for each seed. Bytes arrive at any time and are read at the
+/// next iteration: the reported earliest arrival is later than the real one by less than the threshold; no
+/// iteration counts as a stall; and the stalled time is exact.
 #[test]
 fn the_earliest_arrival_is_never_later_than_the_real_arrival() {
     for seed in 0..2000 {
@@ -89,7 +89,7 @@
         assert!(!detector.is_catching_up());
         std::thread::sleep(STALL_THRESHOLD + 50 * MS);
         assert!(detector.is_catching_up() && detector.earliest_arrival().elapsed() >= STALL_THRESHOLD);
-        for _ in 0..10 * CATCH_UP_TURNS {
+        for _ in 0..10 * CATCH_UP_ITERATIONS {
             yield_now().await;
         }
         assert!(detector.is_catching_up(), "a connection may still wait to be accepted");
--- a/crates/http-transport/src/read_ahead.rs
+++ b/crates/http-transport/src/read_ahead.rs
@@ -1,19 +1,21 @@
-//! Reads what a client sends before it has the response to its request, so that its close is detected at once.
+//! Reads ahead what a client sends while a request is in flight, so that the close of its connection is
+//! detected at once.
 
 use crate::client_connections::ConnectionState;
 use crate::shared_stream::SharedStream;
 use std::sync::Arc;
 use tokio::sync::Semaphore;
 
-/// How many bytes are read ahead at a time.
+/// The maximum number of bytes of one read.
 pub const READ_AHEAD_SIZE: usize = 16 << 10;
-/// The most reads of this size that are buffered for one connection.
+/// The maximum number of reads that are buffered for one connection.
 const MAX_BUFFERED_READS: usize = 64;
 
-/// Waits until the client has closed the connection while a request is in flight. hyper detects a close only behind the last
-/// byte that was sent ahead, and reads none of those before the response is sent. What is read here instead is buffered for
-/// it, within `memory`, the node's memory for requests in flight in KiB. Beyond `MAX_BUFFERED_READS` the client gets
-/// backpressure, and only a close that the system has received is detected.
+/// Waits until the client has closed the connection while a request is in flight. hyper detects a close only
+/// after the last pipelined byte, and reads no pipelined bytes before the response is sent. They are read
+/// here and buffered for hyper. Memory for that is taken from `memory`, the memory of the node for requests
+/// in flight, in KiB. Beyond `MAX_BUFFERED_READS` the client gets backpressure, and only a close that the
+/// system has already received is detected.
 pub async fn wait_for_disconnect(socket: &SharedStream, state: &ConnectionState, memory: &Arc<Semaphore>) {
     let (mut memory_permits, mut is_memory_exhausted) = (Vec::new(), false);
     loop {
--- a/crates/http-transport/src/request_heads.rs
+++ b/crates/http-transport/src/request_heads.rs
@@ -1,5 +1,5 @@
-//! A client's socket, monitored for what hyper does not report: a head that announces its length in two ways, and since when
-//! a head has been incomplete.
+//! The socket of a client, monitored for what hyper does not report: heads with ambiguous framing, and since
+//! when a head has been incomplete.
 
 use crate::shared_stream::SharedStream;
 use http_forwarding::framing::{FramingError, LineEndings, StreamPosition};
@@ -11,48 +11,48 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-/// What a connection's heads have shown so far.
+/// The observations about the request heads of a connection.
 #[derive(Default)]
 pub struct HeadMonitor {
     /// Since when a head has been incomplete.
     incomplete_since: Cell<Option<Instant>>,
-    /// Why some head is ambiguous. hyper picks one reading and hides the other.
+    /// The first framing error of a head. hyper accepts ambiguous heads without reporting that.
     fault: Cell<Option<FramingError>>,
 }
 
 impl HeadMonitor {
-    /// Since when a head has been incomplete; `None` while none is.
+    /// Since when the current head has been incomplete; `None` between heads.
     pub fn incomplete_since(&self) -> Option<Instant> {
         self.incomplete_since.get()
     }
-    /// Why the head of some request is ambiguous.
+    /// The first framing error of a head; `None` if there was none.
     pub fn fault(&self) -> Option<FramingError> {
         self.fault.get()
     }
     /// Records received bytes.
-    fn read(&self, place: &mut StreamPosition, bytes: &[u8], ends: LineEndings) {
+    fn record(&self, position: &mut StreamPosition, bytes: &[u8], line_endings: LineEndings) {
         if bytes.is_empty() {
             return;
         }
-        let seen = place.advance(bytes, ends);
-        self.fault.set(self.fault.get().or(seen.error));
+        let observation = position.advance(bytes, line_endings);
+        self.fault.set(self.fault.get().or(observation.error));
         let since = self.incomplete_since.get().or_else(|| Some(Instant::now()));
-        self.incomplete_since.set(since.filter(|_| seen.is_head_incomplete));
+        self.incomplete_since.set(since.filter(|_| observation.is_head_incomplete));
     }
 }
 
 /// A client's socket whose received bytes are recorded in a [`HeadMonitor`].
 pub struct MonitoredClientStream {
     stream: SharedStream,
-    place: StreamPosition,
-    ends: LineEndings,
+    position: StreamPosition,
+    line_endings: LineEndings,
     heads: Rc<HeadMonitor>,
 }
 
 impl MonitoredClientStream {
-    /// Monitors `stream`; `ends` says which line ends are accepted.
-    pub fn new(stream: SharedStream, heads: Rc<HeadMonitor>, ends: LineEndings) -> Self {
-        MonitoredClientStream { stream, place: StreamPosition::default(), ends, heads }
+    /// Monitors `stream`. Heads with other line endings than `line_endings` allows are recorded as invalid.
+    pub fn new(stream: SharedStream, heads: Rc<HeadMonitor>, line_endings: LineEndings) -> Self {
+        MonitoredClientStream { stream, position: StreamPosition::default(), line_endings, heads }
     }
 }
 
@@ -61,7 +61,7 @@
         let before = buffer.filled().len();
         let this = &mut *self;
         let read = Pin::new(&mut this.stream).poll_read(cx, buffer);
-        this.heads.read(&mut this.place, &buffer.filled()[before..], this.ends);
+        this.heads.record(&mut this.position, &buffer.filled()[before..], this.line_endings);
         read
     }
 }
--- a/crates/http-transport/src/response_framing.rs
+++ b/crates/http-transport/src/response_framing.rs
@@ -1,4 +1,5 @@
-//! Whether the end of a response is unambiguous (RFC 9112, section 6.3), and whether its connection broke. Reads no socket.
+//! Checks whether the end of a response is unambiguous (RFC 9112, section 6.3), and whether an error is that
+//! of its connection. Reads no socket.
 
 use http_forwarding::forward::list_contains;
 use hyper::header::{self, HeaderMap};
@@ -7,17 +8,18 @@
 use std::io;
 
 quick_error! {
-    /// Why a response can't be forwarded: it may have been truncated without a sign of that.
+    /// Why a response is not forwarded: a truncation of it could not be detected.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum FramingError {
         /// The head does not delimit the body, or does so in several ways.
-        Ambiguous { display("where it ends is not said, or twice") }
+        Ambiguous { display("the end of the body is not announced, or in several ways") }
     }
 }
 
-/// Checks that a response delimits its body in exactly one way: by one length, in chunks, or by the close of its connection
-/// where it announces that close. A response that announces nothing is indistinguishable from a truncated one; one whose
-/// connection broke shows as a reset.
+/// Checks that a response delimits its body in exactly one way: by one length, in chunks, or by the close of
+/// its connection if it announces that close. A response that announces nothing is indistinguishable from a
+/// truncated one. If a response announces the close, a lost connection is still recognized, as it shows as a
+/// reset.
 ///
 /// # Errors
 /// The end of the body is not announced, or announced in several ways.
@@ -33,7 +35,7 @@
     if is_valid && delimiters.next().is_none() { Ok(()) } else { Err(FramingError::Ambiguous) }
 }
 
-/// Whether a body ended because its connection broke, rather than by malformed data.
+/// Whether a body ended because its connection was lost, rather than because of malformed data.
 pub fn is_connection_error(e: &(dyn Error + 'static)) -> bool {
     let mut cause = Some(e);
     while let Some(e) = cause {
--- a/crates/http-transport/src/scoped_task.rs
+++ b/crates/http-transport/src/scoped_task.rs
@@ -1,9 +1,9 @@
-//! A task that lives as long as its owner. Knows nothing of what the task does.
+//! A task that is aborted when its owner is dropped.
 
 use std::future::Future;
 use tracing::debug;
 
-/// A task that is aborted when this is dropped: the task of a connection closes its socket with it.
+/// A task that is aborted when this is dropped. Aborting the task of a connection closes its socket.
 pub struct ScopedTask(tokio::task::JoinHandle<()>);
 
 impl ScopedTask {
@@ -15,7 +15,7 @@
     pub fn spawn_connection(connection: impl Future<Output = hyper::Result<()>> + 'static) -> Self {
         ScopedTask::spawn(async move {
             if let Err(e) = connection.await {
-                debug!("a connection ended: {e}");
+                debug!("connection failed: {e}");
             }
         })
     }
--- a/crates/http-transport/src/send_permit.rs
+++ b/crates/http-transport/src/send_permit.rs
@@ -1,13 +1,13 @@
-//! Whether the first byte of an attempt may still be sent. It is checked at the last moment before the system has that byte,
-//! as what was true when the backend was selected may have changed: a connection may have taken long to open. Sends nothing
-//! and selects no backend.
+//! Whether the first byte of an attempt may still be sent. This is checked immediately before the byte is
+//! passed to the system, as the situation may have changed since the backend was selected, for example while
+//! a connection was opened slowly. Sends nothing and selects no backend.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Whether a request has been cancelled or has its response, so that no further attempt may start. The handler of the
-/// request sets it, and each attempt of the request checks a clone.
+/// Whether a request has been cancelled or has its response, so that no further attempt may start. The
+/// handler of the request sets it, and each attempt of the request checks a clone.
 #[derive(Clone, Debug, Default)]
 pub struct CancellationFlag(Rc<Cell<bool>>);
 
@@ -22,8 +22,8 @@
     }
 }
 
-/// Whether a backend accepts new requests at its address. It does not from the moment at which an endpoint list shows it as
-/// draining, removed or moved.
+/// Whether a backend accepts new requests at its address. It does not once the list of backends shows it as
+/// draining, removed or at another address.
 #[derive(Clone, Debug)]
 pub struct ServingFlag(Rc<Cell<bool>>);
 
@@ -42,10 +42,10 @@
     }
 }
 
-/// What must hold for the first byte of an attempt to be sent. Once it is sent, none of this revokes it.
+/// The conditions for sending the first byte of an attempt. They have no effect once it is sent.
 #[derive(Clone, Debug)]
 pub struct SendPermit {
-    /// The first byte is sent before this or not at all.
+    /// The time by which the first byte must be sent.
     pub deadline: Instant,
     /// Whether the request has been cancelled.
     pub cancellation: CancellationFlag,
--- a/crates/http-transport/src/shared_stream.rs
+++ b/crates/http-transport/src/shared_stream.rs
@@ -1,5 +1,6 @@
-//! A socket that one task reads and writes while another watches it: whether its peer has closed, and whether bytes are unread.
-//! What the watcher reads ahead is buffered for the reader, in order. Interprets none of it.
+//! A socket that one task reads and writes while another one watches whether the peer has closed it and
+//! whether bytes are unread. What the watcher reads ahead is buffered for the reader, in order. Does not
+//! interpret any bytes.
 
 use bytes::{Bytes, BytesMut};
 use std::cell::RefCell;
@@ -19,9 +20,9 @@
 #[derive(Debug)]
 struct Socket {
     stream: TcpStream,
-    /// What was read ahead and the reader has not read.
+    /// Bytes that were read ahead and that the reader has not read yet.
     buffered: RefCell<BytesMut>,
-    /// Wakes the reader, where it waits.
+    /// The waker of the reader, if it waits.
     reader_waker: RefCell<Option<Waker>>,
 }
 
@@ -35,7 +36,8 @@
         }))
     }
 
-    /// Waits until bytes have arrived that the reader leaves unread. Returns `false` if the peer has closed instead.
+    /// Waits until bytes have arrived that the reader leaves unread. Returns `false` if the peer has closed
+    /// instead.
     pub async fn wait_for_unread(&self) -> bool {
         loop {
             if self.0.stream.readable().await.is_err() {
@@ -50,8 +52,9 @@
         }
     }
 
-    /// Reads at most `max_bytes` unread bytes into the buffer for the reader. Where the reader has stopped, this is the only way
-    /// to detect a close behind more bytes than the system's receive buffer holds.
+    /// Reads at most `max_bytes` unread bytes into the buffer for the reader. While the reader does not read,
+    /// this is the only way to detect a close that follows more bytes than the receive buffer of the system
+    /// holds.
     pub fn read_ahead(&self, max_bytes: usize) {
         let mut chunk = BytesMut::zeroed(max_bytes);
         if let Ok(count) = self.0.stream.try_read(&mut chunk) {
@@ -62,7 +65,7 @@
 
     /// Reads and discards at most `max_bytes` unread bytes.
     pub fn discard(&self, max_bytes: usize) {
-        // An error shows again at the next wait.
+        // An error recurs at the next wait.
         let _ = self.0.stream.try_read(&mut vec![0; max_bytes]);
     }
 
@@ -70,16 +73,16 @@
         socket2::SockRef::from(&self.0.stream).peek(&mut [MaybeUninit::uninit()])
     }
 
-    /// How many bytes were read ahead and the reader has not read.
+    /// The number of bytes that were read ahead and that the reader has not read yet.
     pub fn buffered_len(&self) -> usize {
         self.0.buffered.borrow().len()
     }
 
-    /// Waits until the peer has closed its sending side or the connection is broken, whatever is still unread before that. The
-    /// reader detects it only behind the last of these bytes.
+    /// Waits until the peer has closed its sending side or the connection is lost, even if bytes are unread.
+    /// The reader detects a close only after the last of these bytes.
     pub async fn wait_for_close(&self) {
-        // The system reports a close together with readability. This interest waits for the close alone; urgent data, its
-        // other meaning, is not registered for.
+        // With `READABLE`, the system would report unread bytes as well as a close. `PRIORITY` reports the
+        // close only; its other meaning, urgent data, is not registered for.
         loop {
             match self.0.stream.ready(Interest::PRIORITY).await {
                 Ok(ready) if !ready.is_read_closed() => tokio::task::yield_now().await,
--- a/crates/http-transport/src/shared_stream/tests.rs
+++ b/crates/http-transport/src/shared_stream/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parent module that need its private items.
+//! Unit tests of the private items of the parent module.
 
 use super::*;
 use std::io::Write;
--- a/crates/http-transport/src/tunnel.rs
+++ b/crates/http-transport/src/tunnel.rs
@@ -1,5 +1,5 @@
-//! Two connections that have switched protocols: bytes are relayed unchanged in both directions until one side closes, both
-//! are silent for too long, or the deadline passes. Interprets none of them.
+//! Two connections that have switched protocols: bytes are relayed unchanged in both directions until both
+//! sides have closed, both are silent for too long, or the deadline passes. Does not interpret the bytes.
 
 use crate::stream_deadline::StreamDeadline;
 use bytes::Bytes;
@@ -14,21 +14,21 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout};
 
-/// How many bytes are read from one side before the other has accepted them.
+/// The maximum number of bytes that are read from one side before the other side has accepted them.
 const CHUNK_SIZE: usize = 16 << 10;
 /// How often the idle time-out and the deadline are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How long the backend's connection may take to be released by HTTP once it has switched.
+/// How long hyper may take to release the connection to the backend after the switch.
 const SWITCH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A connection that HTTP has released, and the bytes read from it behind the last message.
+/// A connection that hyper has released, and the bytes read from it after the last message.
 pub type RawConnection = (TcpStream, Bytes);
 
-/// A backend's side of a connection that has switched protocols.
+/// The backend's side of a connection that has switched protocols.
 pub struct Tunnel {
-    /// Resolves once HTTP has released the backend's connection.
+    /// Resolves once hyper has released the connection to the backend.
     pub raw: oneshot::Receiver<RawConnection>,
-    /// When the tunnel is cut off at the latest.
+    /// When the tunnel is closed at the latest.
     pub deadline: StreamDeadline,
     /// How long both sides may be silent.
     pub idle_timeout: Duration,
@@ -42,7 +42,7 @@
     }
 }
 
-/// Relays bytes in both directions until the tunnel ends. Both connections are closed then, whatever ended it.
+/// Relays bytes in both directions until the tunnel ends, and then closes both connections.
 pub async fn relay((mut client, from_client): RawConnection, tunnel: Tunnel) {
     let Tunnel { raw, deadline, idle_timeout, guards } = tunnel;
     let Ok(Ok((mut backend, from_backend))) = timeout(SWITCH_TIMEOUT, raw).await else { return };
@@ -67,7 +67,8 @@
     drop(guards);
 }
 
-/// Relays `first` and what follows until the sender closes, and then relays the close.
+/// Relays `first` and the following bytes until the sender closes its side, and then closes the receiver's
+/// side as well.
 async fn relay_direction(
     from: &mut ReadHalf<'_>,
     to: &mut WriteHalf<'_>,
