--- a/crates/standalone-proxy/src/downstream/mod.rs
+++ b/crates/standalone-proxy/src/downstream/mod.rs
@@ -1,12 +1,12 @@
-//! The clients' side: accepted connections, heads, the limits before the balancer, responses. It sends nothing to a backend
-//! and selects none.
+//! The side of the clients: accepted connections, request heads, admission limits, responses. Sends nothing
+//! to a backend and selects none.
 //!
 //! - [`serve`]: accepts connections and serves each of them.
-//! - [`request`]: one request from its head to its response.
-//! - [`request_router`]: what the two kinds of node make of a head.
-//! - [`admission`]: the limits of the operator's file.
+//! - [`request`]: handles a request from its head to its response.
+//! - [`request_router`]: the interface by which the two kinds of node route a request by its head.
+//! - [`admission`]: enforces the limits of the operator's file.
 //! - [`fingerprint`], [`response`]: parts of [`request`].
-//! - [`state`]: what all connections share.
+//! - [`state`]: the state that all connections share.
 
 pub mod admission;
 mod fingerprint;
--- a/crates/standalone-proxy/src/downstream/request.rs
+++ b/crates/standalone-proxy/src/downstream/request.rs
@@ -1,5 +1,5 @@
-//! One request from its head to its response: read, limited, passed to the node's task, answered. Decides nothing of where it
-//! is sent.
+//! Handles a request from its head to its response: reads it, applies the limits, passes it to the task of
+//! the node, and returns the response. Does not decide where it is sent.
 
 use crate::decision_loop::event::{Arrival, FinalResponse, NodeEvent, PendingResponse};
 use crate::downstream::admission::AdmissionPermit;
@@ -29,10 +29,11 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::{Instant, timeout_at};
 
-/// The memory that a request in flight may occupy besides its body, in KiB: a response.
+/// The memory that a request in flight may occupy in addition to its body, in KiB: that of a buffered
+/// response.
 const RESPONSE_KIB: usize = MAX_BUFFERED_BODY >> 10;
 
-/// Answers a request, and counts the response for the request's class if the head was accepted.
+/// Answers a request. Counts the response in the metrics of the class if the head was accepted.
 ///
 /// # Errors
 /// The request is not accepted.
@@ -62,7 +63,7 @@
     let (head, mut body) = request.into_parts();
     let router = state.router.borrow().clone();
     let mut routed = match router.route(&head) {
-        // A file may have a route of this path, which then takes precedence.
+        // A route of the file for this path takes precedence.
         Err(error) if error.status() == StatusCode::NOT_FOUND && is_readiness_check(&head) => {
             return Ok(readiness_response(state));
         }
@@ -85,7 +86,8 @@
     let exchange = begin_exchange(state, &*router, &routed, &head.method);
     let mut guards =
         RequestGuards { _id: id_guard, _memory: memory, _in_flight: in_flight, permit: None, exchange };
-    // A request is accepted with its last byte, or with as much of it as is buffered, by the router of that time.
+    // A request is accepted once its body was read as far as it is buffered, by the router that is active
+    // then.
     let router = route_again(state, router, &head, &mut routed)?;
     let id = RequestId(state.next_request_id.get());
     state.next_request_id.set(id.0 + 1);
@@ -102,7 +104,7 @@
             }
         }
     }
-    // While it waited for its place in a limit, the file may have been replaced.
+    // The file may have been replaced while the request was queued.
     let router = route_again(state, router, &head, &mut routed)?;
     routed.request.id = id;
     record(state, &*router, &routed, &head, read.size(size));
@@ -120,7 +122,7 @@
     RequestError::new(status, if is_ready { "ready" } else { "not ready" }).into_response()
 }
 
-/// Checks what the head says of the body.
+/// Checks the size that the head announces, and that a GET request has no body.
 fn validate_body(state: &DownstreamState, head: &Parts, body: &Incoming) -> Result<(), RequestError> {
     if body.size_hint().exact().is_some_and(|size| size > state.max_body) {
         let message = format!("a body holds at most {} bytes", state.max_body);
@@ -132,8 +134,8 @@
     Ok(())
 }
 
-/// Reserves the memory of a request and its response. What exceeds the largest buffered body is streamed. `None` if there is
-/// not enough memory.
+/// Reserves memory for the buffered part of a request and for its response. `None` if there is not enough
+/// memory.
 fn reserve_memory(
     state: &DownstreamState,
     size: Option<u64>,
@@ -144,8 +146,9 @@
     state.body_memory_kib.clone().try_acquire_many_owned(kib).ok()
 }
 
-/// When a request has arrived: the client's time runs from the last byte, which may have arrived at any time of a stall that
-/// has just ended. A request that may be repeated freely gets its full time all the same: sent too late it does no harm.
+/// The time from which the time that the client waits is counted: the arrival of the last byte. That may have
+/// arrived at the start of a stall that has just ended, which is assumed unless the request is idempotent:
+/// then a late attempt does no harm.
 fn arrival_time(state: &DownstreamState, repeat: Repeat) -> Instant {
     let earliest = state.stalls.earliest_arrival();
     if repeat == Repeat::Safe { Instant::now() } else { earliest }
@@ -162,7 +165,7 @@
     Some(Exchange::begin(telemetry, labels, method.as_str()))
 }
 
-/// Routes a head again if the router was replaced since it was routed, and returns the present router.
+/// Routes a head again if the router was replaced since it was routed. Returns the current router.
 fn route_again(
     state: &DownstreamState,
     last: Rc<dyn RequestRouter>,
@@ -173,7 +176,7 @@
     if !Rc::ptr_eq(&last, &router) {
         let id = routed.correlation_id.clone();
         *routed = router.route(head)?;
-        // A generated id remains the one that is guarded.
+        // The request keeps its id, which is the one that is guarded against duplicates.
         routed.headers.retain(|(name, _)| *name != CORRELATION);
         routed.headers.push((CORRELATION, id.clone()));
         routed.correlation_id = id;
@@ -200,7 +203,8 @@
     }
 }
 
-/// Reads a body as far as it is buffered. One that does not arrive in time, by what has arrived of it, is never forwarded.
+/// Reads a body as far as it is buffered. The time-out grows with the received bytes; a body that arrives too
+/// slowly is not forwarded.
 async fn read_body(body: &mut Incoming, max_size: usize) -> Result<ReadBody, RequestError> {
     let (begun, mut buffer) = (Instant::now(), BodyBuffer::new(max_size));
     loop {
@@ -218,7 +222,7 @@
     }
 }
 
-/// What ends with a request and its response.
+/// The resources that are released when a request and its response have ended.
 struct RequestGuards {
     _id: RequestIdGuard,
     _memory: OwnedSemaphorePermit,
@@ -228,13 +232,14 @@
 }
 
 impl RequestGuards {
-    /// Notes the head of the response, and keeps the guards until the end of a body that is streamed.
+    /// Reports the head of the response, and attaches the guards to a streamed body or a tunnel so that they
+    /// live until its end.
     fn attach(self, response: &mut Response<MessageBody>, served_by: Option<ServedBy>) {
         if let Some(exchange) = &self.exchange {
             exchange.response_started(response.status().as_u16(), served_by);
             match response.body_mut() {
                 MessageBody::Download(body) => body.set_completion_flag(exchange.completion_flag()),
-                // A tunnel counts as complete once it has ended.
+                // A buffered response and a tunnel count as complete, however they end.
                 _ => exchange.completion_flag().set(true),
             }
         }
@@ -246,24 +251,24 @@
     }
 }
 
-/// A request that was read as far as it is buffered, and was admitted.
+/// A request that was read as far as it is buffered, and that was admitted.
 struct AcceptedRequest {
     head: Parts,
     routed: RoutedRequest,
     read: ReadBody,
     /// The rest of the body.
     body: Incoming,
-    /// The size that the head announces.
+    /// The size of the body that the head announces, in bytes.
     size: Option<u64>,
     arrived_at: Instant,
 }
 
-/// A request in the form that goes to the node's task.
+/// A request in the form in which it is passed to the task of the node.
 struct PreparedRequest {
     arrival: Arrival,
-    /// The body, if it is streamed.
+    /// The body if it is streamed.
     upload: Option<Rc<Upload>>,
-    /// The channel of the node's task.
+    /// The channel of the task of the node.
     events: mpsc::UnboundedSender<NodeEvent>,
 }
 
@@ -277,7 +282,7 @@
         }
     }
 
-    /// Brings the request into the form that is sent to backends.
+    /// Converts the request into the form that is sent to backends.
     fn prepare(
         self,
         state: &DownstreamState,
@@ -294,7 +299,7 @@
         let id_origin = if has_id { IdOrigin::Client } else { IdOrigin::Generated };
         let (upgrade, hop) = (routed.upgrade, routed.hop);
         let headers = forwarded_headers(head.headers, routed.headers, upgrade.as_ref(), form, hop, router);
-        // Only requests of a file, and only complete ones, are compared.
+        // Only buffered requests of a node that runs from a file are compared.
         let fingerprint = routed.route.filter(|_| upload.is_none()).and_then(|_| {
             fingerprint(&FingerprintInput {
                 headers: &headers,
@@ -321,7 +326,7 @@
     }
 }
 
-/// Passes a request to the node's task, waits for the response, and returns it in the form for the client.
+/// Passes a request to the task of the node, waits for the response, and converts it for the client.
 async fn forward(
     accepted: AcceptedRequest,
     state: &DownstreamState,
@@ -342,18 +347,19 @@
     let served_by = response.as_ref().ok().and_then(|response| served_by(response, router, route));
     let mut response = match (sent, response) {
         (Ok(()), Ok(response)) => form_response(response, router, route, form),
-        // The node's task has ended, and the process ends with it.
+        // The task of the node has ended, and the process will end as well.
         _ => return Err(RequestError::new(StatusCode::INTERNAL_SERVER_ERROR, "the node has failed")),
     };
     guards.attach(&mut response, served_by);
-    // The rest of a body that is not needed is not read just to reuse the connection.
+    // If the response came before the end of the body, the rest is not read just to reuse the connection.
     if upload.is_some_and(|upload| !upload.is_finished()) {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
 }
 
-/// A body as it is sent to backends: buffered, or empty and streamed. The node is notified of what becomes of a stream.
+/// Returns a body in the form that is sent to backends: buffered, or empty and a stream, whose progress is
+/// reported to the node.
 fn split_body(
     read: ReadBody,
     rest: Incoming,
@@ -371,7 +377,7 @@
     }
 }
 
-/// The event of the node for an event of a streamed body.
+/// Converts an event of a streamed body to one of the node.
 fn upload_event(id: RequestId, event: UploadEvent) -> NodeEvent {
     match event {
         UploadEvent::Streaming => NodeEvent::UploadStreaming(id),
@@ -379,7 +385,7 @@
     }
 }
 
-/// The headers that are forwarded.
+/// Builds the headers that are forwarded to backends.
 fn forwarded_headers(
     client_headers: HeaderMap,
     replaced: Vec<(HeaderName, HeaderValue)>,
@@ -405,14 +411,14 @@
     headers
 }
 
-/// The backend of a response, by its name.
+/// The name of the backend that a response came from; `None` for a local response.
 fn served_by(response: &FinalResponse, router: &dyn RequestRouter, route: Option<usize>) -> Option<ServedBy> {
     let (FinalResponse::Served(response) | FinalResponse::Unserved(response)) = response else { return None };
     let backend = router.backend_name(route, response.backend)?;
     Some(ServedBy { backend, attempts: response.attempts })
 }
 
-/// The client's response, or the route's fallback.
+/// The response to the client, or the fallback of the route in place of a rejection.
 fn form_response(
     response: FinalResponse,
     router: &dyn RequestRouter,
@@ -427,7 +433,7 @@
     client_response(response, form)
 }
 
-/// Notifies the node when the client closes its connection before it has its response.
+/// Notifies the node if the request is dropped without a response, as its client has closed the connection.
 struct DisconnectGuard<'a> {
     id: RequestId,
     events: &'a mpsc::UnboundedSender<NodeEvent>,
@@ -438,15 +444,15 @@
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if self.is_armed {
-            // At once: the node handles its event later, and an attempt that is decided might be written before then.
+            // Set immediately: the node handles the event later, and an attempt could be written before that.
             self.cancellation.cancel();
             let _ = self.events.send(NodeEvent::ClientDisconnected(self.id));
         }
     }
 }
 
-/// The client's id of a request in flight. A second request with the same id fails, and the first is not affected: for a
-/// backend both would be one.
+/// Reserves the id of a request in flight. A second request with the same id is rejected, as a backend could
+/// not distinguish the two. The first one is not affected.
 struct RequestIdGuard {
     state: Rc<DownstreamState>,
     id: HeaderValue,
--- a/crates/standalone-proxy/src/downstream/request_router.rs
+++ b/crates/standalone-proxy/src/downstream/request_router.rs
@@ -1,5 +1,5 @@
-//! The interface between a client's head and the node that serves it: what a router makes of a head, and why a request is
-//! not accepted. Reads no body and sends nothing.
+//! The interface by which a node routes a request by its head, the routed request, and the error of a request
+//! that is not accepted. Reads no body and sends nothing.
 
 use crate::decision_loop::event::NodeEvent;
 use crate::headers::CORRELATION;
@@ -21,95 +21,96 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Routes requests by their heads. One router serves a request from its head to its last byte; where another one has replaced
-/// it by then, that one routes the head again.
+/// Routes requests by their heads. If the router was replaced while the body of a request arrived, the new
+/// router routes the head again.
 pub trait RequestRouter {
     /// Routes a request.
     ///
     /// # Errors
-    /// The request is not accepted.
+    /// The request is not accepted, with the response that says why.
     fn route(&self, head: &Parts) -> Result<RoutedRequest, RequestError>;
-    /// How exactly clients are told when to retry.
+    /// The precision of `Retry-After` in responses.
     fn retry_after_precision(&self) -> RetryAfterPrecision;
-    /// The response in place of a rejection, if the route has one.
+    /// The fallback response of a route, which replaces a rejection, if it has one.
     fn fallback(&self, _route: Option<usize>) -> Option<Response<MessageBody>> {
         None
     }
-    /// The labels of a request in metrics and log lines, if the node has those of single exchanges.
+    /// The labels of a request in metrics and log lines, if the node reports single exchanges.
     fn exchange_labels(&self, _routed: &RoutedRequest) -> Option<ExchangeLabels> {
         None
     }
-    /// The name of a backend, by the route of its request.
+    /// The name of a backend that a request of this route was sent to.
     fn backend_name(&self, _route: Option<usize>, _backend: ServerId) -> Option<String> {
         None
     }
-    /// What backends are told of clients.
+    /// Which fields about clients are forwarded to backends.
     fn forwarding(&self) -> &Forwarding;
     /// The labels of a request in a recorded trace.
     fn trace_labels(&self, routed: &RoutedRequest) -> TraceLabels;
 }
 
-/// The form of `Retry-After`.
+/// The precision of `Retry-After`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAfterPrecision {
-    /// Rounded up to whole seconds, as clients in general expect.
+    /// Rounded up to whole seconds, the form that HTTP defines.
     WholeSeconds,
-    /// As exactly as it is known.
+    /// In seconds with decimals, for the platform's clients.
     Exact,
 }
 
-/// A limit and a tenant, by their numbers in the operator's file.
+/// A limit and a tenant, by their indices in the operator's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionKey {
-    /// The limit.
+    /// The index of the limit.
     pub limit: usize,
-    /// The tenant, if there are tenants.
+    /// The index of the tenant; `None` if the file has no tenants.
     pub tenant: Option<usize>,
 }
 
-/// A protocol that a request asks for, and that is forwarded.
+/// A switch of protocols that a request asks for and that is forwarded.
 pub struct RequestedUpgrade {
-    /// The protocol.
+    /// The value of `Upgrade`.
     pub protocol: HeaderValue,
-    /// How long both sides may be silent once the connection has switched.
+    /// How long both sides may be silent after the switch.
     pub idle_timeout: Duration,
 }
 
 /// A request whose head was accepted.
 pub struct RoutedRequest {
-    /// What the balancer decides by; its id is not set yet.
+    /// The properties by which the balancer decides. Its id is set later.
     pub request: NewRequest,
-    /// The client's id of the request, which no other request in flight has.
+    /// The id of the request, set by the client or generated. Ids of requests in flight are unique.
     pub correlation_id: HeaderValue,
-    /// The channel of the task that serves it.
+    /// The channel of the task that balances it.
     pub events: mpsc::UnboundedSender<NodeEvent>,
     /// The path and query that are forwarded.
     pub target: PathAndQuery,
-    /// Headers that are forwarded in place of the client's.
+    /// Headers that replace those of the client when the request is forwarded.
     pub headers: Vec<(HeaderName, HeaderValue)>,
-    /// The time-outs for a backend that makes no progress.
+    /// The time-outs for a backend that makes no progress; `None` for the defaults of the cluster.
     pub timeouts: Option<BackendTimeouts>,
-    /// The number of its route, if there are routes.
+    /// The index of its route; `None` if the node has no routes.
     pub route: Option<usize>,
-    /// The limit that applies to it, if there are limits.
+    /// The limit that applies to it; `None` if the node has no limits.
     pub admission: Option<AdmissionKey>,
-    /// The protocol that it asks for.
+    /// The switch of protocols that it asks for, if it does.
     pub upgrade: Option<RequestedUpgrade>,
-    /// How far it may be repeated, as its class says.
+    /// Whether and where it may be sent again, as its class says.
     pub repeat: Repeat,
-    /// The largest body that is buffered, so that it can be sent again, in bytes.
+    /// The maximum size, in bytes, of a body that is buffered so that it can be sent again.
     pub max_buffered_body: usize,
-    /// Where it came from, if backends are told.
+    /// The connection on which it was received; `None` if nothing about the client is forwarded.
     pub hop: Option<Hop>,
-    /// The metrics of its class, if the node has them.
+    /// The metrics of its class; `None` if the node counts none by class.
     pub metrics: Option<Rc<ClassMetrics>>,
 }
 
-/// The address of a request's client, as an extension of its head.
+/// The address of the client, as an extension of the request head.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerAddress(pub SocketAddr);
 
-/// Why a request is not accepted, and its response. All of these are failures: they promise nothing about other attempts.
+/// Why a request is not accepted, and the response that says so. Says nothing about whether a retry is
+/// harmless.
 #[derive(Debug)]
 pub struct RequestError {
     status: StatusCode,
@@ -128,7 +129,7 @@
         RequestError::new(StatusCode::BAD_REQUEST, message)
     }
 
-    /// The same error, with a header in its response if there is a value.
+    /// Adds a header to the response if `value` is given. Replaces a header added before.
     pub fn with_header(mut self, name: HeaderName, value: Option<HeaderValue>) -> Self {
         self.header = value.map(|value| (name, value));
         self
@@ -139,7 +140,7 @@
         self.status
     }
 
-    /// The response.
+    /// The response, with the message as its body.
     pub fn into_response(self) -> Response<MessageBody> {
         let mut response = Response::new(Full::from(self.message + "\n").into());
         *response.status_mut() = self.status;
@@ -156,10 +157,10 @@
 
 impl std::error::Error for RequestError {}
 
-/// The text of a header.
+/// Returns the value of a header as text; `None` if the head has no such header.
 ///
 /// # Errors
-/// Its value is no text.
+/// The value is not visible ASCII text.
 pub fn header_text<'h>(head: &'h Parts, name: &HeaderName) -> Result<Option<&'h str>, RequestError> {
     match head.headers.get(name).map(HeaderValue::to_str) {
         None => Ok(None),
@@ -168,16 +169,16 @@
     }
 }
 
-/// The id that a client has given its request, if it has.
+/// Returns the id that the client has given the request; `None` if it is missing or empty.
 ///
 /// # Errors
-/// It is no text.
+/// The id is not visible ASCII text.
 pub fn client_request_id(head: &Parts) -> Result<Option<HeaderValue>, RequestError> {
     let is_given = header_text(head, &CORRELATION)?.is_some_and(|id| !id.is_empty());
     Ok(head.headers.get(&CORRELATION).filter(|_| is_given).cloned())
 }
 
-/// The affinity key of a request's subject; never 0, which means none.
+/// Derives the affinity key from the subject of a request. Never 0, which means that a request has none.
 pub fn affinity_key(subject: &str) -> u64 {
     u64::from_str_radix(subject, 16).unwrap_or_else(|_| ServerId::named(subject).0).max(1)
 }
--- a/crates/standalone-proxy/src/downstream/response.rs
+++ b/crates/standalone-proxy/src/downstream/response.rs
@@ -1,4 +1,4 @@
-//! The form of responses to clients.
+//! Builds the responses to clients.
 
 use crate::decision_loop::event::FinalResponse;
 use crate::downstream::request_router::{RequestError, RetryAfterPrecision};
@@ -10,18 +10,19 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// What the form of a response depends on.
+/// The properties of a request and its node that the form of the response depends on.
 #[derive(Clone, Copy)]
 pub struct ResponseForm {
-    /// How exactly the client is told when to retry.
+    /// The precision of `Retry-After`.
     pub retry_after_precision: RetryAfterPrecision,
-    /// Whether the request was for the head alone.
+    /// Whether the request is a `HEAD` request.
     pub head_only: bool,
-    /// Whether the client accepts trailers.
+    /// Whether trailers are forwarded, as the client accepts them.
     pub trailers: bool,
 }
 
-/// The response to a request that is rejected. It says that a retry is harmless: nothing has been sent to a backend.
+/// The response to a rejected request. It tells the client that a retry is harmless: the request was not
+/// executed.
 pub fn rejection_response(
     status: StatusCode,
     retry_after: Option<Duration>,
@@ -38,7 +39,7 @@
         .into_response()
 }
 
-/// The client's response.
+/// Builds the response to the client.
 pub fn client_response(response: FinalResponse, form: ResponseForm) -> Response<MessageBody> {
     match response {
         FinalResponse::Served(response) | FinalResponse::Unserved(response) => {
@@ -56,10 +57,10 @@
     }
 }
 
-/// A backend's response as it is forwarded.
+/// Converts the response of a backend to the form in which it is forwarded.
 fn forwarded_response(response: BackendResponse, form: ResponseForm) -> Response<MessageBody> {
     let BackendResponse { status, mut headers, body, .. } = response;
-    // The length of a body that is absent, as the backend has it; hyper would send 0.
+    // The length that the backend announces in its response to a HEAD request; hyper would send 0.
     let length = headers.remove(header::CONTENT_LENGTH).filter(|_| form.head_only);
     let mut response = Response::new(match body {
         ResponseBody::Buffered(body) => Full::new(body).into(),
--- a/crates/standalone-proxy/src/downstream/state.rs
+++ b/crates/standalone-proxy/src/downstream/state.rs
@@ -1,4 +1,4 @@
-//! What all connections of clients share. Accepts neither connections nor requests.
+//! The state that all client connections share. Accepts neither connections nor requests.
 
 use crate::downstream::admission::AdmissionQueue;
 use crate::downstream::request_router::RequestRouter;
@@ -16,38 +16,39 @@
 use std::time::Duration;
 use tokio::sync::Semaphore;
 
-/// What all connections of clients share.
+/// The state that all client connections share.
 pub struct DownstreamState {
     /// Routes requests. It may be replaced at any time.
     pub router: RefCell<Rc<dyn RequestRouter>>,
-    /// The limits before the balancer, if there are any.
+    /// The limits of the operator's file; without any on the platform's node.
     pub admission: AdmissionQueue,
-    /// Records requests, if the operator demands a trace.
+    /// Records requests, if a trace is configured.
     pub recorder: RefCell<Option<Recorder>>,
-    /// When a client that finds no memory left is asked to retry.
+    /// After what time a client is asked to retry that was rejected for lack of memory; `None` if it is told
+    /// no time.
     pub retry_after: Cell<Option<Duration>>,
     /// The metrics of the node.
     pub metrics: Rc<NodeMetrics>,
-    /// The metrics and log lines of single exchanges, if the node has them.
+    /// The metrics and log lines of single exchanges, if the node reports them.
     pub telemetry: Option<Rc<Telemetry>>,
-    /// Whether there is a list of backends to work with.
+    /// Whether the node has a list of backends.
     pub ready: Rc<Cell<bool>>,
     /// Whether the node is shutting down.
     pub shutting_down: Rc<Cell<bool>>,
     /// The id of the next request.
     pub next_request_id: Cell<u64>,
-    /// The open connections.
+    /// The open client connections.
     pub connections: Connections,
-    /// The KiB that buffered bodies and responses may still occupy. Guards the node's memory.
+    /// The memory, in KiB, that is left for buffered bodies and responses.
     pub body_memory_kib: Arc<Semaphore>,
-    /// The largest body that a request may have, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub max_body: u64,
-    /// How strictly heads are parsed. Applies to connections that are accepted later.
+    /// Which line endings heads may have. A change applies to connections accepted after it.
     pub line_endings: Cell<LineEndings>,
-    /// How long streams go on once the node shuts down; `None` for as long as they last.
+    /// How long streams may continue once the node shuts down; `None` for no limit.
     pub stream_grace: Cell<Option<Duration>>,
-    /// When the process was not running.
+    /// Detects stalls of the process.
     pub stalls: Rc<StallDetector>,
-    /// The clients' ids of the requests in flight.
+    /// The ids that clients gave the requests in flight, or that were generated for them.
     pub correlation_ids: RefCell<HashSet<HeaderValue>>,
 }
--- a/crates/standalone-proxy/src/endpoint_update.rs
+++ b/crates/standalone-proxy/src/endpoint_update.rs
@@ -1,11 +1,12 @@
-//! A change of the list of backends, as every source of lists passes it on. Reads and sends nothing.
+//! A change of the list of backends, in the form that every source of lists produces. Reads and sends
+//! nothing.
 
 use join_up_to::{ListKind, ServerEntry};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A version of the list, as this node counts: versions never run back, also not where another discovery numbers its lists in
-/// its own way.
+/// A version of the list, numbered by this node. Versions never decrease, even when the node switches to
+/// another discovery service that numbers its lists differently.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListVersion(pub u32);
 
@@ -15,18 +16,19 @@
     }
 }
 
-/// One change of the list, for the balancer and for the connections.
+/// A change of the list, for the balancer and for the connections to backends.
 #[derive(Clone, PartialEq)]
 pub struct EndpointUpdate {
-    /// Whether it is the complete list, a change of it, or none.
+    /// Whether it is the complete list, a cached one, changed entries of the list, or a failure to get the
+    /// list.
     pub kind: ListKind,
-    /// Its version. An update that is older than the last one is ignored.
+    /// Its version. An update older than the last one applied is ignored.
     pub version: ListVersion,
     /// The backends that it lists.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// The form that operators see in log lines at `debug` is that of the former type.
+/// Keeps the form that log lines at `debug` have had since before the type and its fields were renamed.
 impl fmt::Debug for EndpointUpdate {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.debug_struct("Update")
@@ -40,9 +42,9 @@
 /// A backend on the list.
 #[derive(Clone, Copy, PartialEq)]
 pub struct ListedEndpoint {
-    /// What the balancer knows of it.
+    /// What the balancer knows about it.
     pub entry: ServerEntry,
-    /// The address that it listens at.
+    /// The address at which it listens.
     pub address: SocketAddr,
 }
 
--- a/crates/standalone-proxy/src/endpoint_update/tests.rs
+++ b/crates/standalone-proxy/src/endpoint_update/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `endpoint_update`.
+//! Unit tests of the private items of the parent module.
 
 use super::*;
 use join_up_to::{ServerId, ServerState};
 
 #[test]
-fn log_lines_show_an_update_in_the_form_of_the_former_type() {
+fn debug_output_of_an_update_keeps_the_former_names() {
     let state = ServerState::Ready;
     let entry = ServerEntry { id: ServerId(7), zone: 1, kind: 0, cell: 3, state, weight: 1.5, started: None };
     let address = SocketAddr::from(([127, 0, 0, 1], 8443));
--- a/crates/standalone-proxy/src/file_node/diagnostics.rs
+++ b/crates/standalone-proxy/src/file_node/diagnostics.rs
@@ -1,5 +1,6 @@
-//! How faults of the operator's file are shown: as text with the lines underlined, as JSON, or as lines for a log. A file may
-//! contain anything: nothing of it reaches a terminal that could be taken for a control sequence.
+//! Formats the diagnostics of an operator's file: as text with the faulty parts underlined, as JSON, or as
+//! log lines. A file may contain anything, so characters that could act as control sequences never reach a
+//! terminal.
 
 use crate::file_node::source::InvalidSource;
 use miette::{GraphicalReportHandler, GraphicalTheme, LabeledSpan, NamedSource, SourceCode};
@@ -10,12 +11,14 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// Whether a character may change what a terminal shows: control characters, and those that change the direction of text.
+/// Whether a character can affect a terminal: control characters, and those that change the direction of
+/// text.
 fn is_hidden(c: char) -> bool {
     c.is_control() || matches!(c, '\u{200e}' | '\u{200f}' | '\u{202a}'..='\u{202e}' | '\u{2066}'..='\u{2069}')
 }
 
-/// The text of a file, with each hidden character replaced by as many bytes, so that offsets stay the same.
+/// Replaces each hidden character of a file by question marks of the same number of bytes, so that offsets
+/// stay the same.
 fn mask_hidden(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for c in text.chars() {
@@ -28,7 +31,7 @@
     out
 }
 
-/// A message about a file, in one line, with hidden characters escaped.
+/// Escapes the hidden characters of a message about a file, including line breaks.
 fn escape_hidden(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for c in text.chars() {
@@ -37,7 +40,7 @@
     out
 }
 
-/// A fault in the form that the library which renders it demands.
+/// Adapts a diagnostic to `miette`, which renders it.
 struct Report<'a> {
     fault: &'a Diagnostic,
     source: &'a NamedSource<String>,
@@ -68,7 +71,7 @@
         Some(self.source)
     }
     fn labels(&self) -> Option<Box<dyn Iterator<Item = LabeledSpan> + '_>> {
-        // An empty span means a fault of the file as a whole.
+        // A diagnostic with an empty span concerns the file as a whole.
         if self.fault.span.is_empty() {
             return None;
         }
@@ -84,7 +87,7 @@
     }
 }
 
-/// All faults as a text with the lines underlined.
+/// Formats all diagnostics as text with the faulty parts underlined.
 pub fn text(path: &Path, file: &InvalidSource) -> String {
     let colour = std::io::stderr().is_terminal() && std::env::var_os("NO_COLOR").is_none();
     let theme = if colour { GraphicalTheme::unicode() } else { GraphicalTheme::unicode_nocolor() };
@@ -111,7 +114,7 @@
     if count == 1 { "" } else { "s" }
 }
 
-/// A line for each fault: file, line and column, code, message, help.
+/// Formats each diagnostic as one line: file, line and column, code, message, help.
 pub fn lines(path: &Path, file: &InvalidSource) -> Vec<String> {
     let lines = Lines::of(&file.text);
     let line = |fault: &Diagnostic| {
@@ -122,7 +125,7 @@
     file.error.diagnostics.iter().map(line).collect()
 }
 
-/// A fault as JSON. Operators' tools know the serialized names.
+/// A diagnostic as JSON. The serialized names are an interface for operators' tools and must not change.
 #[derive(Serialize)]
 struct JsonFault<'a> {
     code: &'static str,
@@ -135,7 +138,7 @@
     related: Vec<JsonRelated<'a>>,
 }
 
-/// Another part of the file that a fault concerns.
+/// Another part of the file that a diagnostic concerns.
 #[derive(Serialize)]
 struct JsonRelated<'a> {
     #[serde(rename = "what")]
@@ -157,12 +160,12 @@
     file: String,
     accepted: bool,
     faults: Vec<JsonFault<'a>>,
-    /// The number of faults that are not listed.
+    /// The number of diagnostics that are not listed.
     #[serde(rename = "more")]
     omitted: usize,
 }
 
-/// The faults as one JSON object. `None` is a valid file.
+/// Formats the diagnostics of a file as a JSON object. `file` is `None` if the file is valid.
 pub fn json(path: &Path, file: Option<&InvalidSource>) -> String {
     let lines = Lines::of(file.map_or("", |file| &file.text));
     let json_span = |span: &Range<usize>| JsonSpan {
@@ -185,7 +188,7 @@
         faults: faults.collect(),
         omitted: file.map_or(0, |file| file.error.omitted),
     };
-    // Nothing in it can fail to be written as JSON.
+    // All of its fields can always be serialized.
     serde_json::to_string_pretty(&report).unwrap_or_default()
 }
 
--- a/crates/standalone-proxy/src/file_node/mod.rs
+++ b/crates/standalone-proxy/src/file_node/mod.rs
@@ -1,5 +1,5 @@
-//! A node that runs from an operator's file: its start and reload, its routes, what it reads from the file system. What the file
-//! means is decided in `route_config`.
+//! A node that runs from an operator's file: its start and reloads, its routes, and reading of the file.
+//! `route_config` interprets the file.
 
 mod clusters;
 pub mod diagnostics;
--- a/crates/standalone-proxy/src/file_node/router.rs
+++ b/crates/standalone-proxy/src/file_node/router.rs
@@ -1,4 +1,4 @@
-//! Routes requests by the operator's file: the route decides the class, the cluster and what is forwarded.
+//! Routes requests by the operator's file: the route determines the class, the cluster and what is forwarded.
 
 use crate::decision_loop::event::NodeEvent;
 use crate::downstream::request_router::{
@@ -27,24 +27,25 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Routes the requests of a node that runs from a file. Each version of the file has a router of its own.
+/// Routes the requests of a node that runs from a file. Each version of the file has its own router.
 pub struct FileRouter {
     plan: Rc<Plan>,
-    /// The channel of each cluster's task, in the order of the plan.
+    /// The channels of the clusters' tasks, in the order of the plan.
     clusters: Vec<mpsc::UnboundedSender<NodeEvent>>,
     ids: Rc<IdGenerator>,
-    /// The index of each backend in its cluster's list, by cluster: the name of a response's backend is looked up.
+    /// For each cluster, the index of each backend in the list of the cluster. Used to look up the names of
+    /// backends.
     backend_indices: Vec<HashMap<ServerId, usize>>,
 }
 
-/// Generates ids for requests that have none. They continue over changes of the file.
+/// Generates ids for requests without one. Shared by all versions of the file, so that ids stay unique.
 pub struct IdGenerator {
     prefix: u64,
     next: Cell<u64>,
 }
 
 impl IdGenerator {
-    /// Ids with this prefix, which must be another one for each start of the node.
+    /// A generator of ids with this prefix, which must differ for each start of a node.
     pub fn new(prefix: u64) -> Self {
         IdGenerator { prefix, next: Cell::new(0) }
     }
@@ -52,7 +53,7 @@
     fn generate(&self) -> HeaderValue {
         let number = self.next.get();
         self.next.set(number + 1);
-        // Digits and letters are a header value in every case.
+        // Digits, letters and a hyphen always form a valid header value.
         HeaderValue::try_from(format!("{:016x}-{number:x}", self.prefix))
             .unwrap_or(HeaderValue::from_static("made"))
     }
@@ -72,12 +73,12 @@
         FileRouter { plan, clusters, ids, backend_indices }
     }
 
-    /// The plan that it routes by.
+    /// The plan by which it routes.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// The number of the request's tenant in the file; `None` where there are no tenants.
+    /// The index of the tenant of the request; `None` if the file has no tenants.
     fn tenant(&self, head: &Parts) -> Result<Option<usize>, RequestError> {
         if self.plan.tenants.is_empty() {
             return Ok(None);
@@ -89,7 +90,8 @@
         number.map(Some).ok_or_else(|| RequestError::bad_request(format!("{name}: unknown")))
     }
 
-    /// The id that the client has given its request, or else a new one, which is then added to the headers.
+    /// Returns the id that the client has given the request, or else a generated one, which is added to the
+    /// headers.
     fn correlation_id(
         &self,
         head: &Parts,
@@ -104,7 +106,8 @@
     }
 }
 
-/// Checks that a keyed request has its idempotency key, and returns the key if it is to be added to the headers.
+/// Checks that a request has its idempotency key. Returns the key if it must be added to the headers, as it
+/// comes from the path.
 fn idempotency_key(
     source: &KeySource,
     head: &Parts,
@@ -112,7 +115,7 @@
 ) -> Result<Option<HeaderValue>, RequestError> {
     match source {
         KeySource::Header(name) => {
-            // Of two keys, this node and a backend might each use another one.
+            // With two keys, this node and a backend could use different ones.
             let mut keys = head.headers.get_all(name).iter();
             match (keys.next(), keys.next()) {
                 (Some(key), None) if !key.is_empty() => Ok(None),
@@ -128,9 +131,9 @@
 
 /// The host of a request.
 struct RequestHost {
-    /// As it is matched.
+    /// The normalized host by which routes are matched; `None` if the request names none.
     name: Option<String>,
-    /// The header that is forwarded, if the host is part of the target.
+    /// The `Host` header to forward in place of the client's, if the host comes from the target.
     header: Option<HeaderValue>,
 }
 
@@ -158,7 +161,8 @@
     }
 }
 
-/// The protocol that a request asks for, if it does so as RFC 9110 (7.8) demands and the file forwards that protocol.
+/// The switch of protocols that a request asks for, if it does so according to RFC 9110 (section 7.8) and the
+/// route forwards that protocol.
 fn requested_upgrade(head: &Parts, rule: &UpgradeRule) -> Option<RequestedUpgrade> {
     let protocol = head.headers.get(header::UPGRADE)?;
     let name = protocol.to_str().ok()?.to_ascii_lowercase();
@@ -168,18 +172,19 @@
         .then(|| RequestedUpgrade { protocol: protocol.clone(), idle_timeout: rule.idle })
 }
 
-/// The `Max-Forwards` that a request goes on with, if it has one.
+/// The value of `Max-Forwards` to forward, if the request has one.
 fn remaining_forwards(head: &Parts) -> Result<Option<u32>, RequestError> {
     match forward::max_forwards(&head.method, &head.headers) {
         MaxForwards::Forward(remaining) => Ok(remaining),
-        // It is not forwarded any further. RFC 9110 (9.3.7) demands 200 without content for OPTIONS.
+        // The request must not be forwarded. RFC 9110 (section 9.3.7) demands a response with status 200 to
+        // OPTIONS.
         MaxForwards::RespondLocally => {
             Err(RequestError::new(StatusCode::OK, "this node; no further, as Max-Forwards says"))
         }
     }
 }
 
-/// How long the client waits, and no longer than its route allows.
+/// How long the client waits, limited by the time-out of the route.
 fn remaining_time(head: &Parts, allowed: Duration) -> Result<Duration, RequestError> {
     let Some(text) = header_text(head, &TIME_LEFT)? else { return Ok(allowed) };
     let remaining =
@@ -187,7 +192,8 @@
     Ok(remaining.min(allowed))
 }
 
-/// The path and query that are forwarded: the client's own, unless the path is rewritten or normalized.
+/// The path and query that are forwarded: those of the client, unless the path was rewritten or normalized.
+/// `None` if they are not valid.
 fn forwarded_target(head: &Parts, path: &str, rewritten: Option<String>) -> Option<PathAndQuery> {
     match rewritten {
         None if path == head.uri.path() => head.uri.path_and_query().cloned(),
@@ -219,7 +225,7 @@
         let mut response = Response::new(Full::from(fallback.body.clone()).into());
         *response.status_mut() = StatusCode::from_u16(fallback.status).ok()?;
         response.headers_mut().insert(header::CONTENT_TYPE, fallback.media.clone());
-        // What replaces a response for now must not be cached as one.
+        // The fallback is temporary and must not be cached.
         response.headers_mut().insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
         Some(response)
     }
@@ -259,7 +265,7 @@
         let found = plan.table.find(host.name.as_deref(), &path, &head.method, &head.headers);
         let (number, captures) = match found {
             RouteMatch::Route { number, captures } => (number, captures),
-            RouteMatch::MethodNotAllowed(methods) => return Err(other_methods(&methods)),
+            RouteMatch::MethodNotAllowed(methods) => return Err(method_not_allowed(&methods)),
             RouteMatch::NotFound => return Err(RequestError::new(StatusCode::NOT_FOUND, "no such route")),
         };
         let route = &plan.routes[number];
@@ -309,8 +315,8 @@
     }
 }
 
-/// The error of a path that has routes for other methods alone.
-fn other_methods(methods: &[Method]) -> RequestError {
+/// The error for a path that has routes for other methods only.
+fn method_not_allowed(methods: &[Method]) -> RequestError {
     let methods: Vec<_> = methods.iter().map(Method::as_str).collect();
     let allow = HeaderValue::try_from(methods.join(", ")).ok();
     RequestError::new(StatusCode::METHOD_NOT_ALLOWED, "this path takes other methods")
--- a/crates/standalone-proxy/src/file_node/source.rs
+++ b/crates/standalone-proxy/src/file_node/source.rs
@@ -1,4 +1,4 @@
-//! The operator's file on disk: only a regular file is read, and no more of it than is ever accepted.
+//! Reads the operator's file from disk. Only a regular file is read, and only up to the maximum size.
 
 use route_config::diagnostic::{Code, Diagnostic};
 use route_config::{InvalidFile, LoadedFile, MAX_FILE_SIZE};
@@ -6,19 +6,19 @@
 use std::io::{self, Read};
 use std::path::Path;
 
-/// A valid file, with its text.
+/// A valid file and its text.
 pub struct Source {
-    /// The text.
+    /// The text of the file.
     pub text: String,
-    /// What it means.
+    /// The parsed content.
     pub loaded: LoadedFile,
 }
 
-/// A file that was rejected, with as much of its text as there is to show.
+/// A file that was rejected, and its text as far as it could be read.
 pub struct InvalidSource {
     /// The text; empty if it could not be read.
     pub text: String,
-    /// The faults.
+    /// Why it was rejected.
     pub error: InvalidFile,
 }
 
@@ -29,10 +29,11 @@
     }
 }
 
-/// Reads and checks a file. A pipe or a device could block the node, so it is not even opened.
+/// Reads and checks a file. Other files than regular ones, such as pipes and devices, are not opened, as they
+/// could block the node.
 ///
 /// # Errors
-/// The file can't be read, or its content is invalid.
+/// The file cannot be read or is not a regular file, or its content is invalid.
 pub fn load(path: &Path) -> Result<Source, InvalidSource> {
     let failed = |e: io::Error| {
         let help = "name a file that this user may read";
@@ -45,7 +46,8 @@
         return Err(InvalidSource::unreadable(Code::NotAFile, message, "name an ordinary file"));
     }
     let mut bytes = Vec::new();
-    // One byte more than is accepted shows that there is more; the file may grow while it is read.
+    // Reads one byte more than the maximum to detect a larger file. Its size is not checked beforehand, as it
+    // could grow.
     File::open(path)
         .and_then(|file| file.take(MAX_FILE_SIZE as u64 + 1).read_to_end(&mut bytes))
         .map_err(failed)?;
--- a/crates/standalone-proxy/src/lib.rs
+++ b/crates/standalone-proxy/src/lib.rs
@@ -1,10 +1,11 @@
-//! The load-balancing proxy for existing deployments, on real sockets. The decisions are those of `join_up_to`; this package
-//! accepts clients' requests, carries out the decisions, and reports what came of them.
+//! The load-balancing proxy for existing deployments, on real sockets. `join_up_to` decides; this package
+//! accepts clients' requests, carries out the decisions, and reports their results.
 //!
-//! - [`platform_node`], [`file_node`]: the two kinds of node, by where their configuration comes from.
+//! - [`platform_node`], [`file_node`]: the two kinds of node, which differ in where their configuration comes
+//!   from.
 //! - `decision_loop`: the task that owns the balancer.
-//! - `downstream`, `upstream`: the clients' and the backends' side.
-//! - `telemetry`: log, metrics and traces.
+//! - `downstream`, `upstream`: the connections of clients, and those to backends.
+//! - `telemetry`: log, metrics and traces of requests.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/standalone-proxy/src/platform_node/config.rs
+++ b/crates/standalone-proxy/src/platform_node/config.rs
@@ -1,4 +1,5 @@
-//! What the node is started with: the configuration file, and the environment variables that name it.
+//! The configuration with which the node is started: the file, and the environment variables that name it or
+//! override it.
 
 use crate::endpoint_update::EndpointUpdate;
 use crate::platform_node::endpoint_registry::{EndpointRegistry, ListError, ListSource};
@@ -12,52 +13,53 @@
 use std::num::ParseIntError;
 use std::path::PathBuf;
 
-/// The fewest descriptors that a node runs with.
+/// The minimum number of descriptors that a node needs.
 const MIN_SOCKETS: usize = 64;
 
-/// What a node runs with, checked.
+/// The configuration of a node, checked.
 pub struct Config {
-    /// Its name in the log.
+    /// The name of the node in the log.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Where the list of backends comes from.
+    /// The address of discovery, from which the list of backends comes.
     pub discovery: SocketAddr,
-    /// The seed of the balancer's random numbers.
+    /// The seed for the random numbers of the balancer.
     pub seed: u64,
-    /// The descriptors that the process may use.
+    /// The number of file descriptors that the process may use.
     pub sockets: usize,
-    /// The memory that it may use, in MiB.
+    /// The memory that the process may use, in MiB.
     pub memory_mb: usize,
-    /// The second address, for operators.
+    /// The address of the console for operators; `None` if there is no console.
     pub console: Option<SocketAddr>,
     pub(super) settings: NodeSettings,
-    /// A folder that outlives the process, where it meets its successor.
+    /// A folder that outlives the process, for the socket of the handover to its successor; `None` if there
+    /// is no handover.
     pub handover_folder: Option<PathBuf>,
-    /// The settings as they were written.
+    /// The settings as written in the file.
     pub(super) settings_source: serde_json::Value,
-    /// What is known of the backends.
+    /// The backends that are known so far.
     pub(super) registry: EndpointRegistry,
-    /// The list of backends that the file holds.
+    /// The list of backends in the file, if there is one.
     pub(super) initial_list: Option<EndpointUpdate>,
 }
 
 quick_error! {
-    /// Why the node can't start. The text is one line that names the file or variable, and the field.
+    /// Why the node cannot start. The text is one line that names the file or variable, and the field.
     #[derive(Debug)]
     pub enum ConfigError {
-        /// No file is named.
+        /// `ROUTER_CONFIG` is not set.
         FileNotSet {
             display("ROUTER_CONFIG: not set; it names the configuration of the platform's node. To see the node at work, \
                      run `marlwinch demo`; to run one from an operator's file, `marlwinch run FILE`; all else is in \
                      `marlwinch --help`")
         }
-        /// The address in a variable is invalid.
+        /// An environment variable holds an invalid address.
         InvalidVariable(name: &'static str, error: AddrParseError) {
             display("{name}: {error}")
             source(error)
         }
-        /// The file can't be read.
+        /// The file cannot be read.
         Unreadable(path: String, error: io::Error) {
             display("{path}: {error}")
             source(error)
@@ -80,32 +82,32 @@
             from()
             source(error)
         }
-        /// The text goes on after its end.
+        /// There is more text after the JSON value.
         TrailingText(error: serde_json::Error) {
             display("{error}")
             source(error)
         }
-        /// The seed is not hexadecimal.
+        /// The seed is not a hexadecimal number of at most 64 bits.
         InvalidSeed(error: ParseIntError) {
             display("seed: {error}")
             source(error)
         }
-        /// The settings can't be parsed.
+        /// The settings cannot be parsed.
         InvalidSettings(error: SettingsError) {
             display("settings: {error}")
             source(error)
         }
-        /// A setting makes no sense.
+        /// A setting has an invalid value.
         InvalidSetting(error: InvalidSetting) {
             display("settings.{error}")
             from()
             source(error)
         }
-        /// A setting that the last configuration had is missing.
+        /// A setting is missing that the previous configuration had.
         MissingSetting(key: String) { display("settings.{key}: missing") }
         /// A class has no name.
         UnnamedClass { display("settings.Classes: a class without a Name") }
-        /// The limit of sockets is too low.
+        /// The limit of sockets is below the minimum.
         TooFewSockets(sockets: usize) { display("limits.sockets: {sockets} are too few, {MIN_SOCKETS} at least") }
         /// The list of backends is invalid.
         InvalidList(error: ListError) {
@@ -116,7 +118,7 @@
     }
 }
 
-/// The configuration file. Operators see the name of the type in errors.
+/// The configuration file. The name of the type is part of error texts that operators see.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -137,9 +139,10 @@
     sockets: usize,
 }
 
-/// Reads the file again. Now its `discovery` takes precedence over `ROUTER_DISCOVERY`, which can't change while the node runs.
-/// Of the rest, the settings apply at once, and everything else from the next start on. The file is checked completely, and
-/// against the settings as last written: one that has lost a key was truncated or is a mistake.
+/// Reads the file again. Its `discovery` now takes precedence over `ROUTER_DISCOVERY`, which can't change
+/// while the node runs. The address of discovery and the settings apply at once, everything else takes effect
+/// at the next start. The file is checked completely. It must have all keys of the previous settings: a file
+/// that lacks one was truncated or is a mistake.
 ///
 /// # Errors
 /// Those of [`load`]; a setting is missing.
@@ -157,10 +160,11 @@
     }
 }
 
-/// Reads the file that `ROUTER_CONFIG` names. The other variables have the same meaning as its fields, and take precedence.
+/// Reads the file that `ROUTER_CONFIG` names. The variables `ROUTER_NAME`, `ROUTER_LISTEN`,
+/// `ROUTER_DISCOVERY` and `ROUTER_CONSOLE` take precedence over the fields of the file.
 ///
 /// # Errors
-/// The file is not named, unreadable or invalid, or a variable is.
+/// `ROUTER_CONFIG` is not set, the file is unreadable or invalid, or another variable is invalid.
 pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let mut config = read(&variable)?;
     if let Some(name) = variable("ROUTER_NAME") {
@@ -187,7 +191,7 @@
 /// Parses the text of a configuration.
 ///
 /// # Errors
-/// A field is missing, malformed or makes no sense.
+/// A field is missing, malformed or has an invalid value.
 pub fn parse(text: &[u8]) -> Result<Config, ContentError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let file: File = serde_path_to_error::deserialize(&mut json)?;
--- a/crates/standalone-proxy/src/platform_node/endpoint_registry.rs
+++ b/crates/standalone-proxy/src/platform_node/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! The list of backends as discovery sends it: parsing, and what was last valid.
+//! The list of backends from discovery: parses it, and remembers the last valid entry of each backend.
 
 use crate::endpoint_update::{EndpointUpdate, ListVersion, ListedEndpoint};
 use http_transport::rate_limited_log::RateLimitedLog;
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, TryFromFloatSecsError};
 
-/// The number of a list, as the discovery that sent it counts.
+/// The number that discovery has given a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(transparent)]
 pub struct Generation(u32);
@@ -21,14 +21,14 @@
     }
 }
 
-/// The list of backends as it was last valid, so that an invalid entry leaves its backend as it was.
+/// The last valid entry of each backend. An invalid entry in a later list leaves its backend unchanged.
 pub struct EndpointRegistry {
     zones: Vec<String>,
     kinds: Vec<String>,
     endpoints: HashMap<ServerId, KnownEndpoint>,
-    /// The generation of the last list.
+    /// The highest generation so far.
     generation: Generation,
-    /// What is added to a generation for the version that the node uses, so that versions never run back.
+    /// Added to a generation to get the version that the node uses, so that versions never decrease.
     version_offset: u32,
     version: ListVersion,
     error_log: RateLimitedLog,
@@ -42,9 +42,9 @@
 /// Whether the generations of a list can be compared with those of earlier lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// It is of the discovery that sent the earlier lists.
+    /// The list is from the discovery that sent the earlier lists.
     Known,
-    /// It is the first list of another discovery, and counts as the newest whatever its generation.
+    /// The list is the first one from another discovery, and counts as the newest whatever its generation.
     New,
 }
 
@@ -52,7 +52,7 @@
     /// Why a list is invalid.
     #[derive(Debug)]
     pub enum ListError {
-        /// It is no JSON.
+        /// The text is not JSON.
         Json(error: serde_json::Error) {
             display("{error}")
             from()
@@ -77,13 +77,13 @@
             from()
             source(error)
         }
-        /// The hash of its instance id is that of another instance.
+        /// The hash of the instance id, which the node uses as the id, equals that of another instance.
         IdCollision(instance_id: String, known: String) {
-            display("instanceId: {instance_id:?} has the number of {known:?}")
+            display("instanceId: {instance_id:?} has the same hash as {known:?}")
         }
-        /// The settings have no such zone.
+        /// The zone is not in the settings.
         UnknownZone(zone: String) { display("zone: {zone:?} is none of the settings' Localities") }
-        /// The start of its process is no time.
+        /// The start time of the process is invalid.
         InvalidStart(error: TryFromFloatSecsError) {
             display("startedAtMs: {error}")
             from()
@@ -92,7 +92,7 @@
     }
 }
 
-/// A list as discovery sends it. Operators see the name of the type in errors.
+/// A list as sent by discovery. The name of the type is part of error texts that operators see.
 #[derive(Deserialize)]
 struct RawList {
     generation: Generation,
@@ -101,7 +101,7 @@
     instances: Vec<serde_json::Value>,
 }
 
-/// An entry of a list as discovery sends it. Operators see the name of the type in errors.
+/// An entry of a list as sent by discovery. The name of the type is part of error texts that operators see.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct RawEntry {
@@ -131,13 +131,13 @@
     1.0
 }
 
-/// Whether a text is a list, as far as that can be told without its entries.
+/// Whether a text is a list. The entries are not checked.
 pub fn is_list(text: &[u8]) -> bool {
     serde_json::from_slice::<RawList>(text).is_ok()
 }
 
 impl EndpointRegistry {
-    /// An empty registry. The names of zones and kinds are those of the settings.
+    /// An empty registry. `zones` and `kinds` are the names in the settings.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
         EndpointRegistry {
             zones,
@@ -150,22 +150,23 @@
         }
     }
 
-    /// The generation of the last list.
+    /// The highest generation of the lists so far, 0 before the first one.
     pub fn generation(&self) -> Generation {
         self.generation
     }
 
-    /// The version of the last list, as the node counts.
+    /// The highest version of the lists so far, as numbered by the node.
     pub fn version(&self) -> ListVersion {
         self.version
     }
 
-    /// For warnings about invalid lists and entries.
+    /// The log for warnings about invalid lists and entries.
     pub fn error_log(&self) -> &RateLimitedLog {
         &self.error_log
     }
 
-    /// Replaces the names of zones and kinds. Returns whether they differ; the complete list is then to be requested.
+    /// Replaces the names of zones and kinds. Returns whether they have changed; the complete list must then
+    /// be requested.
     pub fn rename(&mut self, zones: &[String], kinds: &[String]) -> bool {
         let is_same = self.zones == zones && self.kinds == kinds;
         (self.zones, self.kinds) = (zones.to_vec(), kinds.to_vec());
@@ -175,15 +176,16 @@
     /// Applies the text of a list.
     ///
     /// # Errors
-    /// Those of [`Self::apply_list`]; the text is no JSON. Nothing is changed then.
+    /// The text is not JSON, or those of [`Self::apply_list`]. Nothing is changed then.
     pub fn apply_text(&mut self, text: &[u8], source: ListSource) -> Result<EndpointUpdate, ListError> {
         self.apply_list(serde_json::from_slice(text)?, source)
     }
 
-    /// Applies a list. An invalid entry is logged and leaves its backend as it was, which in a complete list means listed.
+    /// Applies a list. An invalid entry is logged and leaves its backend unchanged: if the list is complete,
+    /// the backend stays listed.
     ///
     /// # Errors
-    /// The list is malformed, apart from its entries. Nothing is changed then.
+    /// The list itself is malformed, not only an entry. Nothing is changed then.
     pub fn apply_list(
         &mut self,
         list: serde_json::Value,
@@ -213,7 +215,7 @@
         Ok(EndpointUpdate { kind, version, endpoints })
     }
 
-    /// The version of a list of this generation.
+    /// Determines the version of a list with this generation.
     fn advance_version(&mut self, generation: Generation, source: ListSource) -> ListVersion {
         if source == ListSource::New {
             self.version_offset = self.version.0.saturating_sub(generation.0);
--- a/crates/standalone-proxy/src/platform_node/endpoint_registry/tests.rs
+++ b/crates/standalone-proxy/src/platform_node/endpoint_registry/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `endpoint_registry`, which see its private items.
+//! Unit tests of the private items of the parent module.
 
 use super::*;
 
@@ -26,19 +26,19 @@
 }
 
 #[test]
-fn bad_entries_are_skipped_and_bad_lines_are_errors() {
+fn invalid_entries_are_skipped_and_invalid_lists_are_errors() {
     let mut registry = EndpointRegistry::new(vec!["b".into()], vec![]);
     let last = read(&mut registry, true, ENTRY);
-    for (good, bad) in [
+    for (valid, invalid) in [
         ("\"b\"", "\"z\""),
         ("127.0.0.1:8443", "example:80"),
         ("in_service", "resting"),
         ("Ms\":0", "Ms\":-5"),
         ("cell\":3", "cell\":70000"),
     ] {
-        assert_eq!(read(&mut registry, false, &ENTRY.replace(good, bad)), [], "{bad}");
-        // In a complete list, a backend that is omitted would be removed.
-        assert_eq!(read(&mut registry, true, &ENTRY.replace(good, bad)), last, "{bad}");
+        assert_eq!(read(&mut registry, false, &ENTRY.replace(valid, invalid)), [], "{invalid}");
+        // A backend that a complete list omits would be removed, so its last valid entry is kept.
+        assert_eq!(read(&mut registry, true, &ENTRY.replace(valid, invalid)), last, "{invalid}");
     }
     for line in
         ["", "{}", "[]", r#"{"generation":-1,"instances":[]}"#, r#"{"generation":1,"instances":7}"#, "\u{0}"]
--- a/crates/standalone-proxy/src/platform_node/json_segments.rs
+++ b/crates/standalone-proxy/src/platform_node/json_segments.rs
@@ -1,24 +1,27 @@
-//! Divides the stream of a watch into segments: a JSON value each, on one line or indented over several, or an empty line
-//! between them. Parses as much of JSON as shows where a value ends, and nothing of lists.
+//! Splits the stream of a watch into segments: JSON values, each on one line or indented over several lines,
+//! and empty lines between them. Parses JSON only as far as needed to find the end of a value.
 
 /// A segment of a watch.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Segment {
-    /// An empty line: a heartbeat, nothing has changed.
+    /// An empty line, which is a heartbeat: nothing has changed.
     EmptyLine,
-    /// A value, or what is in the place of one.
+    /// The text of a value, or invalid text in the place of one.
     Value(Vec<u8>),
 }
 
-/// The bytes that have been received and are not divided yet.
+/// Splits received bytes into segments.
 #[derive(Default)]
 pub struct JsonSegments {
+    /// The received bytes that are not yet part of a returned segment.
     pending: Vec<u8>,
-    /// How far they have been scanned.
+    /// How many of the pending bytes have been scanned.
     scanned: usize,
-    /// Where the line begins that is being scanned, and how deep its beginning was.
+    /// The offset of the line that is being scanned.
     line_start: usize,
+    /// The nesting depth at the start of that line.
     line_depth: usize,
+    /// The current nesting depth.
     depth: usize,
     in_string: bool,
     escaped: bool,
@@ -30,13 +33,14 @@
         self.pending.extend_from_slice(bytes);
     }
 
-    /// The number of received bytes that are not divided yet.
+    /// The number of received bytes that are not yet part of a returned segment.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// The next complete segment. A sender may have truncated a value, and what follows it must not be lost with it: an empty
-    /// line ends a value, and so does a line for which `is_complete` says that it is a value by itself.
+    /// Returns the next complete segment. A sender may truncate a value, and the values behind it must not be
+    /// lost: an empty line ends a value, and so does a line that is a complete value by itself according to
+    /// `is_complete`.
     pub fn next(&mut self, is_complete: impl Fn(&[u8]) -> bool) -> Option<Segment> {
         while let Some(&byte) = self.pending.get(self.scanned) {
             self.scanned += 1;
@@ -65,7 +69,7 @@
             self.take(self.line_start);
             return Some(Segment::Value(self.take(self.scanned)));
         }
-        // No string continues after the end of a line.
+        // A string cannot contain a line break, so an open one means that the value was truncated.
         let is_finished = self.depth == 0 || self.in_string || line.is_empty();
         if !is_finished {
             (self.line_start, self.line_depth) = (self.scanned, self.depth);
@@ -75,7 +79,8 @@
         Some(if text.trim_ascii().is_empty() { Segment::EmptyLine } else { Segment::Value(text) })
     }
 
-    /// Removes so many bytes and returns them. The rest is scanned from its beginning on, apart from what was scanned.
+    /// Removes and returns the first `length` bytes, and resets the state of the scan for a new value. Bytes
+    /// behind them that were scanned are not scanned again.
     fn take(&mut self, length: usize) -> Vec<u8> {
         let text: Vec<u8> = self.pending.drain(..length).collect();
         let scanned = self.scanned - length;
--- a/crates/standalone-proxy/src/platform_node/json_segments/tests.rs
+++ b/crates/standalone-proxy/src/platform_node/json_segments/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `json_segments`, which see its private items.
+//! Unit tests of the private items of the parent module.
 
 use super::*;
 use serde_json::Value;
@@ -7,18 +7,19 @@
     serde_json::from_slice::<Value>(line).is_ok_and(|value| value.get("generation").is_some())
 }
 
-/// All complete segments of these bytes, however the bytes are divided on their way.
+/// All complete segments of these bytes. Checks that they do not depend on how the bytes are split when they
+/// arrive.
 fn segments(bytes: &str) -> Vec<Segment> {
-    let divide = |piece: usize| {
+    let split = |size: usize| {
         let (mut segments, mut out) = (JsonSegments::default(), Vec::new());
-        for piece in bytes.as_bytes().chunks(piece) {
+        for piece in bytes.as_bytes().chunks(size) {
             segments.add(piece);
             out.extend(std::iter::from_fn(|| segments.next(is_list)));
         }
         out
     };
-    let complete = divide(bytes.len());
-    (1..bytes.len()).for_each(|piece| assert_eq!(divide(piece), complete, "in pieces of {piece}"));
+    let complete = split(bytes.len());
+    (1..bytes.len()).for_each(|size| assert_eq!(split(size), complete, "in pieces of {size} bytes"));
     complete
 }
 
@@ -44,14 +45,15 @@
 }
 
 #[test]
-fn what_follows_a_truncated_value_is_not_lost_with_it() {
-    let good = "{\"generation\":3,\"instances\":[]}\n";
-    for bad in ["{\"generation\":2,\"inst", "{\"generation\":2,\"instances\":[{", "]}", "\"", "{\n [\n  {\n"]
+fn values_after_a_truncated_value_are_not_lost() {
+    let valid = "{\"generation\":3,\"instances\":[]}\n";
+    for truncated in
+        ["{\"generation\":2,\"inst", "{\"generation\":2,\"instances\":[{", "]}", "\"", "{\n [\n  {\n"]
     {
         for between in ["\n", "\n\n"] {
-            let all = segments(&format!("{bad}{between}{good}{good}"));
-            let complete = all.iter().filter(|segment| **segment == value(good)).count();
-            assert_eq!(complete, 2, "{bad:?}: {all:?}");
+            let all = segments(&format!("{truncated}{between}{valid}{valid}"));
+            let complete = all.iter().filter(|segment| **segment == value(valid)).count();
+            assert_eq!(complete, 2, "{truncated:?}: {all:?}");
         }
     }
 }
--- a/crates/standalone-proxy/src/platform_node/mod.rs
+++ b/crates/standalone-proxy/src/platform_node/mod.rs
@@ -1,14 +1,14 @@
-//! The platform's node: its configuration, discovery, requests, the calls at its second address, the handover of its socket.
-//! Nothing here is used by a node that runs from a file.
+//! The platform's node: its configuration, discovery, routing, console, and the handover of its listening
+//! socket. A node that runs from a file uses none of this.
 //!
-//! - [`config`]: what the node is started with.
-//! - `settings`: the part of it that may change while the node runs.
-//! - `endpoint_registry`, `json_segments`, `discovery`: the list of backends, and the watch that brings it.
-//! - `router`: which class and tenant a request belongs to.
-//! - `console`: the calls of operators.
+//! - [`config`]: the configuration with which the node is started.
+//! - `settings`: the part of the configuration that may change while the node runs.
+//! - `endpoint_registry`, `json_segments`, `discovery`: the list of backends, and the watch that receives it.
+//! - `router`: determines the class and the tenant of a request.
+//! - `console`: answers calls of operators.
 //! - `handover`: passes the listening socket to a successor process.
 //! - `reload`: applies a changed configuration.
-//! - [`run`]: joins these.
+//! - [`run`]: connects these parts and runs the node.
 
 pub mod config;
 mod console;
--- a/crates/standalone-proxy/src/platform_node/router.rs
+++ b/crates/standalone-proxy/src/platform_node/router.rs
@@ -1,5 +1,5 @@
-//! Routes the platform's requests: the class is the first part of the path, the affinity key the last, everything else is in
-//! headers, as the settings say.
+//! Routes the platform's requests. The first segment of the path is the class, the last one the affinity key;
+//! the rest is in headers. Classes and tenants are those of the settings.
 
 use crate::decision_loop::event::NodeEvent;
 use crate::downstream::request_router::{
@@ -25,12 +25,12 @@
     settings: NodeSettings,
     forwarding: Forwarding,
     events: mpsc::UnboundedSender<NodeEvent>,
-    /// The metrics of each class, in the order of the settings.
+    /// The metrics of the classes, in the order of the settings.
     metrics: Vec<Rc<ClassMetrics>>,
 }
 
 impl PlatformRouter {
-    /// A router for these settings, whose requests go to `events`.
+    /// A router for these settings, which passes requests to `events`.
     pub fn new(
         settings: NodeSettings,
         events: mpsc::UnboundedSender<NodeEvent>,
@@ -40,19 +40,20 @@
         PlatformRouter { settings, forwarding: Forwarding::default(), events, metrics }
     }
 
-    /// The class that a request means. While settings change there may be two of one name: the one whose form the request
-    /// has, or the newer one if it has the form of neither.
+    /// The index of the class of a request. While settings change, there may be two classes with the same
+    /// name: that is then the class whose form the request has, or the newer one if it has the form of
+    /// neither.
     fn class(&self, name: &str, head: &Parts) -> Option<usize> {
         let has_name = |i: &usize| self.settings.host.classes[*i] == name && !name.is_empty();
         let mut classes = (0..self.settings.balancer.classes.len()).filter(has_name);
         let has_key = head.headers.get(&IDEMPOTENCY_KEY).is_some_and(|key| !key.is_empty());
         let form = RequestForm { method: &head.method, has_key };
         let first = classes.clone().next()?;
-        let matching = classes.find(|i| form.is_of(&self.settings.balancer.classes[*i]));
+        let matching = classes.find(|i| form.matches(&self.settings.balancer.classes[*i]));
         Some(matching.unwrap_or(first))
     }
 
-    /// The number of the request's tenant; 0 where there are no tenants.
+    /// The index of the tenant of the request; 0 if there are no tenants.
     fn tenant(&self, head: &Parts) -> Result<usize, RequestError> {
         let tenants = &self.settings.host.tenants;
         match header_text(head, &ACCOUNT)? {
@@ -66,25 +67,25 @@
     }
 }
 
-/// The method of a class's requests.
+/// The method that the requests of a class must have.
 fn method_of(class: &Class) -> Method {
     if class.repeat == Repeat::Safe { Method::GET } else { Method::POST }
 }
 
-/// By which the requests of classes with one name are distinguished.
+/// The properties by which requests of classes with the same name are distinguished.
 struct RequestForm<'h> {
     method: &'h Method,
     has_key: bool,
 }
 
 impl RequestForm<'_> {
-    /// Whether a class's requests have this form.
-    fn is_of(&self, class: &Class) -> bool {
+    /// Whether requests of this class have this form.
+    fn matches(&self, class: &Class) -> bool {
         *self.method == method_of(class) && self.has_key == matches!(class.repeat, Repeat::Keyed { .. })
     }
 }
 
-/// Checks that a request has the form that its class demands.
+/// Checks that a request has the method and the idempotency key that its class demands.
 fn validate_form(class: &Class, head: &Parts) -> Result<(), RequestError> {
     let method = method_of(class);
     if head.method != method {
@@ -93,13 +94,13 @@
     if matches!(class.repeat, Repeat::Keyed { .. })
         && header_text(head, &IDEMPOTENCY_KEY)?.is_none_or(str::is_empty)
     {
-        // Without its key a repeated request could not be dropped.
+        // Without the key, backends could not recognize a repeated request.
         return Err(RequestError::bad_request("idempotency-key: missing"));
     }
     Ok(())
 }
 
-/// How long the client waits. No client waits longer than its class allows, whatever it says.
+/// How long the client waits, limited by the deadline of the class.
 fn remaining_time(class: &Class, head: &Parts) -> Result<Duration, RequestError> {
     let Some(text) = header_text(head, &TIME_LEFT)? else { return Ok(class.deadline) };
     let remaining =
@@ -107,7 +108,7 @@
     Ok(remaining.min(class.deadline))
 }
 
-/// The cost that the client expects.
+/// The cost of the request as estimated by the client, if it says one.
 fn expected_cost(head: &Parts) -> Result<Option<Duration>, RequestError> {
     let Some(text) = header_text(head, &WEIGHT_HINT)? else { return Ok(None) };
     let micros = text.parse::<f64>().ok().filter(|micros| (0.0..1e15).contains(micros));
@@ -161,8 +162,8 @@
             events: self.events.clone(),
             target,
             headers: Vec::new(),
-            // By the latency target of its own class: an urgent class must not make the others abandon attempts that they
-            // have time for.
+            // Derived from the latency target of its own class, so that a class with a short target does not
+            // shorten the attempts of the others.
             timeouts: Some(BackendTimeouts::for_target(class.latency_target, &self.settings.balancer)),
             route: None,
             admission: None,
--- a/crates/standalone-proxy/src/platform_node/settings.rs
+++ b/crates/standalone-proxy/src/platform_node/settings.rs
@@ -1,9 +1,9 @@
-//! The settings of the platform's node, their checks, and which classes are known while the settings change. Reads no file
-//! and sends nothing.
+//! The settings of the platform's node, their checks, and the classes that are accepted while the settings
+//! change. Reads no file and sends nothing.
 //!
-//! Clients learn of other settings on their own and somewhat later than the node. Until then the classes that are removed
-//! or changed are known beside the new ones; which of two classes of one name a request means shows in its form (see
-//! `router`).
+//! Clients learn of changed settings independently and somewhat later than the node. Until then, removed and
+//! changed classes are accepted beside the new ones. Which of two classes with the same name a request means
+//! is derived from its form (see `router`).
 
 use join_up_to::Settings;
 use join_up_to::settings::HostSettings;
@@ -13,22 +13,23 @@
 /// The settings of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// What the balancer decides by.
+    /// The settings of the balancer.
     pub balancer: Settings,
-    /// What the node needs besides.
+    /// The other settings of the node.
     pub host: HostSettings,
 }
 
 quick_error! {
-    /// A setting has a value that makes no sense.
+    /// A setting has an invalid value.
     #[derive(Debug, PartialEq, Eq)]
     pub enum InvalidSetting {
-        /// The number at this path of keys is not over 0.
+        /// The number at this path of keys is not greater than 0.
         NotPositive(path: String) { display("{path}: must be over 0") }
     }
 }
 
-/// The new settings, with those classes of the old ones that are removed or changed after the new classes.
+/// Merges settings: the new ones, with the removed and changed classes of the old ones added behind the new
+/// classes.
 pub fn merge_for_changeover(new: &NodeSettings, old: &NodeSettings) -> NodeSettings {
     let mut merged = new.clone();
     for (name, class) in old.host.classes.iter().zip(&old.balancer.classes) {
@@ -42,8 +43,8 @@
     merged
 }
 
-/// The first key that the old settings have and the new ones lack. Every entry of a new list must have the keys that all
-/// entries of the old list have.
+/// Returns the path of the first key that the old settings have and the new ones lack, if there is one. An
+/// entry of a list must have the keys that all entries of the old list have.
 pub fn first_missing_key(old: &Value, new: &Value) -> Option<String> {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, old)| match new.get(key) {
@@ -63,10 +64,10 @@
     }
 }
 
-/// Checks settings that could be parsed.
+/// Checks the values of settings that have been parsed.
 ///
 /// # Errors
-/// The deadline of a class, or the number of attempts, is not over 0.
+/// The deadline of a class, or the maximum number of attempts, is not greater than 0.
 pub fn validate(settings: &Value) -> Result<(), InvalidSetting> {
     let is_positive = |value: &Value| value.as_f64().is_some_and(|n| n > 0.0);
     let classes = settings.get("Classes").and_then(Value::as_array).into_iter().flatten();
--- a/crates/standalone-proxy/src/platform_node/settings/tests.rs
+++ b/crates/standalone-proxy/src/platform_node/settings/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `settings`, which see its private items.
+//! Unit tests of the private items of the parent module.
 
 use super::*;
 use serde_json::json;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_key_that_is_missing_is_named_with_its_place() {
+fn a_missing_key_is_reported_with_its_path() {
     let old = json!({"Classes": [{"Name": "a", "Window": 1}, {"Name": "b"}], "Rules": {"DrainGrace": 1}, "Zone": 0});
     let with = |change: fn(&mut Value)| {
         let mut new = old.clone();
@@ -30,7 +30,7 @@
         first_missing_key(&old, &new)
     };
     assert_eq!(with(|_| ()), None);
-    // A key that only some classes had is not demanded of all.
+    // A key that only some classes had is not required.
     assert_eq!(with(|new| new["Classes"] = json!([{"Name": "b"}])), None);
     assert_eq!(with(|new| new["Classes"] = json!([{"Name": "b"}, {}])).as_deref(), Some("Classes.[1].Name"));
     assert_eq!(with(|new| new["Rules"] = json!({})).as_deref(), Some("Rules.DrainGrace"));
@@ -38,8 +38,8 @@
 }
 
 #[test]
-fn deadlines_and_attempts_are_over_zero() {
-    for (give_up, attempts, place) in [
+fn deadlines_and_attempts_must_be_greater_than_zero() {
+    for (give_up, attempts, expected) in [
         (1.0, 1, None),
         (0.0, 1, Some("Classes[0].GiveUp: must be over 0")),
         (-5.0, 1, Some("Classes[0].GiveUp: must be over 0")),
@@ -47,6 +47,6 @@
         (1.0, -2, Some("Permissions.AttemptsCap: must be over 0")),
     ] {
         let settings = json!({"Classes": [{"GiveUp": give_up}], "Permissions": {"AttemptsCap": attempts}});
-        assert_eq!(validate(&settings).err().map(|error| error.to_string()).as_deref(), place);
+        assert_eq!(validate(&settings).err().map(|error| error.to_string()).as_deref(), expected);
     }
 }
--- a/crates/standalone-proxy/src/resource_limits.rs
+++ b/crates/standalone-proxy/src/resource_limits.rs
@@ -1,27 +1,28 @@
-//! How a node divides the descriptors and the memory that it may use between clients and backends. Opens nothing.
+//! Divides the file descriptors and the memory that a node may use between clients and backends. Opens
+//! nothing.
 
 /// Descriptors for the listener, discovery, the runtime and the standard streams.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// What a client's connection occupies without its request and response, in KiB: hyper's buffers for both sides and a
-/// head.
+/// The memory that a client's connection occupies apart from its request and response, in KiB: hyper's read
+/// and write buffers and a head.
 const CLIENT_CONNECTION_KIB: usize = 48;
 
-/// The limits of a node.
+/// The resource limits of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// The most connections of clients.
+    /// The maximum number of client connections.
     pub max_clients: usize,
-    /// The most connections to backends.
+    /// The maximum number of connections to backends.
     pub max_backend_connections: usize,
-    /// The KiB that buffered bodies and responses may occupy.
+    /// The memory that buffered bodies and responses may occupy, in KiB.
     pub body_memory_kib: usize,
 }
 
 impl ResourceLimits {
-    /// Divides so many descriptors, more than those that are reserved, and so many KiB of memory.
+    /// Divides `descriptors`, which must be more than the 32 reserved ones, and `memory_kib`.
     ///
-    /// A third of the descriptors is for clients, as far as their share of the memory allows: further clients are turned
-    /// away before they reach the node. A quarter of the memory is for their connections, half for bodies in flight.
+    /// A third of the descriptors is for clients, or fewer if a quarter of the memory does not suffice for
+    /// that many connections. Further clients are not accepted. Half of the memory is for bodies in flight.
     pub fn new(descriptors: usize, memory_kib: usize) -> Self {
         let available = descriptors - RESERVED_DESCRIPTORS;
         let max_clients = (available / 3).min(memory_kib / 4 / CLIENT_CONNECTION_KIB).max(1);
--- a/crates/standalone-proxy/src/resource_limits/tests.rs
+++ b/crates/standalone-proxy/src/resource_limits/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `resource_limits`.
+//! Unit tests of the private items of the parent module.
 
 use super::*;
 
--- a/crates/standalone-proxy/src/telemetry/exchanges.rs
+++ b/crates/standalone-proxy/src/telemetry/exchanges.rs
@@ -1,5 +1,5 @@
-//! What a node from a file reports of its exchanges: metrics in the Prometheus text format, and a log line for each where the
-//! operator demands it. It observes; nothing here decides anything or delays an exchange.
+//! Reports the exchanges of a node that runs from a file: metrics in the Prometheus text format, and log
+//! lines for a configured share of the exchanges. Observes only: it decides nothing and delays no exchange.
 
 use crate::telemetry::log_filter::EXCHANGE_TARGET;
 use crate::telemetry::logging::Logging;
@@ -16,31 +16,31 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// The most distinct names in labels over all versions of the file since the start. Guards the memory of the node, and of
-/// whoever collects the metrics, against files that bring ever new names.
+/// The maximum number of distinct names in labels since the start. Guards the memory of the node and of the
+/// metrics collector against reloads that keep adding names.
 const MAX_LABEL_NAMES: usize = 2_000;
-/// The label of names beyond that.
+/// The label that replaces names beyond that number.
 const OTHER: &str = "other";
 
-/// The names of what an exchange belongs to.
+/// The labels of an exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ExchangeLabels {
-    /// Its class.
+    /// The name of its class.
     pub class: String,
-    /// Its cluster.
+    /// The name of its cluster.
     pub cluster: String,
-    /// Its route.
+    /// The name of its route.
     pub route: String,
-    /// Its tenant, if there are tenants.
+    /// The name of its tenant; `None` if the file has no tenants.
     pub tenant: Option<String>,
 }
 
 /// The backend that a response came from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServedBy {
-    /// Its name.
+    /// The name of the backend.
     pub backend: String,
-    /// The number of attempts up to this one.
+    /// The number of attempts of the request, including the one that brought the response.
     pub attempts: u32,
 }
 
@@ -65,12 +65,12 @@
 
 type Durations<L> = Family<L, Histogram, fn() -> Histogram>;
 
-/// From half a millisecond to half a minute.
+/// A histogram with buckets from 0.5 ms to about 33 s.
 fn duration_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.0005, 2.0, 17))
 }
 
-/// The metrics of exchanges. Operators know the names that they are registered under.
+/// The metrics of exchanges. The names in `register` are an interface for operators and must not change.
 struct ExchangeMetrics {
     responses: Family<ResponseLabels, Counter>,
     first_byte: Durations<ClassLabels>,
@@ -98,47 +98,57 @@
 
     fn register(&self) -> Registry {
         let mut registry = Registry::with_prefix("marlwinch");
-        registry.register("answers", "Answers by class, cluster and status", self.responses.clone());
+        registry.register("answers", "Responses by class, cluster and status", self.responses.clone());
         registry.register(
             "first_byte_seconds",
-            "From a request's last byte to its answer's head",
+            "Time from the last byte of a request to the head of its response",
             self.first_byte.clone(),
         );
         registry.register(
             "whole_seconds",
-            "From a request's last byte to its answer's last",
+            "Time from the last byte of a request to the last byte of its response",
             self.complete.clone(),
         );
         registry.register(
             "box_first_byte_seconds",
-            "The same as first_byte_seconds, by box",
+            "The same as first_byte_seconds, by backend",
             self.backend_first_byte.clone(),
         );
         let attempts = self.attempts.clone();
-        registry.register("attempts", "Attempts made for answers that came from boxes", attempts);
+        registry.register(
+            "attempts",
+            "Attempts of the requests whose response came from a backend",
+            attempts,
+        );
         let truncated = self.truncated.clone();
-        registry.register("cut", "Answers that were cut after their head had gone out", truncated);
-        registry.register("in_hand", "Requests in hand", self.in_flight.clone());
+        registry.register("cut", "Responses that broke off after their head was sent", truncated);
+        registry.register("in_hand", "Requests in flight", self.in_flight.clone());
         let dropped_lines = self.dropped_lines.clone();
-        registry.register("log_lines_dropped", "Lines of the log that nobody took in time", dropped_lines);
+        registry.register(
+            "log_lines_dropped",
+            "Log lines dropped because the queue of the log was full",
+            dropped_lines,
+        );
         registry
     }
 }
 
-/// The metrics of exchanges, and which of these get a log line.
+/// The metrics of exchanges, and the choice of exchanges that get a log line.
 pub struct Telemetry {
     registry: Registry,
     metrics: ExchangeMetrics,
-    /// The names that labels have had so far.
+    /// The distinct names in labels since the start.
     names: RefCell<HashSet<String>>,
-    /// The share of exchanges that get a line, and what has added up towards the next line.
+    /// The share of exchanges that get a log line, from 0 to 1.
     logged_share: Cell<f64>,
+    /// The sum of the shares since the last line; the next line is due when it reaches 1.
     accrued: Cell<f64>,
     logging: Option<Logging>,
 }
 
 impl Telemetry {
-    /// No exchanges yet; this share of them gets a line.
+    /// Telemetry without exchanges. `logged_share`, from 0 to 1, is the share of exchanges that get a log
+    /// line.
     pub fn new(logged_share: f64, logging: Option<Logging>) -> Self {
         let metrics = ExchangeMetrics::new();
         Telemetry {
@@ -151,7 +161,7 @@
         }
     }
 
-    /// Changes the share of exchanges that get a line.
+    /// Changes the share of exchanges that get a log line, from 0 to 1.
     pub fn set_logged_share(&self, share: f64) {
         self.logged_share.set(share);
     }
@@ -162,12 +172,12 @@
             self.metrics.dropped_lines.set(logging.dropped() as i64);
         }
         let mut text = String::new();
-        // Writing to a string can't fail.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
 
-    /// A name as a label, or the label of all names beyond the maximum.
+    /// Returns a name as a label, or `other` if the maximum number of names is reached.
     fn label(&self, name: &str) -> String {
         let mut names = self.names.borrow_mut();
         if !names.contains(name) {
@@ -179,7 +189,7 @@
         name.into()
     }
 
-    /// Whether the next exchange gets a line.
+    /// Whether the next exchange gets a log line. Counts the exchange.
     fn is_next_logged(&self) -> bool {
         let accrued = self.accrued.get() + self.logged_share.get();
         self.accrued.set(if accrued >= 1.0 { accrued - 1.0 } else { accrued });
@@ -187,7 +197,7 @@
     }
 }
 
-/// An exchange in progress. It is reported when this is dropped.
+/// An exchange in progress. Dropping it reports the exchange.
 pub struct Exchange {
     telemetry: Rc<Telemetry>,
     labels: ExchangeLabels,
@@ -200,7 +210,7 @@
 }
 
 impl Exchange {
-    /// A request with this method has arrived.
+    /// Begins the exchange of a request with this method that has arrived.
     pub fn begin(telemetry: &Rc<Telemetry>, labels: ExchangeLabels, method: &str) -> Self {
         telemetry.metrics.in_flight.inc();
         Exchange {
@@ -215,14 +225,14 @@
         }
     }
 
-    /// Its response has a head: with this status, and from this backend unless it is a local response.
+    /// Records the head of the response. `served_by` is `None` for a local response.
     pub fn response_started(&self, status: u16, served_by: Option<ServedBy>) {
         self.first_byte.set(Some(self.begun.elapsed()));
         self.status.set(status);
         self.served_by.replace(served_by);
     }
 
-    /// Set once the response has been sent completely.
+    /// The flag to be set once the response is complete.
     pub fn completion_flag(&self) -> Rc<Cell<bool>> {
         self.is_complete.clone()
     }
@@ -248,7 +258,7 @@
         }
     }
 
-    /// Writes its log line. Operators' tools know the names of the fields.
+    /// Writes the log line. The field names are an interface for operators' tools and must not change.
     fn log(&self, elapsed: Duration, served_by: Option<&ServedBy>) {
         let end = match self.first_byte.get() {
             // The client disconnected before there was a response.
--- a/crates/standalone-proxy/src/telemetry/exchanges/tests.rs
+++ b/crates/standalone-proxy/src/telemetry/exchanges/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `exchanges`, which see its private items.
+//! Unit tests of the private items of the parent module.
 
 use super::*;
 
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn the_number_of_labels_is_bounded() {
+async fn the_number_of_distinct_labels_is_limited() {
     let telemetry = Rc::new(Telemetry::new(0.0, None));
     for n in 0..3 * MAX_LABEL_NAMES {
         let exchange = Exchange::begin(&telemetry, labels(&format!("c{n}")), "GET");
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_share_of_exchanges_gets_a_line() {
+fn the_configured_share_of_exchanges_is_logged() {
     for (share, expected) in [(0.0, 0), (0.25, 250), (1.0, 1000)] {
         let telemetry = Telemetry::new(share, None);
         assert_eq!((0..1000).filter(|_| telemetry.is_next_logged()).count(), expected);
--- a/crates/standalone-proxy/src/telemetry/log_filter.rs
+++ b/crates/standalone-proxy/src/telemetry/log_filter.rs
@@ -1,23 +1,25 @@
-//! The filter that `MARLWINCH_LOG` holds.
+//! Reads the log filter from `MARLWINCH_LOG`.
 //!
-//! Directives name Rust modules. Filters that operators wrote before the packages were split name modules of the package
-//! `marlwinch`; they are read as the modules that hold that code now, so that a filter in service keeps its meaning.
+//! Directives name Rust modules. Filters written before the code was split into packages name modules of the
+//! package `marlwinch`. They are translated to the modules that hold that code now, so that existing filters
+//! keep their meaning.
 
 use tracing_subscriber::EnvFilter;
 
-/// The environment variable: a level, or directives such as `info,standalone_proxy::upstream=debug`.
+/// The environment variable. Holds a level, or directives such as `info,standalone_proxy::upstream=debug`.
 const VARIABLE: &str = "MARLWINCH_LOG";
 
-/// Level of everything where the variable is empty or can't be read.
+/// The filter if the variable is not set, empty or invalid.
 const DEFAULT_LEVEL: &str = "info";
 
-/// The target that lines of single exchanges are logged under. It is no module, and has kept its name.
+/// The log target of exchanges. It is not a module, and existing filters name it.
 pub const EXCHANGE_TARGET: &str = "marlwinch::exchange";
 
-/// The package that held all of the proxy.
+/// The package that formerly contained the whole proxy.
 const PACKAGE: &str = "marlwinch";
 
-/// Modules of the former package `marlwinch` and modules that were renamed since, and what holds their code now.
+/// Former modules of the package `marlwinch` and modules renamed since, with the modules that hold their code
+/// now. The first match counts.
 const FORMER_MODULES: [(&str, &[&str]); 13] = [
     (
         "standalone_proxy::platform_node::run",
@@ -37,14 +39,14 @@
     (PACKAGE, &["marlwinch", "standalone_proxy", "http_transport", "data_plane"]),
 ];
 
-/// The filter that the environment asks for; level `info` if it asks for none or can't be read.
+/// Returns the filter from the environment, or level `info` if it is not set or invalid.
 pub fn from_environment() -> EnvFilter {
     let requested = std::env::var(VARIABLE).ok().filter(|directives| !directives.is_empty());
     let filter = requested.and_then(|directives| EnvFilter::try_new(translate(&directives)).ok());
     filter.unwrap_or_else(|| EnvFilter::new(DEFAULT_LEVEL))
 }
 
-/// Replaces former modules by the present ones, directive by directive.
+/// Replaces former modules by the current ones in each directive.
 fn translate(directives: &str) -> String {
     let translated: Vec<String> = directives.split(',').map(translate_directive).collect();
     translated.join(",")
@@ -55,18 +57,20 @@
         Some((module, level)) => (module, Some(level)),
         None => (directive, None),
     };
-    // What was below a former module may lie elsewhere now: all of the present ones are meant.
-    let Some((_, present)) = FORMER_MODULES.iter().find(|(former, _)| is_former(module, former)) else {
+    // A submodule of a former module may be in any of the current ones, so the directive is applied to all of
+    // them.
+    let Some((_, current)) = FORMER_MODULES.iter().find(|(former, _)| is_former(module, former)) else {
         return directive.to_owned();
     };
-    let named = present.iter().map(|module| match level {
+    let translated = current.iter().map(|module| match level {
         Some(level) => format!("{module}={level}"),
         None => (*module).to_owned(),
     });
-    named.collect::<Vec<_>>().join(",")
+    translated.collect::<Vec<_>>().join(",")
 }
 
-/// Whether a module is a former one or lies below it. Below the package itself, only the modules of the table have moved.
+/// Whether a module is `former` or one of its submodules. For the package itself submodules do not match, as
+/// those that moved have their own entries in the table.
 fn is_former(module: &str, former: &str) -> bool {
     match module.strip_prefix(former) {
         Some("") => true,
--- a/crates/standalone-proxy/src/telemetry/log_filter/tests.rs
+++ b/crates/standalone-proxy/src/telemetry/log_filter/tests.rs
@@ -1,18 +1,18 @@
-//! Filters of former versions name the modules that hold the code now.
+//! Log filters that name former modules are translated to the current ones.
 
 use super::translate;
 
 #[test]
-fn levels_and_other_programs_modules_stay() {
-    for same in
+fn levels_current_modules_and_other_packages_are_unchanged() {
+    for unchanged in
         ["debug", "info,hyper=warn", "warn,standalone_proxy::upstream=debug", "marlwinch::exchange=off"]
     {
-        assert_eq!(translate(same), same);
+        assert_eq!(translate(unchanged), unchanged);
     }
 }
 
 #[test]
-fn former_modules_are_read_as_the_present_ones() {
+fn former_modules_are_translated_to_the_current_ones() {
     let translated = translate("info,marlwinch::boxes=debug");
     assert_eq!(translated, "info,standalone_proxy::upstream=debug,http_transport=debug");
     assert_eq!(
@@ -31,5 +31,5 @@
     );
     let whole = "marlwinch=debug,standalone_proxy=debug,http_transport=debug,data_plane=debug";
     assert_eq!(translate("marlwinch=debug"), whole);
-    assert_eq!(translate("marlwinchers=debug"), "marlwinchers=debug", "only whole names of modules count");
+    assert_eq!(translate("marlwinchers=debug"), "marlwinchers=debug", "only whole module names match");
 }
--- a/crates/standalone-proxy/src/telemetry/logging.rs
+++ b/crates/standalone-proxy/src/telemetry/logging.rs
@@ -1,5 +1,5 @@
-//! The log on standard error: text or JSON, filtered by `MARLWINCH_LOG`. Decides the form of lines; their content is decided
-//! where things happen.
+//! The log on standard error: text or JSON, filtered by `MARLWINCH_LOG`. Decides only the format of the
+//! lines.
 
 use crate::telemetry::log_filter;
 use route_config::model::{Log, LogFormat};
@@ -10,7 +10,7 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// A log whose lines are written by a thread of its own, for as long as this lives.
+/// A log that a separate thread writes for as long as this lives.
 pub struct Logging {
     _worker: WorkerGuard,
     dropped: ErrorCounter,
@@ -23,8 +23,8 @@
     }
 }
 
-/// Starts a log that is written to standard error at once. The program goes on after a line is written, so that its last line
-/// is never lost. A second call changes nothing.
+/// Starts a log that is written to standard error synchronously, so that no line is lost when the process
+/// ends. A second call has no effect.
 pub fn start() {
     let builder = tracing_subscriber::fmt()
         .with_env_filter(log_filter::from_environment())
@@ -33,8 +33,8 @@
     let _ = builder.try_init();
 }
 
-/// Starts the log of a node from a file: lines wait in a queue for a thread that writes them. If the queue is full, they are
-/// dropped and counted. An exchange never waits for its line.
+/// Starts the log of a node that runs from a file: lines are queued for a thread that writes them, so that no
+/// exchange waits for the log. Lines that find the queue full are dropped and counted.
 pub fn start_queued(log: &Log) -> Logging {
     let (writer, worker) =
         NonBlockingBuilder::default().lossy(true).buffered_lines_limit(log.queue).finish(stderr());
@@ -47,7 +47,7 @@
     Logging { _worker: worker, dropped }
 }
 
-/// A line of text: seconds since 1970, level, message, fields.
+/// The text format of a line: Unix time in seconds, level, message, fields.
 struct TextFormat;
 
 impl<S, N> FormatEvent<S, N> for TextFormat
--- a/crates/standalone-proxy/src/telemetry/mod.rs
+++ b/crates/standalone-proxy/src/telemetry/mod.rs
@@ -1,5 +1,5 @@
-//! What a node reports of itself: its log, its metrics, a line for an exchange, a trace of requests. It observes; nothing here
-//! decides anything or delays an exchange.
+//! What a node reports about itself: its log, its metrics, log lines of exchanges, a trace of requests.
+//! Observes only: it decides nothing and delays no exchange.
 
 pub mod admin;
 pub mod exchanges;
--- a/crates/standalone-proxy/src/telemetry/node_metrics.rs
+++ b/crates/standalone-proxy/src/telemetry/node_metrics.rs
@@ -1,4 +1,4 @@
-//! What a node has done since its start, counted where it happens and read by operators. Counts alone: it decides nothing and
+//! The metrics of the platform's node since its start, which operators read. Counts only: decides nothing and
 //! sends nothing.
 
 use serde::Serialize;
@@ -6,19 +6,19 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The counts of one class. A class that is removed from the settings keeps its counts: they cover the whole time since the
-/// start.
+/// The counts of one class. They cover the whole time since the start: a class that is removed from the
+/// settings keeps its counts.
 #[derive(Debug, Default, Serialize)]
 pub struct ClassMetrics {
     /// Requests that were served.
     pub ok: Cell<u64>,
-    /// Requests that were rejected, which promises that a retry is harmless.
+    /// Requests that were rejected without being executed, so that a retry is harmless.
     pub shed: Cell<u64>,
     /// Requests that failed.
     pub errors: Cell<u64>,
 }
 
-/// The counts of a node. Operators' tools know the serialized names.
+/// The counts of a node. The serialized names are an interface for operators' tools and must not change.
 #[derive(Debug, Default, Serialize)]
 pub struct NodeMetrics {
     responses: RefCell<BTreeMap<String, Rc<ClassMetrics>>>,
@@ -30,7 +30,7 @@
     in_flight: Rc<Cell<u64>>,
     /// Backends on the list.
     pub pool_size: Cell<usize>,
-    /// Backends on the list that are ejected for now.
+    /// Backends on the list that are currently ejected.
     pub pool_ejected: Cell<usize>,
     /// Changed configurations that were applied.
     pub config_applied: Cell<u64>,
@@ -44,12 +44,12 @@
 }
 
 impl NodeMetrics {
-    /// The counts of the class of this name, from 0 on if it is new.
+    /// Returns the counts of the class with this name, all 0 if it is new.
     pub fn class(&self, name: &str) -> Rc<ClassMetrics> {
         self.responses.borrow_mut().entry(name.to_string()).or_default().clone()
     }
 
-    /// Counts a request as in flight for as long as the result lives.
+    /// Counts a request as in flight until the guard is dropped.
     pub fn begin_request(&self) -> InFlightGuard {
         increment(&self.in_flight);
         InFlightGuard(self.in_flight.clone())
@@ -57,12 +57,12 @@
 
     /// All counts as one line of JSON.
     pub fn json(&self) -> String {
-        // Names and numbers are JSON in every case.
+        // Names and numbers can always be serialized.
         serde_json::to_string(self).unwrap_or_default()
     }
 }
 
-/// A request in flight.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard(Rc<Cell<u64>>);
 
--- a/crates/standalone-proxy/src/telemetry/recorder/tests.rs
+++ b/crates/standalone-proxy/src/telemetry/recorder/tests.rs
@@ -1,17 +1,17 @@
-//! Tests of `recorder`, which see its private items.
+//! Unit tests of the private items of the parent module.
 
 use super::*;
 use std::sync::mpsc::{Sender, channel};
 
-/// A disk that blocks until the test lets it go on, and passes on what was written.
-struct Stuck {
-    go_on: Receiver<()>,
+/// A writer that blocks until the test resumes it or drops the sender, and passes on what is written.
+struct BlockingWriter {
+    resumed: Receiver<()>,
     written: Sender<Vec<u8>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockingWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let _ = self.go_on.recv();
+        let _ = self.resumed.recv();
         let _ = self.written.send(bytes.to_vec());
         Ok(bytes.len())
     }
@@ -31,37 +31,37 @@
 }
 
 #[test]
-fn a_stuck_disk_costs_lines_and_no_time() {
-    let ((sender, go_on), (written, wrote)) = (channel(), channel());
-    let recorder = Recorder::to_writer(Stuck { go_on, written }, 10, u64::MAX);
+fn a_blocked_writer_drops_lines_and_does_not_delay_requests() {
+    let ((resume, resumed), (written, output)) = (channel(), channel());
+    let recorder = Recorder::to_writer(BlockingWriter { resumed, written }, 10, u64::MAX);
     let begun = Instant::now();
     for n in 0..1000 {
         recorder.record(request(&format!("/{n}"), None, false, 0));
     }
-    assert!(begun.elapsed() < Duration::from_secs(5), "it waits for the disk");
-    // Ten wait, and one may be with the disk.
+    assert!(begun.elapsed() < Duration::from_secs(5), "recording waits for the writer");
+    // Ten lines are queued, and one may be in the writer.
     assert!((989..=990).contains(&recorder.dropped()), "{}", recorder.dropped());
-    drop(sender);
-    let kept = 1000 - recorder.dropped();
+    drop(resume);
+    let recorded = 1000 - recorder.dropped();
     drop(recorder);
-    let text: Vec<u8> = wrote.iter().flatten().collect();
+    let text: Vec<u8> = output.iter().flatten().collect();
     let trace = load_generator::trace::read(&text, 1.0);
     assert_eq!(
         (trace.requests.len() as u64, trace.invalid_lines),
-        (kept, 0),
-        "what was taken is written whole"
+        (recorded, 0),
+        "every line that was not dropped is written completely"
     );
 }
 
 #[test]
-fn a_trace_ends_where_it_is_as_large_as_it_may_be() {
-    let ((sender, go_on), (written, wrote)) = (channel(), channel());
-    drop(sender);
-    let recorder = Recorder::to_writer(Stuck { go_on, written }, 100, 500);
+fn a_trace_ends_at_its_maximum_size() {
+    let ((resume, resumed), (written, output)) = (channel(), channel());
+    drop(resume);
+    let recorder = Recorder::to_writer(BlockingWriter { resumed, written }, 100, 500);
     for _ in 0..50 {
         recorder.record(request("/a", Some("t"), true, 7));
     }
     drop(recorder);
-    let text: Vec<u8> = wrote.iter().flatten().collect();
+    let text: Vec<u8> = output.iter().flatten().collect();
     assert!(text.len() <= 500 && text.len() > 400 && text.ends_with(b"\n"), "{}", text.len());
 }
--- a/crates/standalone-proxy/src/upstream/attempt.rs
+++ b/crates/standalone-proxy/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks: the requests that they send.
+//! Builds and sends the requests of attempts and health checks.
 
 use crate::headers::TIME_LEFT;
 use crate::upstream::backend_client::BackendClient;
@@ -14,8 +14,8 @@
 use tokio::time::Instant;
 
 impl BackendClient {
-    /// Sends a request to a backend and waits for the response until the deadlines. A request whose last byte was not written
-    /// by then has certainly not been executed; of any other that is unknown.
+    /// Sends a request to a backend and waits for the response until the deadlines. If the last byte was not
+    /// written by then, the request has certainly not been executed; otherwise that is unknown.
     pub async fn attempt(
         &self,
         backend: ServerId,
@@ -24,7 +24,7 @@
     ) -> AttemptResult {
         let remaining = deadlines.response.saturating_duration_since(Instant::now());
         let mut headers = payload.headers.clone();
-        // Digits and a point are a header value in every case.
+        // Digits and a decimal point always form a valid header value.
         if let Ok(remaining) = HeaderValue::from_str(&format!("{:.3}", remaining.as_secs_f64())) {
             headers.insert(TIME_LEFT, remaining);
         }
@@ -50,7 +50,7 @@
         self.exchange(backend, request, spec, payload.cancellation.clone()).await
     }
 
-    /// Requests a backend's load. The time-out for a connection is also that for the response.
+    /// Requests the load report of a backend. The connect time-out applies to the whole exchange.
     pub async fn check_health(&self, backend: ServerId) -> AttemptResult {
         let request = || {
             let mut request = Request::new(Full::default().into());
--- a/crates/standalone-proxy/src/upstream/backend_client.rs
+++ b/crates/standalone-proxy/src/upstream/backend_client.rs
@@ -1,5 +1,5 @@
-//! The connections to the backends of a cluster: which backends there are, which connections are kept, and how long streams
-//! go on. Opens none itself.
+//! The connections to the backends of a cluster: which backends are listed, which connections are kept, and
+//! how long streams may continue. Opens no connection itself.
 
 use crate::endpoint_update::EndpointUpdate;
 use crate::upstream::messages::BackendTimeouts;
@@ -23,24 +23,24 @@
     pub(super) sockets: Rc<SocketBudget>,
     pub(super) criterion: SuccessCriterion,
     pub(super) health_check_timeout: Cell<Duration>,
-    /// The time-outs of health checks, and of requests that have none of their own.
+    /// The time-outs of health checks, and of requests without their own time-outs.
     pub(super) default_timeouts: Cell<BackendTimeouts>,
-    /// How long a connection is idle after a response before its next request.
+    /// How long a connection must be idle after a response before its next request.
     pub(super) reuse_delay: Rc<ReuseDelay>,
-    /// Idle connections are closed after this time, well before the backend would.
+    /// Idle connections are closed after this time, well before the backend closes them.
     pub(super) max_idle: Cell<Duration>,
-    /// The names that load reports use.
+    /// The load values that are read from load reports.
     pub(super) columns: RefCell<Vec<Column>>,
     pub(super) load_report_log: RateLimitedLog,
-    /// How long the streams of a backend that drains or is removed go on; `None` for as long as they last.
+    /// How long streams may continue once their backend drains or is removed; `None` for no limit.
     stream_grace: Cell<Option<Duration>>,
-    /// Counts of connections.
+    /// Counts of connections since the start, for the log.
     pub counters: ConnectionCounters,
     pub(super) stalls: Rc<StallDetector>,
 }
 
 impl BackendClient {
-    /// A client without backends. `idle_close` is when backends close idle connections.
+    /// A client without backends. `idle_close` is the time after which backends close idle connections.
     pub fn new(
         sockets: Rc<SocketBudget>,
         criterion: SuccessCriterion,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Replaces the settings. Attempts in flight go on with the old ones.
+    /// Replaces the settings. Attempts in flight keep the old ones.
     pub fn reconfigure(&self, settings: &Settings, idle_close: Duration, columns: Vec<Column>) {
         self.health_check_timeout.set(settings.limits.connect_timeout);
         self.default_timeouts.set(default_timeouts(settings));
@@ -76,22 +76,22 @@
         self.columns.replace(columns);
     }
 
-    /// Sets how long the streams of a backend go on once it drains or is removed; `None` for as long as they last.
+    /// Sets how long streams may continue once their backend drains or is removed; `None` for no limit.
     pub fn set_stream_grace(&self, grace: Option<Duration>) {
         self.stream_grace.set(grace);
     }
 
-    /// The number of open connections, of all clusters.
+    /// The number of open connections to the backends of all clusters.
     pub fn open_connections(&self) -> usize {
         self.sockets.open.get()
     }
 
-    /// Whether there is a backend on the list.
+    /// Whether the list contains a backend.
     pub fn has_endpoints(&self) -> bool {
         !self.pools.borrow().is_empty()
     }
 
-    /// Registers the deadline of a stream, whose backend may be draining by now.
+    /// Registers the deadline of a stream. It is brought forward at once if the backend is already draining.
     pub(super) fn register_stream(&self, backend: ServerId, deadline: &StreamDeadline) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(&backend) {
             pool.streams.push(deadline.clone());
@@ -101,14 +101,15 @@
         }
     }
 
-    /// Sets the deadline of the streams of a backend that drains or is removed.
+    /// Limits the streams of a backend that drains or is removed to the grace period.
     fn limit_streams(&self, pool: &BackendPool) {
         if let Some(grace) = self.stream_grace.get() {
             pool.streams.iter().for_each(|stream| stream.bring_forward(Instant::now() + grace));
         }
     }
 
-    /// Applies a change of the list: addresses, and which idle connections are of no more use.
+    /// Applies a change of the list: adds and removes pools, and closes idle connections that will not be
+    /// used again.
     pub fn apply_update(&self, update: &EndpointUpdate) {
         let mut pools = self.pools.borrow_mut();
         if update.kind != ListKind::Changes {
@@ -124,11 +125,12 @@
                 continue;
             }
             let pool = pools.entry(entry.id).or_insert_with(|| BackendPool::new(address, entry.started));
-            // A drain that is listed again does not move the deadlines of streams: `bring_forward` never postpones one.
+            // A drain that is listed again does not postpone the deadlines of streams: `bring_forward` never
+            // does.
             let is_replaced = pool.address != address || pool.started != entry.started;
             if is_replaced {
-                // Attempts that were decided for the former process are not for the present one, and connections to the
-                // former one lead nowhere.
+                // Another process runs there now: attempts that were decided for the former one must not
+                // reach it.
                 pool.serving.set(false);
                 pool.serving = ServingFlag::new(true);
             }
@@ -148,7 +150,8 @@
         }
     }
 
-    /// Closes connections that have been idle for long or were closed by the backend. To be called now and then.
+    /// Closes connections that have been idle for too long or were closed by the backend. Must be called
+    /// periodically.
     pub fn prune_idle(&self) {
         for pool in self.pools.borrow_mut().values_mut() {
             pool.streams.retain(|stream| !stream.is_unshared());
@@ -157,12 +160,12 @@
     }
 }
 
-/// The longest reuse delay: a request that waits for it has most of the connect time-out left.
+/// The maximum reuse delay. It leaves a waiting request at least half of the connect time-out.
 fn max_reuse_delay(settings: &Settings) -> Duration {
     default_timeouts(settings).connect / 2
 }
 
-/// The time-outs of requests that have none of their own.
+/// The time-outs of requests without their own: those for the shortest latency target of all classes.
 fn default_timeouts(settings: &Settings) -> BackendTimeouts {
     let target = settings.classes.iter().map(|class| class.latency_target).min().unwrap_or(Duration::MAX);
     BackendTimeouts::for_target(target, settings)
--- a/crates/standalone-proxy/src/upstream/exchange.rs
+++ b/crates/standalone-proxy/src/upstream/exchange.rs
@@ -1,4 +1,5 @@
-//! One request and its response, on as many connections as it takes until one is open, and within their deadlines.
+//! An exchange: one request and its response, within their deadlines. Tries further connections as long as
+//! the ones that it gets turn out to be closed before the first byte.
 
 use crate::upstream::backend_client::BackendClient;
 use crate::upstream::messages::{AttemptDeadlines, AttemptResult, ExchangeSpec};
@@ -16,10 +17,10 @@
 use tokio::time::{Instant, timeout_at};
 use tracing::debug;
 
-/// What is known of an exchange outside the task that carries it out.
+/// The state of an exchange that remains available when its future is dropped.
 struct ExchangeState {
     permit: SendPermit,
-    /// How far the request has come. It stays known when the deadline has passed and the rest is dropped.
+    /// How much of the request was written. Needed to determine the outcome after the deadline.
     progress: RefCell<Option<Rc<ExchangeProgress>>>,
 }
 
@@ -43,15 +44,15 @@
         cancellation: CancellationFlag,
     ) -> AttemptResult {
         let serving = self.pools.borrow().get(&backend).map(|pool| pool.serving.clone());
-        // Nothing was ever sent to a backend that is no longer on the list.
+        // The backend is no longer on the list, and nothing was sent to it.
         let Some(serving) = serving else { return AttemptResult::without_response(Outcome::NotSent) };
         let permit = SendPermit { deadline: spec.deadlines.request_sent, cancellation, serving };
         let state = ExchangeState { permit, progress: RefCell::default() };
         let stall_count = self.stalls.stall_count();
         let work = async {
             loop {
-                // A backend that was selected before a stall was selected by outdated information, and nothing has been sent
-                // to it. A timer that is due as well is not always seen first.
+                // A backend that was selected before a stall was selected by outdated information. The
+                // deadline may have passed as well without its timer having fired yet.
                 if self.stalls.stall_count() != stall_count || !state.permit.is_valid() {
                     return AttemptResult::without_response(Outcome::NotSent);
                 }
@@ -61,7 +62,7 @@
                     Err(outcome) => return AttemptResult::without_response(outcome),
                 };
                 if !state.permit.is_valid() {
-                    // It was opened, or found, too late for this attempt: it is as good as new for another.
+                    // The connection is available too late for this attempt, and is kept for another one.
                     store_idle(&self.pools, backend, connection);
                     return AttemptResult::without_response(Outcome::NotSent);
                 }
@@ -74,7 +75,7 @@
         self.within_deadlines(spec.deadlines, &state, work).await
     }
 
-    /// Sends a request on a connection. `None` if it is to be sent on another one.
+    /// Sends a request on a connection. `None` if it must be sent on another one.
     async fn send_on(
         &self,
         backend: ServerId,
@@ -96,7 +97,8 @@
             biased;
             response = connection.sender.send_request(request()) => response,
             () = progress.wait_for_stall(stall_timeout) => {
-                return Some(invalid_response(backend, &"its head does not end"));
+                let reason = format!("incomplete head, nothing received for {stall_timeout:?}");
+                return Some(invalid_response(backend, &reason));
             }
         };
         match response {
@@ -104,14 +106,16 @@
                 biased;
                 result = self.read_response(backend, connection, response, spec) => result,
                 () = progress.wait_for_stall(stall_timeout) => {
-                    invalid_response(backend, &"its body does not end")
+                    let reason = format!("incomplete body, nothing received for {stall_timeout:?}");
+                    invalid_response(backend, &reason)
                 }
             }),
             Err(error) => self.result_of_failure(backend, &error, &progress, connection_use),
         }
     }
 
-    /// What follows where no response has arrived on a connection. `None` if the request is to be sent on another one.
+    /// The result of an exchange that failed before a response arrived. `None` if the request must be sent on
+    /// another connection.
     fn result_of_failure(
         &self,
         backend: ServerId,
@@ -119,7 +123,7 @@
         progress: &ExchangeProgress,
         connection_use: ConnectionUse,
     ) -> Option<AttemptResult> {
-        debug!("backend {backend:?}: {error}");
+        debug!("backend {backend:?}: request failed: {error}");
         let event = match () {
             () if error.is_user() => AttemptEvent::ClientBodyFailed,
             () if error.is_parse() || progress.is_flooded() => AttemptEvent::InvalidResponse,
@@ -130,21 +134,21 @@
         match attempt::action_after(progress.stage(), event, connection_use) {
             AttemptAction::End(outcome) => Some(AttemptResult::without_response(outcome)),
             AttemptAction::UseOtherConnection => {
-                // Otherwise the connection had been closed while it was idle.
+                // If the first byte was not withheld, the backend had closed the idle connection.
                 if !is_withheld {
                     self.counters.stale.set(self.counters.stale.get() + 1);
                 }
                 None
             }
-            // Only after a response's head, which has not arrived.
+            // These follow only after the head of a response, which has not arrived.
             AttemptAction::AbortClientConnection | AttemptAction::NoAction => {
                 Some(AttemptResult::without_response(Outcome::Error))
             }
         }
     }
 
-    /// Waits for the end of an exchange, for as long as its deadlines allow. Both the exchange and its connection are dropped
-    /// once this returns, so that no further byte is written.
+    /// Waits for the end of an exchange until its deadlines. The exchange and its connection are dropped when
+    /// this returns, so that no further byte is written.
     async fn within_deadlines(
         &self,
         deadlines: AttemptDeadlines,
@@ -157,7 +161,8 @@
             result = timeout_at(deadlines.response, &mut work).await;
         }
         if result.is_err() && self.stalls.is_catching_up() {
-            // The response may have arrived during a stall of this process: it is read before its deadline counts.
+            // The response may have arrived during a stall of this process, so it is read before the deadline
+            // is applied.
             self.stalls.wait_until_caught_up().await;
             result = timeout_at(Instant::now(), &mut work).await;
         }
--- a/crates/standalone-proxy/src/upstream/load_report.rs
+++ b/crates/standalone-proxy/src/upstream/load_report.rs
@@ -3,10 +3,12 @@
 use join_up_to::LoadReport;
 use join_up_to::settings::Column;
 
-/// The load that no backend reaches. A larger or a negative value is invalid, and must not pass for load or idleness.
+/// The upper bound of load values. A larger or negative value is invalid, and must not be taken for load or
+/// idleness.
 const MAX_LOAD: f32 = 1e6;
 
-/// The values of a load report, by the names in the settings; `None` if a value is invalid or there is none.
+/// Parses a load report and keeps the values of `columns`. `None` if a value is invalid or none of them is
+/// reported.
 pub fn load_report(text: &str, columns: &[Column]) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for pair in text.split(',') {
--- a/crates/standalone-proxy/src/upstream/load_report/tests.rs
+++ b/crates/standalone-proxy/src/upstream/load_report/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of `load_report`, which see its private items.
+//! Unit tests of the private items of the parent module.
 
 use super::*;
 
 #[test]
-fn a_load_report_holds_what_the_settings_name_or_nothing() {
+fn a_load_report_yields_the_configured_values_or_nothing() {
     let columns = [Column::Concurrent, Column::Depth];
     let report = LoadReport { in_flight: Some(7.0), queue: Some(2.5), ..LoadReport::default() };
-    // The names are those of the settings.
+    // Values that are not configured are ignored.
     assert_eq!(load_report("concurrent=7, depth=2.5,load_share=0.61,new=1", &columns), Some(report));
-    for bad in [
+    for invalid in [
         "",
         "concurrent",
         "concurrent=",
@@ -19,6 +19,6 @@
         "load_share=0.5",
         "concurrent=1,,",
     ] {
-        assert_eq!(load_report(bad, &columns), None, "{bad}");
+        assert_eq!(load_report(invalid, &columns), None, "{invalid}");
     }
 }
--- a/crates/standalone-proxy/src/upstream/messages.rs
+++ b/crates/standalone-proxy/src/upstream/messages.rs
@@ -1,4 +1,5 @@
-//! What is sent to a backend, what returns, and how an attempt ended. Data alone.
+//! The data of an exchange: the request to a backend, its response, and the result of an attempt. Contains no
+//! logic.
 
 use bytes::Bytes;
 use http_transport::body::{DEFAULT_MAX_GAP, Download, Upload};
@@ -14,8 +15,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The largest body, in bytes, that the platform's node forwards in either direction. Guards against responses that announce
-/// gigabytes and keep arriving.
+/// The maximum size of a body, in bytes, that the platform's node forwards in either direction. Guards
+/// against responses of gigabytes.
 pub const MAX_FORWARDED_BODY: u64 = 40 << 20;
 
 /// What is sent to a backend: a client's request with the headers that are forwarded.
@@ -25,45 +26,46 @@
     pub method: Method,
     /// The path and the query.
     pub target: PathAndQuery,
-    /// The headers, without those of an attempt.
+    /// The headers, without those that differ between attempts.
     pub headers: HeaderMap,
-    /// The body, if it is buffered.
+    /// The body if it is buffered, else empty.
     pub body: Bytes,
-    /// The body, if it is too large to be buffered; `body` is then empty.
+    /// The body if it is too large to be buffered.
     pub upload: Option<Rc<Upload>>,
-    /// The time-outs for a backend that makes no progress; `None` for those of the settings.
+    /// The time-outs for a backend that makes no progress; `None` for the defaults of the cluster.
     pub timeouts: Option<BackendTimeouts>,
-    /// If it requests another protocol: how long a connection that has switched may be idle.
+    /// How long the connection may be idle after a switch of protocols; `None` if the request asks for no
+    /// switch.
     pub upgrade_idle_timeout: Option<Duration>,
-    /// Counts its attempts whose last byte was written.
+    /// Counts the attempts whose last byte was written.
     pub sent_count: Option<Rc<Cell<u64>>>,
-    /// Set once the client has its response: nothing is sent for it afterwards.
+    /// Set once the client has its response or has disconnected: no further attempt starts afterwards.
     pub cancellation: CancellationFlag,
 }
 
-/// How long a backend that makes no progress is waited for.
+/// How long to wait for a backend that makes no progress.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendTimeouts {
-    /// For a connection to open.
+    /// For a connection to be established.
     pub connect: Duration,
-    /// For a response that has begun to be complete.
+    /// For the next bytes of a response that has begun and is not streamed.
     pub stall: Duration,
-    /// For the next part of a response that is streamed.
+    /// For the next bytes of a streamed response.
     pub max_gap: Duration,
-    /// The longest that such a response may take in all, from its head on; `None` for no limit.
+    /// For the end of a streamed response, from its head on; `None` for no limit.
     pub max_stream: Option<Duration>,
-    /// How long a response of unknown length may pause before what has arrived of it is streamed; `None` for until its
-    /// attempt's deadline.
+    /// How long a response of unknown length may pause before the part that has arrived is streamed; `None`
+    /// for no limit before the deadline of the attempt.
     pub max_buffer_pause: Option<Duration>,
 }
 
-/// The part of a latency target that opening a connection may take. Three more attempts fit into what is left, whatever
-/// `ConnectTimeout` is.
+/// Opening a connection may take at most this fraction of the latency target, whatever `ConnectTimeout` is.
+/// It leaves time for three more attempts.
 const CONNECT_DIVISOR: u32 = 4;
 
 impl BackendTimeouts {
-    /// For requests with this latency target. Guards against machines that never respond: a request that waits for one
-    /// until its own deadline has no time for another attempt.
+    /// The time-outs for requests with this latency target. Guards against machines that never respond: a
+    /// request that waited for one until its own deadline would have no time for another attempt.
     pub fn for_target(latency_target: Duration, settings: &Settings) -> Self {
         let timeout = settings.limits.connect_timeout.min(latency_target / CONNECT_DIVISOR);
         BackendTimeouts {
@@ -79,29 +81,30 @@
 /// The deadlines of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptDeadlines {
-    /// By then its request is sent completely, or no more of it is sent: a backend counts the window of an idempotency key
-    /// from the last byte on, and may have forgotten the key by then.
+    /// The time by which the last byte of the request must be written; after that no more of it is sent. A
+    /// backend counts the window of an idempotency key from the last byte on, and may have forgotten the key
+    /// afterwards.
     pub request_sent: Instant,
-    /// By then its response has arrived, or is waited for no longer.
+    /// The time by which the response must have arrived.
     pub response: Instant,
 }
 
-/// What an exchange needs to know of its request.
+/// The properties of a request that its exchange depends on.
 #[derive(Clone, Copy)]
 pub struct ExchangeSpec<'p> {
-    /// Whether the response has no body, whatever its head says.
+    /// Whether the request is a `HEAD` request, whose response has no body.
     pub head_only: bool,
-    /// The size of the body, if it is buffered.
+    /// The size of the body in bytes if it is buffered, else 0.
     pub body_size: usize,
-    /// The body, if it is streamed.
+    /// The body if it is streamed.
     pub upload: Option<&'p Rc<Upload>>,
     /// As in [`BackendRequest`].
     pub upgrade_idle_timeout: Option<Duration>,
     /// As in [`BackendRequest`].
     pub sent_count: Option<&'p Rc<Cell<u64>>>,
-    /// The deadlines.
+    /// The deadlines of the attempt.
     pub deadlines: AttemptDeadlines,
-    /// The time-outs of its steps.
+    /// The time-outs of the steps of the exchange.
     pub timeouts: BackendTimeouts,
 }
 
@@ -114,9 +117,9 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: ResponseBody,
-    /// The backend.
+    /// The backend that sent it.
     pub backend: ServerId,
-    /// The number of attempts of the request up to this one.
+    /// The number of attempts of the request, including this one.
     pub attempts: u32,
 }
 
@@ -130,9 +133,9 @@
 /// The body of a backend's response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// Complete.
+    /// The complete body.
     Buffered(Bytes),
-    /// Streamed as it arrives.
+    /// A body that is streamed as it arrives.
     Streaming(Box<Download>),
     /// The connection has switched to another protocol.
     Tunnel(Box<Tunnel>),
@@ -143,15 +146,15 @@
 pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
-    /// The load that the backend reported.
+    /// The load that the backend reported, if it did.
     pub load_report: Option<LoadReport>,
-    /// The response, if the outcome is [`Outcome::Served`]; where all responses are forwarded, also a response of a backend
-    /// that did not serve the request.
+    /// The response if the outcome is [`Outcome::Served`], or an error response where these are forwarded
+    /// too.
     pub response: Option<BackendResponse>,
 }
 
 impl AttemptResult {
-    /// An end without a response.
+    /// A result without a response.
     pub fn without_response(outcome: Outcome) -> Self {
         AttemptResult { outcome, load_report: None, response: None }
     }
--- a/crates/standalone-proxy/src/upstream/mod.rs
+++ b/crates/standalone-proxy/src/upstream/mod.rs
@@ -1,10 +1,10 @@
-//! The backends' side: connections to each of them, one attempt or health check on one, how it ended. It makes no attempt
-//! of its own accord.
+//! The side of the backends: connections to each of them, attempts and health checks, and their results.
+//! Starts no attempt on its own.
 //!
-//! - [`messages`]: what is sent to a backend and what returns.
+//! - [`messages`]: the data of an exchange.
 //! - [`pool`]: idle connections, and the sockets that all clusters share.
-//! - [`backend_client`]: the connections to a cluster's backends, and what the list says of these.
-//! - [`connect`]: a connection for an exchange.
+//! - [`backend_client`]: the connections to the backends of a cluster, by the list of backends.
+//! - [`connect`]: provides the connection for an exchange.
 //! - [`response`]: reads a response.
 //! - [`exchange`]: one request and its response, within their deadlines.
 //! - [`attempt`]: attempts and health checks.
--- a/crates/standalone-proxy/src/upstream/response.rs
+++ b/crates/standalone-proxy/src/upstream/response.rs
@@ -1,4 +1,5 @@
-//! Reads the response to a request: its load report, its outcome, and its body, buffered or streamed.
+//! Reads the response to a request: the load report, the outcome, and the body, which is buffered or
+//! streamed.
 
 use crate::upstream::backend_client::BackendClient;
 use crate::upstream::load_report::load_report;
@@ -21,23 +22,23 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// How long before an attempt's deadline a response that has begun is streamed, so that the balancer is notified of it
-/// first.
+/// How long before the deadline of an attempt a response that is still arriving is streamed. The balancer
+/// must learn of the response before the deadline.
 const STREAM_LEAD: Duration = Duration::from_millis(30);
 
 const LOAD: HeaderName = HeaderName::from_static("x-backend-load");
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 
-/// The result for a response that is invalid: the request may have been executed, and its connection is of no further use.
-/// The backend itself is up, so this says less of its health than a connection that breaks.
+/// The result for an invalid response: the request may have been executed, and the connection can't be
+/// reused. The backend is reachable, so this says less about its health than a lost connection.
 pub(super) fn invalid_response(backend: ServerId, reason: &dyn Display) -> AttemptResult {
-    debug!("backend {backend:?}: spoilt answer: {reason}");
+    debug!("backend {backend:?}: invalid response: {reason}");
     AttemptResult::without_response(Outcome::Error)
 }
 
 impl BackendClient {
-    /// Reads a response to its end, or until it is to be streamed. An invalid one has an outcome too: the request may have
-    /// been executed.
+    /// Reads a response to its end, or until it is streamed. An invalid response has an outcome too, as the
+    /// request may have been executed.
     pub(super) async fn read_response(
         &self,
         backend: ServerId,
@@ -46,7 +47,7 @@
         spec: &ExchangeSpec<'_>,
     ) -> AttemptResult {
         let (mut head, body) = response.into_parts();
-        // The report is for this node and is not forwarded.
+        // The load report is for this node and is not forwarded.
         let load_report = head.headers.remove(LOAD).and_then(|value| self.parse_report(value.as_bytes()));
         if let (StatusCode::SWITCHING_PROTOCOLS, Some(idle_timeout)) =
             (head.status, spec.upgrade_idle_timeout)
@@ -77,12 +78,12 @@
             return invalid_response(backend, &error);
         }
         let outcome = self.outcome(&head);
-        // Responses are forwarded also where the request is not served, where no other response follows. A switch of
-        // protocols is none that the client has requested.
+        // A response may be forwarded even if the request was not served, in case no attempt follows. That
+        // excludes a switch of protocols, which at this point the client has not requested.
         let is_forwarded = outcome == Outcome::Served
             || self.forwards_all() && head.status != StatusCode::SWITCHING_PROTOCOLS;
         if self.criterion == SuccessCriterion::Status200 && body.size_hint().lower() > MAX_FORWARDED_BODY {
-            return invalid_response(backend, &"too large");
+            return invalid_response(backend, &format!("body of more than {MAX_FORWARDED_BODY} bytes"));
         }
         let mut buffer = BodyBuffer::new(MAX_BUFFERED_BODY);
         let read_end = if is_forwarded && self.is_streamed_at_once(&head, &body) {
@@ -98,9 +99,9 @@
                 let response = Some(BackendResponse::new(backend, head, body));
                 return AttemptResult { outcome, load_report: None, response };
             }
-            Ok(_) => return invalid_response(backend, &"too large or too slow"),
+            Ok(_) => return invalid_response(backend, &"body too large or too slow to be buffered"),
             Err(error) if is_connection_error(&error) => {
-                debug!("backend {backend:?}: answer not whole: {error}");
+                debug!("backend {backend:?}: connection lost before the end of the response: {error}");
                 return AttemptResult::without_response(Outcome::Reset);
             }
             Err(error) => return invalid_response(backend, &error),
@@ -113,12 +114,12 @@
         AttemptResult { outcome, load_report: None, response }
     }
 
-    /// Whether all responses are forwarded, also those of backends that did not serve the request.
+    /// Whether all responses are forwarded, including error responses.
     fn forwards_all(&self) -> bool {
         self.criterion == SuccessCriterion::NoBackendFailure
     }
 
-    /// Whether a response ends with its head, whatever that says of a length.
+    /// Whether a response ends with its head, whatever length the head announces.
     fn has_no_body(&self, status: StatusCode, spec: &ExchangeSpec<'_>) -> bool {
         let is_bodiless =
             spec.head_only || matches!(status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
@@ -130,13 +131,14 @@
         attempt::response_outcome(ResponseHead { status: head.status.as_u16(), unprocessed }, self.criterion)
     }
 
-    /// Whether a response is streamed without an attempt to buffer it: it is too large, or has trailers.
+    /// Whether a response is streamed without buffering it first, as it is too large or has trailers.
     fn is_streamed_at_once(&self, head: &Parts, body: &Incoming) -> bool {
         let has_trailers = head.headers.contains_key(header::TRAILER);
         body.size_hint().lower() > MAX_BUFFERED_BODY as u64 || self.forwards_all() && has_trailers
     }
 
-    /// The rest of a response as a stream, after what is in the buffer. Its connection is kept once the body is complete.
+    /// Streams the buffered part of a response and then the rest. The connection is kept for reuse once the
+    /// body is complete.
     fn stream_body(
         &self,
         backend: ServerId,
@@ -159,7 +161,7 @@
         ResponseBody::Streaming(Box::new(download))
     }
 
-    /// Reads a load report, `concurrent=7,depth=2`. A malformed one is logged and ignored.
+    /// Parses a load report such as `concurrent=7,depth=2`. An invalid one is logged and ignored.
     pub(super) fn parse_report(&self, text: &[u8]) -> Option<LoadReport> {
         let report =
             std::str::from_utf8(text).ok().and_then(|text| load_report(text, &self.columns.borrow()));
@@ -170,7 +172,8 @@
     }
 }
 
-/// Reads a response into the buffer, until it is complete, too large, or due to be streamed, if it is forwarded.
+/// Reads a response into the buffer until it is complete, too large, or the time `stream_at` has come at
+/// which a response that is forwarded is streamed.
 async fn buffer_response(
     body: &mut Incoming,
     buffer: &mut BodyBuffer,
@@ -178,11 +181,11 @@
     stream_at: Option<Instant>,
 ) -> Result<ReadEnd, hyper::Error> {
     let deadline = spec.deadlines.response;
-    // A response of unknown length may be generated while it is sent.
+    // A response of unknown length may be generated while it is sent, and is streamed after a pause.
     let max_pause = spec.timeouts.max_buffer_pause.filter(|_| body.size_hint().exact().is_none());
     match buffer_body(body, buffer, stream_at.unwrap_or(deadline), max_pause).await {
-        // A response that is still arriving shortly before its deadline is streamed: though it ends late, it is the
-        // response. One that has stalled is not: it gets what time is left.
+        // A response that is still arriving shortly before the deadline is streamed, even though it will end
+        // late. One that has stalled is buffered until the deadline.
         Ok(ReadEnd::TimedOut) if stream_at.is_some() && !buffer.is_arriving() => {
             buffer_body(body, buffer, deadline + STREAM_LEAD, None).await
         }
