--- a/crates/http-transport/src/listeners.rs
+++ b/crates/http-transport/src/listeners.rs
@@ -1,4 +1,5 @@
-//! The sockets at which clients connect: replaced by a reload, handed over to another process. Serves no connection.
+//! The listening sockets for clients: can be replaced by a reload and handed over to another process. Serves
+//! no connection.
 
 use quick_error::quick_error;
 use std::cell::{Cell, RefCell};
@@ -10,9 +11,9 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::Notify;
 
-/// The number of connections that the system may queue for the node: neither a burst must be rejected, nor what arrives while
-/// the process is stopped. Beyond it clients believe that they are connected, and their requests arrive whenever the system
-/// retransmits them.
+/// The number of connections that the system may queue. Large enough for a burst, and for connections that
+/// arrive while the process is stopped. Beyond it, clients believe that they are connected, but their
+/// requests are delayed until the system retransmits them.
 pub const BACKLOG: u32 = 1024;
 
 quick_error! {
@@ -21,7 +22,7 @@
     pub enum ListenError {
         /// A socket could not listen at the address.
         Bind(address: SocketAddr, error: io::Error) {
-            display("{address}: {error}")
+            display("cannot listen on {address}: {error}")
             source(error)
         }
     }
@@ -36,15 +37,15 @@
 }
 
 impl Listeners {
-    /// Accepts connections from these sockets.
+    /// Listens on these sockets.
     pub fn new(listeners: Vec<TcpListener>) -> Self {
         Listeners { open: RefCell::new(listeners), ..Listeners::default() }
     }
-    /// Whether no connection is accepted for now, as another process accepts them.
+    /// Whether accepting is paused, as another process accepts the connections.
     pub fn is_paused(&self) -> bool {
         self.paused.get()
     }
-    /// Pauses or resumes accepting. Connections wait in the system's queue meanwhile.
+    /// Pauses or resumes accepting. In the meantime connections wait in the queue of the system.
     pub fn set_paused(&self, paused: bool) {
         self.paused.set(paused);
         self.changed.notify_one();
@@ -57,10 +58,11 @@
         let duplicate = |listener: &TcpListener| listener.as_fd().try_clone_to_owned().map(Into::into);
         self.open.borrow().iter().map(duplicate).collect()
     }
-    /// Opens those of these addresses that are not open, and closes all others.
+    /// Opens sockets for those of these addresses that have none, and closes the sockets of all other
+    /// addresses.
     ///
     /// # Errors
-    /// An address can't be opened; nothing changes then.
+    /// A socket could not listen at its address; nothing is changed then.
     pub fn replace(&self, addresses: &[SocketAddr]) -> Result<(), ListenError> {
         let is_open = |address: &SocketAddr| self.open.borrow().iter().any(|l| is_at(l, *address));
         let mut opened = Vec::new();
@@ -72,7 +74,7 @@
         listeners.extend(opened);
         Ok(())
     }
-    /// The addresses of the sockets; a configured port 0 is the real port here.
+    /// The addresses of the sockets. For a configured port 0, this is the port that the system has chosen.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.open.borrow().iter().filter_map(|listener| listener.local_addr().ok()).collect()
     }
@@ -80,7 +82,7 @@
     pub fn close(&self) {
         self.open.borrow_mut().clear();
     }
-    /// Accepts the next connection at any of the sockets.
+    /// Accepts the next connection on any of the sockets.
     ///
     /// # Errors
     /// The system could not accept a connection, for example as the process has no descriptor left.
@@ -111,7 +113,7 @@
     }
 }
 
-/// Opens a listening socket, which may replace one that was just closed.
+/// Opens a listening socket. The address may have been in use until just now.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -119,7 +121,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Whether a listener is at the configured address, where port 0 is any port.
+/// Whether a listener is at the configured address. Port 0 matches any port.
 fn is_at(listener: &TcpListener, configured: SocketAddr) -> bool {
     listener.local_addr().is_ok_and(|at| {
         at.ip() == configured.ip() && (configured.port() == 0 || at.port() == configured.port())
--- a/crates/marlwinch/tests/data_path.rs
+++ b/crates/marlwinch/tests/data_path.rs
@@ -556,7 +556,7 @@
         if why == "drain" {
             node.reload(&text);
             // That of the start, of the other file, of this one again.
-            (0..3).for_each(|_| drop(node.logged("taken:")));
+            (0..3).for_each(|_| drop(node.logged("applied:")));
         }
     }
     assert!(node.wait().success());
--- a/crates/marlwinch/tests/endings.rs
+++ b/crates/marlwinch/tests/endings.rs
@@ -85,7 +85,7 @@
         }
     });
     node.terminate();
-    node.logged("told to end");
+    node.logged("shutting down");
     let (mut answered, mut closed) = (0, 0);
     let begun = Instant::now();
     for (i, mut client) in clients.into_iter().enumerate() {
@@ -122,7 +122,7 @@
     let body = "y".repeat(60_000);
     peer.answer("200 OK", "", &body);
     node.terminate();
-    node.logged("told to end");
+    node.logged("shutting down");
     let mut all = Vec::new();
     loop {
         let mut piece = [0; 4000];
@@ -149,11 +149,11 @@
     client.request("correct", "", "x");
     let mut peer = backend.next_request(&mut Vec::new());
     node.terminate();
-    node.logged("told to end");
+    node.logged("shutting down");
     node.terminate();
     let elsewhere = Listener::new();
     node.reload(&config(elsewhere.address(), &known, |_| {}));
-    node.logged("told to read the configuration again");
+    node.logged("configuration reload:");
     peer.answer("200 OK", "", "in the end");
     let answer = client.read();
     assert_eq!((&answer.body[..], answer.header("connection")), (&b"in the end"[..], Some("close")));
@@ -175,7 +175,7 @@
     fence.request("nothing", "", "");
     assert_eq!(fence.read().status(), 404);
     node.terminate();
-    node.logged("told to end");
+    node.logged("shutting down");
     client.write("half");
     let (request, mut peer) = backend.next_message(&mut Vec::new());
     assert_eq!(request.body, b"halfhalf");
--- a/crates/marlwinch/tests/file_node.rs
+++ b/crates/marlwinch/tests/file_node.rs
@@ -448,8 +448,8 @@
     let (first, mut peer) = Listener::accept_any(&[&one, &other]);
     peer.read();
     node.reload(&with(UNSAFE));
-    node.logged("taken: 1 routes");
-    node.logged("taken: 1 routes");
+    node.logged("applied: 1 routes");
+    node.logged("applied: 1 routes");
     peer.answer("500 Broken", "", "");
     let mut second = [&one, &other][1 - first].accept();
     assert_eq!(second.read().header("idempotency-key"), Some("1"), "sent again, as it was promised");
@@ -493,13 +493,13 @@
             + &class("c", SAFE)
             + "[[route]]\nprefix = \"/\"\nclass = \"c\"\ncluster = \"fresh\"\n";
     node.reload(&text);
-    node.logged("no longer in the file");
-    node.logged("taken: 1 routes, 1 clusters, 1 boxes");
+    node.logged("removed from the file");
+    node.logged("applied: 1 routes, 1 clusters, 1 backends");
     // The old cluster has ended only once what it had taken is answered.
     copy.answer("200 OK", "", "by the copy");
     assert_eq!(client.read().body, b"by the copy");
     peer.expect_end();
-    node.logged("the cluster tally has ended");
+    node.logged("cluster tally has stopped");
     client.write("GET /a HTTP/1.1\r\nHost: t\r\n\r\n");
     let mut peer = new.accept();
     peer.read();
@@ -528,7 +528,7 @@
     let files = [with("a", &backends.addresses[..2], "one"), with("b", &backends.addresses[2..], "two")];
     let bad = format!("{}retry-on = [\"error\"]\n", files[0]);
     let node = Node::from_file(&files[0]);
-    node.logged("taken: 1 routes");
+    node.logged("applied: 1 routes");
     let (finished, requests) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
     let clients: Vec<_> = (0..4)
         .map(|client| {
@@ -552,7 +552,7 @@
         let before = requests.load(Ordering::Relaxed);
         if round % 2 == 0 {
             node.reload(&files[(round / 2 + 1) % 2]);
-            node.logged("taken: 1 routes");
+            node.logged("applied: 1 routes");
         } else {
             node.reload(&bad);
             node.logged("MW100");
@@ -590,8 +590,8 @@
     held.read();
     let name = format!("name = \"tally-{first}\"\n");
     node.reload(&text.replace(&name, &format!("{name}state = \"draining\"\n")));
-    node.logged("taken: 1 routes");
-    node.logged("taken: 1 routes");
+    node.logged("applied: 1 routes");
+    node.logged("applied: 1 routes");
     let mut second = node.client();
     let mut peer: Option<Peer> = None;
     for _ in 0..20 {
@@ -615,7 +615,7 @@
     let text = simple(&[backend.address()], SAFE);
     let node = Node::from_file(&text);
     node.reload(&text.replace("127.0.0.1:0", &taken.address().to_string()));
-    node.logged("refused, going on with the file as it was");
+    node.logged("rejected; the previous configuration stays active");
     let mut client = node.client();
     client.write("GET /a HTTP/1.1\r\nHost: t\r\n\r\n");
     let mut peer = backend.accept();
@@ -626,7 +626,7 @@
     let free = TcpStream::connect(node.address).expect("a connection").local_addr().expect("its port").port();
     let moved = SocketAddr::from(([127, 0, 0, 7], free));
     node.reload(&text.replace("127.0.0.1:0", &moved.to_string()));
-    node.logged("taken: 1 routes");
+    node.logged("applied: 1 routes");
     // The old connection is still served, and the new address too.
     for mut client in [client, Peer::connect(moved)] {
         client.write("GET /a HTTP/1.1\r\nHost: t\r\n\r\n");
@@ -645,7 +645,7 @@
     let mut peer = backend.accept();
     peer.read();
     node.terminate();
-    node.logged("told to end");
+    node.logged("shutting down");
     peer.answer("200 OK", "", "last");
     let answer = client.read();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
@@ -777,7 +777,7 @@
     );
     assert_eq!(chunked.read().status(), 200);
     node.reload(&text);
-    node.logged("the trace is over, 0 lines were dropped");
+    node.logged("trace recording ended, 0 lines were dropped");
     post(&mut client, "/after", "X-Account: pati\r\n");
     assert_eq!(client.read().status(), 200);
     node.terminate();
--- a/crates/marlwinch/tests/golden_cli_log.rs
+++ b/crates/marlwinch/tests/golden_cli_log.rs
@@ -126,9 +126,11 @@
     let run = Run::new(&["run", "node.toml"]).within(&folder.0).with("MARLWINCH_LOG", level);
     let mut node = Logged::start(&run);
     let (address, mut transcript) = listens(&mut node);
-    for text in ["taken: ", "recording to", "figures are told at", "taken 0", "at the boxes"] {
+    for text in
+        ["applied: ", "recording a trace to", "metrics are served at", "requests received 0", "admission: "]
+    {
         let line = node.raw(text);
-        if text == "figures are told at" {
+        if text == "metrics are served at" {
             let admin = address_behind(&line, "http://").to_string();
             node.replace(admin, "(address)");
         }
@@ -138,23 +140,25 @@
     // A file that is refused changes nothing. One that is taken may hold what waits for the next start.
     folder.write("node.toml", "[[listener]]\nport = 1\n");
     node.signal("HUP");
-    transcript += &node.line("refused, going on");
+    transcript += &node.line("rejected; the previous configuration");
     transcript += &node.line("MW010");
     transcript += &node.line("MW012");
     let nowhere = node_file(&[&backend], format, "").replace("127.0.0.1:0", "203.0.113.1:80");
     folder.write("node.toml", nowhere);
     node.signal("HUP");
-    transcript += &node.line("refused, going on");
+    transcript += &node.line("rejected; the previous configuration");
     let changed = node_file(&[&backend], format, "").replace("seed = 5", "seed = 5\nsockets = 512");
     folder.write("node.toml", changed);
     node.signal("HUP");
-    for text in ["`[admin]`, ", "`sockets` and", "the trace is over", "no longer in the file", "taken: "] {
+    for text in
+        ["`[admin]`, ", "`sockets` and", "trace recording ended", "removed from the file", "applied: "]
+    {
         transcript += &node.line(text);
     }
-    transcript += &node.line("the cluster other has ended");
+    transcript += &node.line("cluster other has stopped");
     node.signal("TERM");
-    transcript += &without_numbers(&node.line("told to end"), &["told to end: "], "(n)");
-    transcript += &node.line("all is answered");
+    transcript += &without_numbers(&node.line("shutting down"), &["shutting down: "], "(n)");
+    transcript += &node.line("all requests are answered");
     let (code, rest) = node.end();
     transcript += &format!("exit code {}\n", code.expect("a code"));
     (transcript, rest)
@@ -165,7 +169,8 @@
     let (transcript, rest) = file_node("text", "info");
     approve("log/file-node.txt", &transcript);
     // Nothing else was said but the figures, which come every ten seconds.
-    let is_known = |line: &String| ["taken ", "at the boxes"].iter().any(|known| line.contains(known));
+    let is_known =
+        |line: &String| ["requests received ", "admission: "].iter().any(|known| line.contains(known));
     let unknown: Vec<_> = rest.iter().filter(|line| !is_known(line)).collect();
     assert!(unknown.is_empty(), "{unknown:#?}");
 }
@@ -290,11 +295,11 @@
     node.replace(discovery.address().to_string(), "(discovery)");
     node.replace(elsewhere.address().to_string(), "(other discovery)");
     let (address, mut transcript) = listens(&mut node);
-    let line = node.raw("calls are answered at");
-    let console = address_behind(&line, "answered at ");
+    let line = node.raw("console listens at");
+    let console = address_behind(&line, "listens at ");
     node.replace(console.to_string(), "(second address)");
     transcript += &(node.fixed(&line) + "\n");
-    transcript += &node.line("taken 0");
+    transcript += &node.line("requests received 0");
     let mut calls = call(console, "DUMP");
     let mut watch = discovery.accept();
     watch.read();
@@ -325,22 +330,22 @@
     calls += &format!("> (257 bytes)\n{answer}");
     // The configuration read again: the same, one at fault, other settings, another discovery.
     node.signal("HUP");
-    transcript += &node.line("the settings are as they were");
+    transcript += &node.line("settings unchanged");
     folder.write("node.json", text(&|config| config["settings"]["Classes"][0]["GiveUp"] = 0.into()));
     node.signal("HUP");
-    transcript += &node.line("going on with the old one");
+    transcript += &node.line("the previous configuration stays active");
     folder.write(
         "node.json",
         text(&|config| drop(config["settings"].as_object_mut().map(|o| o.remove("Rules")))),
     );
     node.signal("HUP");
-    transcript += &node.line("going on with the old one");
+    transcript += &node.line("the previous configuration stays active");
     folder.write("node.json", "{");
     node.signal("HUP");
-    transcript += &node.line("going on with the old one");
+    transcript += &node.line("the previous configuration stays active");
     folder.write("node.json", text(&|config| config["settings"]["Classes"][0]["Name"] = "see".into()));
     node.signal("HUP");
-    transcript += &node.line("the settings are others");
+    transcript += &node.line("settings changed");
     let moved = config(elsewhere.address(), &known, |config| {
         config["console"] = "127.0.0.1:0".into();
         config["settings"]["Classes"][0]["Name"] = "see".into();
@@ -348,20 +353,20 @@
     folder.write("node.json", moved);
     node.signal("HUP");
     transcript += &node.line("discovery is at");
-    transcript += &node.line("the settings are as they were");
+    transcript += &node.line("settings unchanged");
     calls += &without_numbers(&call(console, "DUMP"), &["\"tries\":"], "(n)");
     node.signal("TERM");
-    transcript += &without_numbers(&node.line("told to end"), &["told to end: "], "(n)");
+    transcript += &without_numbers(&node.line("shutting down"), &["shutting down: "], "(n)");
     calls += &call(console, "HEALTH");
     drop(client);
-    transcript += &node.line("all is answered");
+    transcript += &node.line("all requests are answered");
     let (code, _) = node.end();
     transcript += &format!("exit code {}\n", code.expect("a code"));
     approve("log/platform-node.txt", &transcript);
     // One that knows no backends.
     folder.write("node.json", text(&|config| config["known"] = serde_json::Value::Null));
     let mut node = Logged::start(&run);
-    let console = address_behind(&node.raw("calls are answered at"), "answered at ");
+    let console = address_behind(&node.raw("console listens at"), "listens at ");
     calls += &call(console, "HEALTH");
     approve("log/second-address.txt", &calls);
 }
--- a/crates/marlwinch/tests/golden_platform_console.rs
+++ b/crates/marlwinch/tests/golden_platform_console.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 fn console_of(node: &Node) -> SocketAddr {
-    let line = node.logged("calls are answered at");
+    let line = node.logged("console listens at");
     line.trim_end().rsplit(' ').next().and_then(|address| address.parse().ok()).expect("an address")
 }
 
--- a/crates/marlwinch/tests/golden_platform_discovery.rs
+++ b/crates/marlwinch/tests/golden_platform_discovery.rs
@@ -29,7 +29,7 @@
 fn node_with_console(discovery: SocketAddr, known: &str) -> (Node, SocketAddr, String) {
     let text = config(discovery, known, |config| config["console"] = "127.0.0.1:0".into());
     let node = Node::start(&text);
-    let line = node.logged("calls are answered at");
+    let line = node.logged("console listens at");
     let console =
         line.trim_end().rsplit(' ').next().and_then(|address| address.parse().ok()).expect("an address");
     (node, console, text)
@@ -170,7 +170,7 @@
 
 /// The next line about a configuration that was read again. Columns vary with the length of the ports in it.
 fn reload_line(node: &Node) -> String {
-    let line = node.logged("told to read the configuration again");
+    let line = node.logged("configuration reload:");
     without_digits(&log_line(&line), "line 1 column ", "<column>")
 }
 
--- a/crates/marlwinch/tests/golden_platform_handover.rs
+++ b/crates/marlwinch/tests/golden_platform_handover.rs
@@ -117,7 +117,7 @@
     text += &format!(
         "new \"hello\\n\"\nold {:?}\n{}\n",
         line(&mut stream),
-        log_line(&node.logged("a handover came to nothing"))
+        log_line(&node.logged("handover failed"))
     );
     // One that takes the place, and goes.
     let mut stream = connect(&place);
@@ -130,10 +130,10 @@
     text += &format!(
         "new \"ready\\n\"\nold {:?}\n{}\n",
         line(&mut stream),
-        log_line(&node.logged("a new process"))
+        log_line(&node.logged("the successor accepts"))
     );
     drop(stream);
-    text += &format!("new goes\n{}\n", log_line(&node.logged("the new process has gone")));
+    text += &format!("new goes\n{}\n", log_line(&node.logged("the successor has ended")));
     check("handover_old.txt", &text);
 }
 
@@ -172,7 +172,7 @@
         Some(word) => {
             let node = Node::start_in(&text, &folder.0);
             assert_eq!(node.address, address);
-            format!("old {word:?}\n  {}\n", log_line(&node.logged("process that ran")))
+            format!("old {word:?}\n  {}\n", log_line(&node.logged("the previous process")))
         }
         None => first_words(Some(&text), &[("TMPDIR", folder.0.to_str().expect("a path"))]),
     };
--- a/crates/marlwinch/tests/node.rs
+++ b/crates/marlwinch/tests/node.rs
@@ -324,7 +324,7 @@
     busy.request("correct", "", "x");
     peer.read();
     node.terminate();
-    node.logged("told to end");
+    node.logged("shutting down");
     // It still takes what comes, ...
     let mut late = node.client();
     late.request("correct", "", "x");
@@ -451,7 +451,7 @@
     let mut watch = begin_watch(&discovery, 41);
     for (bad, named) in [("{", "EOF"), (r#"{"name":"n0"}"#, "listen")] {
         node.reload(bad);
-        let line = node.logged("going on with the old one");
+        let line = node.logged("the previous configuration stays active");
         assert!(line.contains(named) && line.contains(".json"), "{line}");
     }
     watch.line(&list(42, false, &[("s-1", backend.address(), "east", "in_service")]));
--- a/crates/marlwinch/tests/peers/mod.rs
+++ b/crates/marlwinch/tests/peers/mod.rs
@@ -182,7 +182,7 @@
     /// The same, and where it tells its figures.
     pub fn from_file_with_admin(text: &str) -> (Node, SocketAddr) {
         let node = Node::from_file(text);
-        let line = node.logged("figures are told at");
+        let line = node.logged("metrics are served at");
         let address = line.split("http://").nth(1).and_then(|rest| rest.split('/').next());
         (node, address.and_then(|address| address.parse().ok()).expect("an address"))
     }
--- a/crates/marlwinch/tests/service.rs
+++ b/crates/marlwinch/tests/service.rs
@@ -12,7 +12,7 @@
 
 /// Where the node answers calls.
 fn console(node: &Node) -> SocketAddr {
-    let line = node.logged("calls are answered at");
+    let line = node.logged("console listens at");
     line.trim().rsplit(' ').next().and_then(|address| address.parse().ok()).expect("its address")
 }
 
@@ -184,11 +184,11 @@
         while call(new_console, "HEALTH").first().map(String::as_str) != Some("ACK") {
             assert!(begun.elapsed() < PEER_TIMEOUT, "the new one never takes clients");
         }
-        old.logged("a new process takes the connections");
+        old.logged("the successor accepts connections");
         // Whoever connects now is the new one's, before and after the old one was told to end.
         let mut early = Peer::connect(address);
         old.terminate();
-        old.logged("told to end");
+        old.logged("shutting down");
         let late = Peer::connect(address);
         early.request("correct", "", "early");
         let mut early_peer = backend.next_request(&mut peers);
@@ -223,16 +223,16 @@
     );
     served(address, &backend, &mut peers);
     without.kill();
-    old.logged("came to nothing");
+    old.logged("handover failed");
     served(address, &backend, &mut peers);
     // One that took over and goes gives back.
     let mut new = Node::start_in(
         &with_console(&[&backend], &discovery, |c| c["listen"] = address.to_string().into()),
         &folder.0,
     );
-    old.logged("a new process takes the connections");
+    old.logged("the successor accepts connections");
     new.kill();
-    old.logged("taking connections again");
+    old.logged("accepting connections again");
     served(address, &backend, &mut peers);
 }
 
--- a/crates/standalone-proxy/src/decision_loop/admission_gate.rs
+++ b/crates/standalone-proxy/src/decision_loop/admission_gate.rs
@@ -1,5 +1,5 @@
-//! The admission gate of a cluster on the node's side: holds the requests that wait, and passes to the balancer what the gate
-//! has learnt. The decisions are those of `admission_control`.
+//! Connects the admission gate of a cluster to the node: holds the queued requests, and passes the gate's
+//! limits to the balancer. `admission_control` decides.
 
 use crate::decision_loop::event::{Arrival, FinalResponse};
 use admission_control::retry_storm::{AttemptKind, RetryStormGuard};
@@ -13,30 +13,30 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// A gate and the requests that wait at it.
+/// A gate and the requests that are queued at it.
 pub struct AdmissionGate {
     gate: Gate,
-    waiting: HashMap<RequestId, Arrival>,
-    /// The additional attempts of all clusters.
+    queued: HashMap<RequestId, Arrival>,
+    /// Limits the additional attempts of all clusters together.
     retry_storm: Rc<RefCell<RetryStormGuard>>,
-    /// The restrictions that the balancer was notified of last.
+    /// The restrictions of which the balancer was last notified.
     notified_restrictions: AttemptRestrictions,
 }
 
-/// What becomes of a request that has arrived or has waited.
+/// The result for a request that has arrived or was queued.
 pub enum GateOutcome {
-    /// It goes to the balancer.
+    /// It is to be passed to the balancer.
     Admitted(Arrival),
-    /// It was rejected, and has its response.
+    /// It was rejected, and the rejection was sent.
     Rejected,
 }
 
 impl AdmissionGate {
-    /// A gate without requests, at the time `now`.
+    /// A gate without requests. `now` is the current time.
     pub fn new(now: Duration, settings: GateSettings, retry_storm: Rc<RefCell<RetryStormGuard>>) -> Self {
         AdmissionGate {
             gate: Gate::new(now, settings),
-            waiting: HashMap::new(),
+            queued: HashMap::new(),
             retry_storm,
             notified_restrictions: AttemptRestrictions::default(),
         }
@@ -52,7 +52,7 @@
         self.gate.set_endpoints(now, endpoints);
     }
 
-    /// Handles a new request. `None` if it waits.
+    /// Handles a new request. `None` if it is queued.
     pub fn arrive(&mut self, now: Duration, arrival: Arrival) -> Option<GateOutcome> {
         let request = &arrival.request;
         let remaining = request.remaining.saturating_sub(arrival.arrived_at.elapsed());
@@ -62,7 +62,7 @@
         {
             AdmissionDecision::Admit => Some(GateOutcome::Admitted(arrival)),
             AdmissionDecision::Queue => {
-                self.waiting.insert(id, arrival);
+                self.queued.insert(id, arrival);
                 None
             }
             AdmissionDecision::Reject(rejection) => {
@@ -72,20 +72,20 @@
         }
     }
 
-    /// Removes the request of a client that has disconnected, if it waits here. Returns whether it did.
+    /// Removes the request of a client that has disconnected. Returns whether it was queued here.
     pub fn remove_waiting(&mut self, now: Duration, id: RequestId) -> bool {
-        let waited = self.waiting.remove(&id).is_some();
-        if waited {
+        let was_queued = self.queued.remove(&id).is_some();
+        if was_queued {
             self.gate.request_finished(now, id);
         }
-        waited
+        was_queued
     }
 
-    /// The requests that wait no longer, in order.
+    /// The requests that have left the queue since the last call, in the order of the decisions.
     pub fn take_decided(&mut self) -> Vec<GateOutcome> {
         let decisions = self.gate.take_decisions();
         let outcome = |decision: QueueDecision| {
-            let arrival = self.waiting.remove(&decision.id)?;
+            let arrival = self.queued.remove(&decision.id)?;
             Some(match decision.rejection {
                 None => GateOutcome::Admitted(arrival),
                 Some(rejection) => reject(arrival, rejection),
@@ -94,11 +94,12 @@
         decisions.into_iter().filter_map(outcome).collect()
     }
 
-    /// The events that the balancer is due.
+    /// The events of which the balancer is to be notified: changed capacities and restrictions.
     pub fn take_events(&mut self, now: Duration) -> Vec<Event> {
         for (server, change) in self.gate.take_limit_changes() {
             debug!(
-                "limit of {server:?}: {:.1} to {:.1} ({:?}; latency {:.2} times the usual, {:.0} answers a second)",
+                "concurrency limit of {server:?}: {:.1} to {:.1} \
+                 ({:?}; latency {:.2} times the baseline, {:.0} responses/s)",
                 change.from, change.to, change.cause, change.latency_ratio, change.responses_per_s
             );
         }
@@ -119,7 +120,7 @@
         events
     }
 
-    /// Records an attempt that is sent.
+    /// Records the start of an attempt.
     pub fn attempt_sent(&mut self, now: Duration, backend: ServerId, kind: AttemptKind) {
         self.gate.attempt_sent(now, backend);
         self.retry_storm.borrow_mut().record_attempt(now, kind);
@@ -142,7 +143,7 @@
         self.gate.request_finished(now, id);
     }
 
-    /// Runs what is due at this time.
+    /// Performs the periodic work of the gate that is due at this time.
     pub fn tick(&mut self, now: Duration) {
         self.gate.tick(now);
     }
@@ -152,19 +153,19 @@
         self.gate.next_tick()
     }
 
-    /// Whether no request waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queued.is_empty()
     }
 
-    /// Its counts, as a line for the log.
+    /// The counts of the gate, as a log line.
     pub fn summary(&self) -> String {
         let status = self.gate.status();
         let counts = self.gate.counts();
         format!(
             concat!(
-                "at the boxes {} of {}, waiting {}; at once {} after a wait {} refused {} repeats {}; ",
-                "steps taken {}; limits changed {}",
+                "admission: in flight {} of {}, queued {}; admitted at once {} from the queue {} ",
+                "rejected {} client retries {}; brownout level {}; limit changes {}",
             ),
             status.in_flight,
             status.capacity,
--- a/crates/standalone-proxy/src/decision_loop/event.rs
+++ b/crates/standalone-proxy/src/decision_loop/event.rs
@@ -1,4 +1,5 @@
-//! What the other tasks send to the node's task, and the one response that goes back. Data alone.
+//! The events that other tasks send to the task of the node, and the response to a request. Contains no
+//! logic.
 
 use crate::endpoint_update::EndpointUpdate;
 use crate::upstream::messages::{AttemptResult, BackendRequest, BackendResponse};
@@ -9,26 +10,26 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// A client's request as it goes to the balancer, with what is needed to carry it out.
+/// A client's request for the balancer, with what is needed to carry it out.
 pub struct Arrival {
-    /// What the balancer decides by.
+    /// The properties by which the balancer decides.
     pub request: NewRequest,
-    /// When it had arrived; the client's time runs from then.
+    /// When it had arrived. The time that the client waits counts from then.
     pub arrived_at: Instant,
     /// What is sent to a backend.
     pub payload: Rc<BackendRequest>,
-    /// How long its body may take, where that is still arriving.
+    /// How long the body may take to arrive; `None` if it has arrived completely.
     pub upload_timeout: Option<Duration>,
-    /// By which another request is recognized as the same one, where that is possible.
+    /// Identifies repetitions of the same request by its client; `None` if they cannot be recognized.
     pub fingerprint: Option<u64>,
-    /// How far it may be repeated, as its class says.
+    /// Whether and where it may be sent again, as its class says.
     pub repeat: Repeat,
-    /// Where its response goes.
+    /// Receives its response.
     pub response: PendingResponse,
 }
 
-/// The one response to a request, not sent yet. Sending it, or dropping this, ends what may still be sent to backends for
-/// the request.
+/// The response to a request, not sent yet. Once it is sent or this is dropped, no further attempt of the
+/// request starts.
 #[derive(Debug)]
 pub struct PendingResponse {
     sender: Option<oneshot::Sender<FinalResponse>>,
@@ -36,12 +37,12 @@
 }
 
 impl PendingResponse {
-    /// A response that goes to `sender`; `cancellation` is set once it has.
+    /// A response that will be sent to `sender`. `cancellation` is set when it is sent or dropped.
     pub fn new(sender: oneshot::Sender<FinalResponse>, cancellation: CancellationFlag) -> Self {
         PendingResponse { sender: Some(sender), cancellation }
     }
 
-    /// Sends the response. A client that has disconnected meanwhile needs none, and has an event of its own.
+    /// Sends the response. A disconnect of the client in the meantime is reported as an event of its own.
     pub fn send(mut self, response: FinalResponse) {
         if let Some(sender) = self.sender.take() {
             let _ = sender.send(response);
@@ -55,7 +56,7 @@
     }
 }
 
-/// A new version of a cluster, from an operator's file.
+/// A new version of a cluster in the operator's file.
 pub struct ClusterChange {
     /// The settings of the balancer.
     pub settings: Settings,
@@ -63,24 +64,24 @@
     pub update: EndpointUpdate,
     /// The settings of the admission gate.
     pub gate: admission_control::GateSettings,
-    /// How long the streams of a backend that drains go on; `None` for as long as they last.
+    /// How long streams may continue once their backend drains; `None` for no limit.
     pub stream_grace: Option<Duration>,
-    /// The backends as the admission gate sees them.
+    /// The list of backends for the admission gate.
     pub gate_endpoints: Vec<admission_control::Endpoint>,
 }
 
-/// The one response to a request.
+/// The response to a request.
 #[derive(Debug)]
 pub enum FinalResponse {
     /// The response of a backend that served the request.
     Served(BackendResponse),
-    /// A backend's response to a request that it did not serve, with no further attempt to follow.
+    /// The error response of a backend, where no further attempt follows.
     Unserved(BackendResponse),
-    /// The request was rejected, and was not executed.
+    /// The request was rejected without being executed.
     Rejected {
-        /// When the client is asked to retry.
+        /// After what time the client is asked to retry; `None` if it is told no time.
         retry_after: Option<Duration>,
-        /// Whether the route's fallback response goes out instead.
+        /// Whether the fallback response of the route replaces the rejection.
         fallback: bool,
     },
     /// The request failed.
@@ -90,22 +91,24 @@
     },
 }
 
-/// What the other tasks send to the node's task. There is at most one arrival and one disconnect for each client
-/// connection and one end for each attempt and health check, so the number of waiting events is bounded by those.
+/// What other tasks send to the task of the node. The number of queued events is bounded: each client
+/// connection has at most one arrival and one disconnect in the queue, and each attempt and health check one
+/// end.
 pub enum NodeEvent {
-    /// Other settings and another list, from the operator's file. Requests in flight keep the old ones.
+    /// The settings and the list of backends in the operator's file have changed. Requests in flight keep the
+    /// old ones.
     ClusterChanged(Box<ClusterChange>),
-    /// Other settings. Requests in flight keep the old ones.
+    /// The settings have changed. Requests in flight keep the old ones.
     SettingsChanged(Box<Settings>),
-    /// The node shuts down: every request is to be answered within this time.
+    /// The node shuts down. All requests must be answered within this time.
     ShuttingDown(Duration),
-    /// No further request comes: the task ends once all requests are answered.
+    /// No further request will arrive. The task ends once all requests are answered.
     ClusterRemoved,
     /// A client's request has arrived.
     Arrived(Arrival),
-    /// The client has disconnected before its response.
+    /// The client has disconnected before it got the response.
     ClientDisconnected(RequestId),
-    /// A part of a streamed body has been sent and is not retained: it can't be sent again.
+    /// A part of a streamed body has been sent that is not retained, so it can't be sent again.
     UploadStreaming(RequestId),
     /// A streamed body has arrived completely.
     UploadFinished(RequestId),
@@ -113,7 +116,7 @@
     AttemptEnded {
         /// The request.
         id: RequestId,
-        /// The number of the attempt among those of the request, from 0 on.
+        /// The index of the attempt among those of the request.
         attempt: u32,
         /// How it ended.
         result: AttemptResult,
--- a/crates/standalone-proxy/src/decision_loop/list_requests.rs
+++ b/crates/standalone-proxy/src/decision_loop/list_requests.rs
@@ -1,10 +1,10 @@
-//! Requests of the balancer for the list of backends, where discovery is one service for all nodes and is asked only when a
-//! node needs it.
+//! The balancer's requests for the list of backends, where one discovery service serves all nodes and gets a
+//! request only when a node needs the list.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// Whether the list has been requested.
+/// Whether the balancer has requested the list.
 #[derive(Default)]
 pub struct ListRequests {
     is_requested: Cell<bool>,
@@ -18,7 +18,8 @@
         self.changed.notify_one();
     }
 
-    /// Waits for the next request. A request that was made while a response was on its way is served by that response.
+    /// Waits for the next request. Requests made before the call count as served by the list that was
+    /// received last.
     pub async fn wait_for_request(&self) {
         self.is_requested.set(false);
         while !self.is_requested.get() {
--- a/crates/standalone-proxy/src/decision_loop/mod.rs
+++ b/crates/standalone-proxy/src/decision_loop/mod.rs
@@ -1,4 +1,5 @@
-//! The task that owns the balancer, passes events to it and carries out its actions. It decides nothing and reads no socket.
+//! The task that owns the balancer, passes events to it and carries out its actions. Decides nothing and
+//! reads no socket.
 
 pub mod admission_gate;
 pub mod clock;
--- a/crates/standalone-proxy/src/decision_loop/node.rs
+++ b/crates/standalone-proxy/src/decision_loop/node.rs
@@ -1,5 +1,5 @@
-//! The task that owns the [`Balancer`], its timers and the open requests. It passes events to the balancer and carries out
-//! its actions, in order. It decides nothing.
+//! The task that owns the [`Balancer`], its timers and the open requests. Passes events to the balancer and
+//! carries out its actions in order. Decides nothing.
 
 use crate::decision_loop::admission_gate::{AdmissionGate, GateOutcome};
 use crate::decision_loop::clock::Clock;
@@ -26,14 +26,15 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use tracing::{debug, info, warn};
 
-/// How often the counts of the node go to the log.
+/// How often the counts of the node are logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// How long the node waits for discovery's first list before it is ready with the list that it was started with: a backend
-/// on that may be draining or removed by now.
+/// How long the node waits for the first list from discovery before it becomes ready with the list from its
+/// configuration. A backend on that one may be draining or removed by now.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often the size of the pool is published: its readers want it no older than half a second.
+/// How often the size of the pool is published. Readers of the metrics need it to be at most half a second
+/// old.
 const POOL_METRICS_INTERVAL: Duration = Duration::from_millis(200);
-/// How often idle connections are inspected.
+/// How often idle connections are checked for expiry.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Counts since the start, for the log.
@@ -44,12 +45,13 @@
     rejected: u64,
     failed: u64,
     disconnected: u64,
-    sends: u64,
-    /// Ends of attempts, by outcome.
+    attempts: u64,
+    /// Ended attempts, by outcome.
     outcomes: [u64; 8],
 }
 
-/// A timer of the balancer. The earliest comes first; of several at one time, the one that was set first.
+/// A timer of the balancer. Ordered by due time; timers that are due at the same time are ordered as they
+/// were set.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     due: Duration,
@@ -66,20 +68,21 @@
     open: HashMap<RequestId, OpenRequest>,
     timers: BinaryHeap<Reverse<Timer>>,
     timers_set: u64,
-    /// Whether there is a backend to send to, by a list that is not only the one from before the start.
+    /// Whether there is a backend to send to according to a list newer than that of the configuration, or the
+    /// wait for such a list is over.
     ready: Rc<Cell<bool>>,
     list_version: ListVersion,
     counts: RequestCounts,
-    /// Whether no further request comes.
+    /// Whether the cluster was removed, so that no further request arrives.
     is_removed: bool,
-    /// What holds requests back, where the operator's file configures it.
+    /// The admission gate, on a node that runs from an operator's file.
     gate: Option<AdmissionGate>,
-    /// Where the size of the pool is published.
+    /// The metrics in which the size of the pool is published.
     metrics: Option<Rc<NodeMetrics>>,
-    /// Where the list is requested, if it is not pushed.
+    /// Passes on requests for the list, where it is not pushed.
     list_requests: Option<Rc<ListRequests>>,
     stalls: Rc<StallDetector>,
-    /// The requests that have arrived while the node was catching up after a stall of the process.
+    /// Requests that arrived while the node was catching up after a stall of the process.
     delayed: Vec<Arrival>,
 }
 
@@ -113,26 +116,26 @@
         }
     }
 
-    /// The same node; the list is requested there when the balancer needs it.
+    /// Sets where the list is requested when the balancer needs it.
     pub fn with_list_requests(mut self, list_requests: Option<Rc<ListRequests>>) -> Self {
         self.list_requests = list_requests;
         self
     }
 
-    /// The same node; the size of its pool is published there.
+    /// Sets the metrics in which the size of the pool is published.
     pub fn with_metrics(mut self, metrics: Rc<NodeMetrics>) -> Self {
         self.metrics = Some(metrics);
         self
     }
 
-    /// The same node with a gate in front of the balancer, and the backends that the gate is to know.
+    /// Puts an admission gate with this list of backends in front of the balancer.
     pub fn with_gate(mut self, mut gate: AdmissionGate, endpoints: &[admission_control::Endpoint]) -> Self {
         gate.set_endpoints(self.clock.now(), endpoints);
         self.gate = Some(gate);
         self
     }
 
-    /// Runs until no task is left that could send an event, or the cluster is removed and all its requests are answered.
+    /// Runs until no sender of events is left, or the cluster was removed and all its requests are answered.
     pub async fn run(
         mut self,
         mut events: mpsc::UnboundedReceiver<NodeEvent>,
@@ -143,19 +146,19 @@
         if let Some(initial) = initial {
             has_initial = !initial.endpoints.is_empty();
             self.apply_update(initial);
-            self.follow_gate();
+            self.run_gate();
         }
         let mut first_list_timeout = pin!(sleep(FIRST_LIST_TIMEOUT));
         let mut log = tokio::time::interval(LOG_INTERVAL);
         let mut prune = tokio::time::interval(PRUNE_INTERVAL);
         let mut pool_metrics = tokio::time::interval(POOL_METRICS_INTERVAL);
         loop {
-            // After a stall, all input that arrived meanwhile is handled first: disconnects, lists, responses. Only then do
-            // timers fire that were due, and new requests start.
+            // After a stall, all input that arrived in the meantime is handled first: disconnects, lists,
+            // responses. Only then do due timers fire and new requests start.
             let is_catching_up = self.stalls.is_catching_up();
             if !is_catching_up {
                 self.fire_timers();
-                self.follow_gate();
+                self.run_gate();
                 for arrival in std::mem::take(&mut self.delayed) {
                     self.arrive(arrival);
                 }
@@ -204,8 +207,8 @@
         }
     }
 
-    /// Applies a list. One that is older than the last is ignored, as the balancer would: otherwise the connections would
-    /// know other backends than the balancer does.
+    /// Applies a list. One that is older than the last is ignored here, as the balancer ignores it: otherwise
+    /// the connections would be to other backends than those that the balancer knows.
     fn apply_update(&mut self, update: EndpointUpdate) {
         if update.kind == ListKind::Failed {
             let (kind, version, entries) = (update.kind, update.version.0, Vec::new());
@@ -213,7 +216,7 @@
         }
         if update.version < self.list_version {
             return warn!(
-                "discovery: generation {} is older than {}, passed over",
+                "discovery: list version {} ignored: older than the current version {}",
                 update.version, self.list_version
             );
         }
@@ -226,7 +229,8 @@
         self.notify(Event::List { kind: update.kind, version: update.version.0, entries });
     }
 
-    /// Fires the timers that are due. None fires early: the balancer would ignore it and wait for ever.
+    /// Fires the timers that are due. None may fire early: the balancer would ignore it and then wait
+    /// forever.
     fn fire_timers(&mut self) {
         while let Some(Reverse(timer)) =
             self.timers.peek().filter(|Reverse(timer)| timer.due <= self.clock.now()).copied()
@@ -255,7 +259,8 @@
             NodeEvent::UploadStreaming(id) => self.notify(Event::BodyConsumed { id }),
             NodeEvent::UploadFinished(id) => {
                 if let Some(open) = self.open.get_mut(&id) {
-                    // The durations of attempts that the balancer gets count from here on.
+                    // The durations that are reported to the balancer exclude the time in which the body
+                    // arrived.
                     open.attempts.iter_mut().for_each(|attempt| attempt.sent_at = Instant::now());
                     let remaining = open.remaining;
                     self.notify(Event::Uploaded { id, remaining });
@@ -286,7 +291,8 @@
         }
     }
 
-    /// Removes the request of a client that has disconnected, wherever it is.
+    /// Removes the request of a client that has disconnected: one that is delayed, queued at the gate, or
+    /// open.
     fn client_disconnected(&mut self, id: RequestId) {
         let now = self.clock.now();
         if let Some(index) = self.delayed.iter().position(|arrival| arrival.request.id == id) {
@@ -308,10 +314,10 @@
             Some(gate) => gate.arrive(now, arrival),
             None => Some(GateOutcome::Admitted(arrival)),
         };
-        self.follow_outcome(outcome);
+        self.apply_gate_outcome(outcome);
     }
 
-    fn follow_outcome(&mut self, outcome: Option<GateOutcome>) {
+    fn apply_gate_outcome(&mut self, outcome: Option<GateOutcome>) {
         match outcome {
             Some(GateOutcome::Admitted(arrival)) => self.start(arrival),
             Some(GateOutcome::Rejected) => self.counts.rejected += 1,
@@ -319,7 +325,7 @@
         }
     }
 
-    /// Passes a request to the balancer, with the time that it has left.
+    /// Passes a request to the balancer, with the time that its client has left.
     fn start(&mut self, arrival: Arrival) {
         let (id, mut request) = (arrival.request.id, arrival.request);
         request.remaining = request.remaining.saturating_sub(arrival.arrived_at.elapsed());
@@ -340,9 +346,9 @@
         });
     }
 
-    /// Passes to the balancer what the gate has learnt, and starts or rejects the requests that wait no longer, until
-    /// nothing more follows from it.
-    fn follow_gate(&mut self) {
+    /// Passes changed limits of the gate to the balancer and starts or rejects requests that have left its
+    /// queue, until the gate has no more changes.
+    fn run_gate(&mut self) {
         loop {
             let now = self.clock.now();
             let Some(gate) = &mut self.gate else { return };
@@ -352,11 +358,12 @@
                 return;
             }
             events.into_iter().for_each(|event| self.notify(event));
-            decided.into_iter().for_each(|outcome| self.follow_outcome(Some(outcome)));
+            decided.into_iter().for_each(|outcome| self.apply_gate_outcome(Some(outcome)));
         }
     }
 
-    /// Each attempt ends once: what follows a cancellation is ignored.
+    /// Handles the end of an attempt. Results that arrive after its cancellation are ignored: each attempt
+    /// ends once.
     fn attempt_ended(&mut self, id: RequestId, number: u32, result: AttemptResult) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let attempt_count = open.attempts.len() as u32;
@@ -370,7 +377,7 @@
         }
         attempt.timed_out = outcome == Outcome::TimedOut;
         attempt.outcome = Some(outcome);
-        // The time in which this process was not running says nothing of the backend.
+        // The time in which this process was stalled says nothing about the backend.
         let stalled = self.stalls.stalled_since(attempt.sent_at);
         let (server, elapsed) = (attempt.backend, attempt.sent_at.elapsed().saturating_sub(stalled));
         if outcome != Outcome::Served {
@@ -407,7 +414,7 @@
         self.remove_if_finished(id);
     }
 
-    /// Removes a request that has its response and no attempt in flight.
+    /// Removes a request if it has its response and no attempt is in flight.
     fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = |open: &OpenRequest| open.response.is_none() && !open.has_attempt_in_flight();
         if self.open.get(&id).is_some_and(is_finished) {
@@ -419,7 +426,8 @@
         }
     }
 
-    /// Passes an event to the balancer, and carries out its actions. Events that these cause at once follow.
+    /// Passes an event to the balancer and carries out its actions, and then does the same for the events
+    /// that these actions cause immediately.
     fn notify(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
@@ -436,7 +444,7 @@
         }
     }
 
-    /// Carries out one action. `now` is the time before the balancer decided.
+    /// Carries out one action. `now` is the time at which the event was passed to the balancer.
     fn perform(&mut self, action: Action, now: Duration, events: &mut VecDeque<Event>) {
         match action {
             Action::Send { id, server, timeout } => self.start_attempt(id, server, timeout, now, events),
@@ -453,16 +461,16 @@
             }
             Action::Probe { server } => self.check_health(server),
             Action::CloseIdle { server } => self.backends.close_idle(server),
-            Action::Log { text } => info!("module: {text}"),
-            // A watch brings the complete list where that is due, and serves both requests.
+            Action::Log { text } => info!("balancer: {text}"),
+            // Opening a watch serves both actions: it brings the complete list where one is needed.
             Action::Subscribe { on: true } | Action::FetchList => {
                 if let Some(list_requests) = &self.list_requests {
                     list_requests.request();
                 }
             }
-            // There are no messages between nodes here.
+            // This node exchanges no messages with other nodes.
             Action::Subscribe { on: false } | Action::Tell { .. } => {
-                debug!("not provided here: {action:?}")
+                debug!("action not supported by this node: {action:?}")
             }
         }
     }
@@ -483,7 +491,7 @@
             }
             start_attempt(open, &self.backends, &self.events, (id, backend, timeout), events);
         }
-        self.counts.sends += 1;
+        self.counts.attempts += 1;
     }
 
     fn reject(&mut self, id: RequestId, retry_after: Option<Duration>) {
@@ -495,8 +503,8 @@
     }
 
     fn fail(&mut self, id: RequestId) {
-        let is_late = |attempt: &Attempt| attempt.timed_out || attempt.task.is_some();
-        let timed_out = self.open.get(&id).is_some_and(|open| open.attempts.iter().any(is_late));
+        let is_too_slow = |attempt: &Attempt| attempt.timed_out || attempt.task.is_some();
+        let timed_out = self.open.get(&id).is_some_and(|open| open.attempts.iter().any(is_too_slow));
         if let Some(response) = abandon(&mut self.open, id) {
             self.counts.failed += 1;
             response.send(FinalResponse::Failed { timed_out });
@@ -537,8 +545,8 @@
         });
     }
 
-    /// Where no attempt is in flight and the last one brought a backend's response that does not serve the request, the
-    /// client gets that response. Returns whether it did.
+    /// Sends the client the error response of the last attempt, if there is one and no attempt is in flight.
+    /// Returns whether it was sent.
     fn respond_unserved(&mut self, id: RequestId) -> bool {
         let Some(open) = self.open.get_mut(&id) else { return false };
         if open.has_attempt_in_flight() || open.response.is_none() {
@@ -546,9 +554,9 @@
         }
         let Some(mut unserved) = open.unserved.take() else { return false };
         let Some(response) = open.response.take() else { return false };
-        let may_have_run =
+        let may_have_been_executed =
             open.attempts.iter().any(|a| a.outcome.is_some_and(|outcome| !outcome.never_ran()));
-        let execution = if may_have_run { Execution::Possible } else { Execution::RuledOut };
+        let execution = if may_have_been_executed { Execution::Possible } else { Execution::RuledOut };
         if local_response(unserved.status.as_u16(), open.repeat, execution) == LocalResponse::BadGateway {
             unserved.status = StatusCode::BAD_GATEWAY;
             unserved.headers.remove(header::RETRY_AFTER);
@@ -567,19 +575,20 @@
         let [served, error, rejected, timed_out, connect_failed, reset, cancelled, not_sent] =
             counts.outcomes;
         info!(
-            "taken {} served {} refused {} failed {} gone {} open {} | sends {} served {served} error {error} \
+            "requests received {} served {} rejected {} failed {} disconnected {} open {} | \
+             attempts {} served {served} error {error} \
              rejected {rejected} timed_out {timed_out} connect_failed {connect_failed} reset {reset} \
-             cancelled {cancelled} not_sent {not_sent} | connections {} opened {} refused {} stale {}",
+             cancelled {cancelled} not_sent {not_sent} | connections {} opened {} failed {} stale {}",
             counts.arrived,
             counts.served,
             counts.rejected,
             counts.failed,
             counts.disconnected,
             self.open.len(),
-            counts.sends,
+            counts.attempts,
             self.backends.open_connections(),
             connections.opened.get(),
-            connections.refused.get(),
+            connections.failed.get(),
             connections.stale.get(),
         );
         if let Some(gate) = &self.gate {
--- a/crates/standalone-proxy/src/decision_loop/open_requests.rs
+++ b/crates/standalone-proxy/src/decision_loop/open_requests.rs
@@ -1,5 +1,5 @@
-//! The requests that are not finished, and how an attempt is started. Which attempt, and at which backend, is decided by the
-//! balancer.
+//! The open requests, and the start of their attempts. The balancer decides which attempt is started at which
+//! backend.
 
 use crate::decision_loop::event::{NodeEvent, PendingResponse};
 use crate::upstream::backend_client::BackendClient;
@@ -16,19 +16,19 @@
 
 /// A request that has no response yet or has attempts in flight.
 pub struct OpenRequest {
-    /// What is sent to a backend.
+    /// What is sent to backends.
     pub payload: Rc<BackendRequest>,
     /// `None` once the response is sent or the client has disconnected.
     pub response: Option<PendingResponse>,
     /// Its attempts, in the order in which they were started.
     pub attempts: Vec<Attempt>,
-    /// Whether the balancer has abandoned it: an attempt that it cancels then was too slow.
+    /// Whether the balancer has abandoned it. An attempt that is cancelled after that counts as timed out.
     pub abandoned: bool,
-    /// The time that the client allows.
+    /// The time that the client had left when the request was passed to the balancer.
     pub remaining: Duration,
-    /// How far it may be repeated.
+    /// Whether and where it may be sent again.
     pub repeat: Repeat,
-    /// The backend's response to the last attempt that ended, if the backend did not serve the request.
+    /// The error response that ended the last attempt, if the backend sent one.
     pub unserved: Option<BackendResponse>,
 }
 
@@ -38,24 +38,24 @@
         self.attempts.iter().any(|attempt| attempt.task.is_some())
     }
 
-    /// The first attempt that may have been executed, as far as is known.
+    /// The first attempt that is not known to have remained unexecuted.
     fn first_possible_execution(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()))
     }
 
-    /// Whether the class and the body of the request allow another attempt.
+    /// Whether the class of the request and the availability of its body allow another attempt.
     fn allows_attempt(&self) -> bool {
-        let executed = self.first_possible_execution();
-        let outcome = executed.map(|attempt| attempt.outcome.unwrap_or(Outcome::Cancelled));
+        let possible_execution = self.first_possible_execution();
+        let outcome = possible_execution.map(|attempt| attempt.outcome.unwrap_or(Outcome::Cancelled));
         let body =
             self.payload.upload.as_ref().map_or(BodyAvailability::Complete, |upload| upload.replay_state());
         attempt::may_retry(self.repeat, outcome, body)
     }
 
-    /// The deadlines of an attempt that starts now and may take so long.
+    /// The deadlines of an attempt that starts at `now` and times out after `timeout`.
     fn deadlines(&self, now: Instant, timeout: Duration) -> AttemptDeadlines {
-        // The balancer checks the window of an idempotency key when it selects a backend. A connection that takes long to
-        // open would delay the attempt past the window.
+        // The balancer checks the window of an idempotency key when it selects a backend, but a connection
+        // that opens slowly could delay the attempt past the end of the window.
         let window_end = match (self.repeat, self.first_possible_execution()) {
             (Repeat::Keyed { window, .. }, Some(first)) => first.sent_at.checked_add(window),
             _ => None,
@@ -65,29 +65,30 @@
     }
 }
 
-/// An attempt of a request at a backend.
+/// An attempt of a request at a backend, in flight or ended.
 pub struct Attempt {
-    /// The backend.
+    /// The backend that it was sent to.
     pub backend: ServerId,
-    /// When it was started, or when the body had arrived completely.
+    /// When it was started, or when a streamed body had arrived completely.
     pub sent_at: Instant,
-    /// `None` once the balancer has been notified of its end.
+    /// Its task; `None` once it has ended or was cancelled.
     pub task: Option<AbortHandle>,
-    /// Whether it ended by its time-out.
+    /// Whether it ended with a time-out.
     pub timed_out: bool,
-    /// How it ended, once it has.
+    /// How it ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
-/// Abandons a request. Returns its response, if that has not been sent.
+/// Marks a request as abandoned. Returns its pending response, if that has not been sent.
 pub fn abandon(open: &mut HashMap<RequestId, OpenRequest>, id: RequestId) -> Option<PendingResponse> {
     let open = open.get_mut(&id)?;
     open.abandoned = true;
     open.response.take()
 }
 
-/// Starts an attempt of `request` with this time-out, as a task of its own whose end returns as an event. Nothing is sent for
-/// a request that has its response, or that may not be sent again: the balancer gets an event that says so.
+/// Starts an attempt of `request` as a task, which reports its end to `events`. Nothing is sent if the
+/// request has its response or may not be sent again; the end of such an attempt is added to
+/// `balancer_events` at once.
 pub fn start_attempt(
     request: &mut OpenRequest,
     backends: &Rc<BackendClient>,
@@ -96,11 +97,11 @@
     balancer_events: &mut VecDeque<Event>,
 ) {
     let (sent_at, number) = (Instant::now(), request.attempts.len() as u32);
-    // Whatever the balancer has decided, a request that may have been executed is sent again only as its class allows, and
-    // only while its body is available.
+    // A safeguard against wrong decisions of the balancer: a request that may have been executed is sent
+    // again only if its class allows that and its body is available.
     let is_allowed = request.allows_attempt();
     if !is_allowed {
-        warn!("an attempt of {id:?} that its class or its body does not allow was not made");
+        warn!("attempt {number} of {id:?} at {backend:?} suppressed: the class or the body allows no retry");
     }
     if request.response.is_none() || !is_allowed {
         let outcome = Some(Outcome::NotSent);
--- a/crates/standalone-proxy/src/downstream/serve.rs
+++ b/crates/standalone-proxy/src/downstream/serve.rs
@@ -27,34 +27,37 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tracing::{debug, info};
 
-/// A connection that is idle for so long is closed; one that does not end after that is dropped.
+/// A connection that has been idle for this long is closed.
 const MAX_IDLE: Duration = Duration::from_secs(75);
-/// How often connections are inspected for that.
+/// How often connections are checked for being idle or stuck.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// How long the node goes on accepting after a termination signal.
+/// How long the node continues to accept connections after a termination signal.
 const ACCEPT_GRACE: Duration = Duration::from_millis(500);
 /// How long a connection may be idle during that time.
 const MAX_IDLE_DURING_GRACE: Duration = Duration::from_millis(500);
-/// How often connections are inspected during that time.
+/// How often connections are checked during that time.
 const GRACE_SWEEP_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a connection may be idle once no further one is accepted. A client that connected for a request has sent it by
-/// then, and a request that still arrives on a connection is to be answered before the process is killed.
+/// How long a connection may be idle once no further one is accepted. A client that connected to send a
+/// request has sent it by then. The time is short so that requests that still arrive are answered before the
+/// process is killed.
 const MAX_IDLE_AFTER_GRACE: Duration = Duration::from_millis(100);
-/// How often it is checked whether all connections have ended.
+/// How often the node checks whether all connections have ended.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a wait for a slot, or for an accepted connection, may take within one step.
+/// How long one step waits for a slot or for a connection to accept.
 const ACCEPT_STEP: Duration = Duration::from_millis(5);
 /// The pause after a connection that could not be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a client that has its last response is waited for until it closes the connection. Guards that response against a
-/// reset.
+/// How long the node waits for a client to close its connection after the last response. Guards that response
+/// against a reset.
 const LINGER: Duration = Duration::from_millis(250);
 
-const DROPPED: &str = "a client's connection is dropped: it was of no use";
+/// Logged when a connection is aborted by `Connections::sweep` or `Connections::evict`.
+const DROPPED: &str =
+    "client connection dropped: stuck, past its deadline, or silent while connections are scarce";
 
-/// Accepts connections, `max_clients` at a time, until `end` resolves and all requests are answered. The limit guards the
-/// descriptors for backends and discovery: over it, an idle connection is closed for the new one, and where none is idle the
-/// new one waits.
+/// Accepts connections, at most `max_clients` at a time, until `end` resolves and all requests are answered.
+/// The limit keeps descriptors free for backends and discovery. Once it is reached, an idle connection is
+/// closed for a new one, which waits if none is idle.
 pub async fn serve(
     state: Rc<DownstreamState>,
     listeners: Rc<Listeners>,
@@ -70,14 +73,14 @@
             () = &mut end => break,
             _ = sweep.tick() => state.connections.sweep(MAX_IDLE),
             accepted = accept(&state, &listeners, &slots) => spawn_connection(&state, accepted),
-            // Only where no connection waits to be accepted, or there is no slot for any.
+            // Polled last: reached only if no connection waits to be accepted or there is no slot for one.
             () = state.stalls.wait_for_pending_accepts() => state.stalls.mark_all_accepted(),
         }
     }
-    info!("told to end: {} connections are open", state.connections.open.borrow().len());
+    info!("shutting down: {} connections open", state.connections.open.borrow().len());
     state.shutting_down.set(true);
     let stream_deadline = state.stream_grace.get().map(|grace| Instant::now() + grace);
-    // Where another process has the same sockets, new connections are that one's.
+    // If a successor process has the same sockets, it accepts the new connections.
     if !listeners.is_paused() {
         accept_during_grace(&state, &listeners, &slots).await;
     }
@@ -87,10 +90,10 @@
         stream_deadline.into_iter().for_each(|deadline| state.connections.limit_streams(deadline));
         sleep(DRAIN_POLL_INTERVAL).await;
     }
-    info!("all is answered");
+    info!("all requests are answered");
 }
 
-/// Goes on accepting connections for a while: some are on their way, and no other process accepts them.
+/// Continues to accept connections for a while: clients may be connecting, and no other process accepts them.
 async fn accept_during_grace(state: &Rc<DownstreamState>, listeners: &Listeners, slots: &Arc<Semaphore>) {
     let deadline = Instant::now() + ACCEPT_GRACE;
     let mut sweep = tokio::time::interval(GRACE_SWEEP_INTERVAL);
@@ -103,13 +106,13 @@
             () = state.stalls.wait_for_pending_accepts() => state.stalls.mark_all_accepted(),
         }
     }
-    // Connections that the system has accepted already are served too; they wait for as long as a slot gets free in time.
+    // Connections in the system's queue are served too, as long as slots become free in time.
     while let Ok(accepted) = timeout(ACCEPT_STEP, accept(state, listeners, slots)).await {
         spawn_connection(state, accepted);
     }
 }
 
-/// An accepted connection, with its slot.
+/// An accepted connection, and its slot in the limit of client connections.
 struct AcceptedConnection {
     stream: TcpStream,
     slot: OwnedSemaphorePermit,
@@ -121,7 +124,7 @@
     slots: &Arc<Semaphore>,
 ) -> AcceptedConnection {
     loop {
-        // Accepts only once there is a slot, so that a cancelled call loses no connection.
+        // Accepts only once there is a slot, so that no connection is lost if this future is dropped.
         let slot = match slots.clone().try_acquire_owned() {
             Ok(slot) => slot,
             Err(_) => {
@@ -135,7 +138,7 @@
             Ok(stream) => return AcceptedConnection { stream, slot },
             Err(e) => {
                 let log = &state.connections.accept_error_log;
-                log.warn(|| format!("a client's connection was not taken: {e}"));
+                log.warn(|| format!("cannot accept a client connection: {e}"));
                 sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
@@ -156,12 +159,12 @@
     });
 }
 
-/// Serves one connection to its end. hyper reads on while a response is pending, so that a disconnect ends this at once and
-/// drops the response's future, which notifies the node.
+/// Serves one connection to its end. hyper continues to read while a response is pending, so that a
+/// disconnect ends this and drops the future of the response, which notifies the node.
 async fn serve_connection(state: &Rc<DownstreamState>, stream: TcpStream, connection: &Rc<ConnectionState>) {
     let peer = stream.peer_addr().ok().map(PeerAddress);
     if let Err(e) = stream.set_nodelay(true) {
-        debug!("a client's socket: {e}");
+        debug!("client connection: cannot set TCP_NODELAY: {e}");
     }
     let service = service_fn(|mut request: Request<Incoming>| {
         let (state, connection) = (state.clone(), connection.clone());
@@ -182,12 +185,13 @@
             tokio::select! {
                 end = &mut served => match end {
                     Ok(()) => break,
-                    Err(e) => return debug!("a client's connection: {e}"),
+                    Err(e) => return debug!("client connection failed: {e}"),
                 },
                 () = &mut disconnect => {
-                    return debug!("a client's connection: it has left behind what it sent ahead");
+                    return debug!("client connection: closed by the client before the response");
                 }
-                // Input that has arrived and is not read yet would be lost: it is answered, as the last on the connection.
+                // A request that has arrived and is unread would be lost by a close. It is answered, as the
+                // last one on the connection.
                 () = connection.close_requested.notified() => if !socket.has_unread() {
                     let is_idle = connection.idle_since.get().is_some();
                     unread_input = if is_idle { UnreadInput::Leave } else { UnreadInput::Discard };
@@ -197,7 +201,7 @@
             }
         }
     }
-    // It may have ended as it switched to another protocol.
+    // HTTP may have ended because the connection has switched to another protocol.
     let tunnel = connection.tunnel.take();
     let read_buf = served.into_parts().read_buf;
     if let Some(tunnel) = tunnel {
@@ -212,18 +216,18 @@
     linger(&socket, unread_input).await;
 }
 
-/// What becomes of input that arrives once a connection is closed.
+/// What happens to input that arrives after HTTP has ended on a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum UnreadInput {
     /// It is read and discarded.
     Discard,
-    /// It is not read: the connection was closed between requests, and its client will retry elsewhere.
+    /// It is not read: the connection was closed between requests, and the client will retry on another one.
     Leave,
 }
 
-/// Waits for a client to close its connection, after the node has announced that it sends nothing more. If the node closed it
-/// with input unread or on its way, the system would reset the connection, and the client would lose what it has not read of
-/// its response.
+/// Waits for a client to close its connection, after the node has closed its sending side. If the node closed
+/// the socket with input unread or in flight, the system would reset the connection, and the client would
+/// lose the unread part of its response.
 async fn linger(socket: &SharedStream, unread_input: UnreadInput) {
     let _ = timeout(LINGER, async {
         while unread_input == UnreadInput::Discard && socket.wait_for_unread().await {
@@ -234,7 +238,7 @@
     .await;
 }
 
-/// Answers one request of a connection, and decides whether it is the last one there.
+/// Answers a request, and decides whether it is the last one on its connection.
 async fn serve_request(
     state: &Rc<DownstreamState>,
     request: Request<Incoming>,
@@ -249,9 +253,10 @@
         }
         None => respond(state, request, connection).await,
     };
-    // After a request that is not accepted, anything may follow; after a chunked one, heads are not monitored. One that
-    // arrived as its connection was to be closed is the last there.
+    // A request that arrived while its connection was being closed is the last one on it.
     let is_last = state.shutting_down.get() || connection.closing_since.get().is_some();
+    // The connection is also closed after a request that was not accepted, as the start of the next one is
+    // uncertain, and after a chunked one, as heads are not monitored behind it.
     let close = is_last || is_chunked || response.is_err();
     let mut response = response.unwrap_or_else(RequestError::into_response);
     if close && response.status() != StatusCode::SWITCHING_PROTOCOLS {
@@ -261,7 +266,7 @@
     response
 }
 
-/// Lets a streamed response, or a tunnel, keep its connection busy until it ends.
+/// Marks the connection as busy until a streamed response or a tunnel has ended.
 fn attach_to_connection(response: &mut Response<MessageBody>, connection: &ConnectionState, busy: BusyGuard) {
     match response.body_mut() {
         MessageBody::Download(body) => {
--- a/crates/standalone-proxy/src/file_node/clusters.rs
+++ b/crates/standalone-proxy/src/file_node/clusters.rs
@@ -1,4 +1,5 @@
-//! The tasks of an operator's file: one for each cluster, started, reconfigured and ended as the file says.
+//! Manages the tasks of the clusters in an operator's file: starts, reconfigures and ends one for each
+//! cluster.
 
 use crate::decision_loop::admission_gate::AdmissionGate;
 use crate::decision_loop::clock::Clock;
@@ -24,43 +25,44 @@
 use tokio::task::{JoinError, spawn_local};
 use tracing::info;
 
-/// The names that load reports use. The platform's settings name theirs; the backends of a file use these, as in
-/// `X-Backend-Load: concurrent=7,depth=2`.
+/// The values that are read from load reports such as `X-Backend-Load: concurrent=7,depth=2`. The platform's
+/// node has its own in its settings.
 const COLUMNS: [Column; 2] = [Column::Concurrent, Column::Depth];
 
-/// The module that lines about clusters are logged under: operators' filters and JSON lines name this one.
+/// The log target of lines about clusters. Operators' filters and JSON lines name this module.
 const LOG_TARGET: &str = "standalone_proxy::file_node::run";
 
 quick_error! {
-    /// The task of a cluster has failed, and its requests would not be answered any more.
+    /// The task of a cluster has failed, so that its requests would no longer be answered.
     #[derive(Debug)]
     pub enum ClusterError {
         /// It panicked.
         TaskEnded(cluster: String, error: JoinError) {
-            display("the task of the cluster {cluster} ended: {error}")
+            display("the task of cluster {cluster} failed: {error}")
             source(error)
         }
     }
 }
 
-/// A cluster that is being served.
+/// A cluster whose task is running.
 struct RunningCluster {
     events: mpsc::UnboundedSender<NodeEvent>,
-    /// The backends as last listed.
-    listed: HashMap<ServerId, SeenBackend>,
+    /// The backends in the last list.
+    listed: HashMap<ServerId, ListedBackend>,
     list_version: ListVersion,
 }
 
-/// Where a backend was listed, and when it counts as started.
+/// The address of a listed backend, and when it is assumed to have started; `None` if that is unknown.
 #[derive(Clone, Copy)]
-struct SeenBackend {
+struct ListedBackend {
     address: SocketAddr,
     started: Option<Duration>,
 }
 
 impl RunningCluster {
-    /// The list of a file's backends. One that is new here, or at another address, may have just started; when those of the
-    /// first list started is unknown, and they count as warmed up.
+    /// Builds the next list of backends from the plan. A backend that is new or has another address is
+    /// assumed to have just started. Those of the first list count as warmed up, as it is unknown when they
+    /// started.
     fn next_list(&mut self, plan: &ClusterPlan, now: Duration) -> (EndpointUpdate, Vec<Endpoint>) {
         let is_first = self.list_version == ListVersion::default();
         let mut listed = HashMap::new();
@@ -68,11 +70,11 @@
         let mut gate_endpoints = Vec::with_capacity(plan.backends.len());
         for backend in &plan.backends {
             let (entry, address) = (backend.entry, backend.address);
-            let started = match self.listed.get(&entry.id).filter(|seen| seen.address == address) {
-                Some(seen) => seen.started,
+            let started = match self.listed.get(&entry.id).filter(|known| known.address == address) {
+                Some(known) => known.started,
                 None => (!is_first).then_some(now),
             };
-            listed.insert(entry.id, SeenBackend { address, started });
+            listed.insert(entry.id, ListedBackend { address, started });
             gate_endpoints.push(Endpoint {
                 id: entry.id,
                 weight: f64::from(entry.weight),
@@ -88,22 +90,22 @@
     }
 }
 
-/// The tasks of all clusters, and what new ones need.
+/// The tasks of all clusters, and what is needed to start further ones.
 pub struct Clusters {
     stalls: Rc<StallDetector>,
     clock: Clock,
     seed: u64,
     sockets: Rc<SocketBudget>,
     running: HashMap<String, RunningCluster>,
-    /// The additional attempts of all clusters.
+    /// Limits the additional attempts of all clusters together.
     retry_storm: Rc<RefCell<RetryStormGuard>>,
-    /// How long streams go on once their backend drains; `None` for as long as they last.
+    /// How long streams may continue once their backend drains; `None` for no limit.
     stream_grace: Option<Duration>,
     errors: mpsc::UnboundedSender<ClusterError>,
 }
 
 impl Clusters {
-    /// No clusters yet. The failure of a cluster's task is sent to `errors`.
+    /// Starts no cluster yet. Failures of clusters' tasks are sent to `errors`.
     pub fn new(
         plan: &Plan,
         clock: Clock,
@@ -124,9 +126,9 @@
         }
     }
 
-    /// Applies a plan: clusters that stay are notified of it, new ones start, those that are removed end once all their
-    /// requests are answered. Returns the channel of each cluster, in the order of the plan. Nothing waits in here, so that no
-    /// request comes in between.
+    /// Applies a plan: existing clusters are notified of it, new ones are started, and removed ones end once
+    /// all their requests are answered. Returns the channels of the clusters in the order of the plan. Does
+    /// not wait, so that no request is handled in between.
     pub fn apply(&mut self, plan: &Plan) -> Vec<mpsc::UnboundedSender<NodeEvent>> {
         let mut events = Vec::with_capacity(plan.clusters.len());
         self.retry_storm.borrow_mut().set_budget(retry_budget(plan));
@@ -139,7 +141,7 @@
                     let (settings, gate) = (cluster.settings.clone(), cluster.gate.clone());
                     let stream_grace = plan.stream_end;
                     let change = ClusterChange { settings, update, gate, stream_grace, gate_endpoints };
-                    // A task that has ended has ended the process with it.
+                    // Fails only if the task has ended, and then the process ends as well.
                     let _ = running.events.send(NodeEvent::ClusterChanged(Box::new(change)));
                 }
                 None => self.start(cluster),
@@ -151,7 +153,7 @@
             if !stays {
                 info!(
                     target: LOG_TARGET,
-                    "the cluster {name} is no longer in the file: it ends once all is answered"
+                    "cluster {name} removed from the file: it stops once all its requests are answered"
                 );
                 let _ = running.events.send(NodeEvent::ClusterRemoved);
             }
@@ -188,7 +190,7 @@
         let (errors, name) = (self.errors.clone(), cluster.name.clone());
         spawn_local(async move {
             match task.await {
-                Ok(()) => info!(target: LOG_TARGET, "the cluster {name} has ended"),
+                Ok(()) => info!(target: LOG_TARGET, "cluster {name} has stopped"),
                 Err(error) => drop(errors.send(ClusterError::TaskEnded(name, error))),
             }
         });
--- a/crates/standalone-proxy/src/file_node/run.rs
+++ b/crates/standalone-proxy/src/file_node/run.rs
@@ -1,5 +1,5 @@
-//! A node from an operator's file alone: starts a task for each cluster, listens, and applies the file again on SIGHUP,
-//! completely or not at all. Joins the parts; what the file means is decided in `route_config`.
+//! Runs a node from an operator's file: starts a task for each cluster, listens, and applies the file again
+//! on SIGHUP, completely or not at all. `route_config` interprets the file.
 
 use crate::decision_loop::clock::Clock;
 use crate::downstream::admission::AdmissionQueue;
@@ -33,32 +33,38 @@
 use tokio::task::{LocalSet, spawn_local};
 use tracing::{error, info, warn};
 
-/// When a client that finds no memory left is asked to retry.
+/// After what time a client is asked to retry that was rejected for lack of memory.
 const MEMORY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why a node does not run.
+/// Why a node did not run or stopped running.
 pub enum RunError {
-    /// Its file was rejected.
+    /// The file was rejected.
     InvalidFile(InvalidSource),
-    /// It could not start or go on.
+    /// The node could not start or continue.
     Failed(NodeError),
 }
 
 quick_error! {
-    /// Why a node could not start or go on.
+    /// Why a node could not start or continue.
     #[derive(Debug)]
     pub enum NodeError {
-        /// There is no runtime.
-        Runtime(error: io::Error) { display("no runtime: {error}") source(error) }
-        /// A signal can't be handled.
-        Signal(name: &'static str, error: io::Error) { display("{name}: {error}") source(error) }
-        /// The node can't listen.
+        /// The async runtime could not be created.
+        Runtime(error: io::Error) { display("cannot start the async runtime: {error}") source(error) }
+        /// The handler of a signal could not be installed.
+        Signal(name: &'static str, error: io::Error) {
+            display("cannot handle {name}: {error}")
+            source(error)
+        }
+        /// The node could not listen for clients.
         Listen(error: ListenError) { display("{error}") from() source(error) }
-        /// The trace can't be written.
-        Trace(path: PathBuf, error: io::Error) { display("{}: {error}", path.display()) source(error) }
-        /// The node can't listen for whoever reads its metrics.
+        /// The file of the trace could not be created.
+        Trace(path: PathBuf, error: io::Error) {
+            display("cannot create the trace file {}: {error}", path.display())
+            source(error)
+        }
+        /// The node could not listen at its admin address.
         Admin(address: SocketAddr, error: io::Error) {
-            display("admin address {address}: {error}")
+            display("cannot listen on the admin address {address}: {error}")
             source(error)
         }
         /// The task of a cluster has failed.
@@ -69,7 +75,7 @@
 /// Runs the node that a file describes, until a termination signal.
 ///
 /// # Errors
-/// The file is rejected, or the node can't start or go on.
+/// The file is rejected, or the node cannot start or continue.
 pub fn run(path: &Path) -> Result<(), RunError> {
     let plan = file_source::load(path).map_err(RunError::InvalidFile)?.loaded.plan;
     let logging = logging::start_queued(&plan.log);
@@ -130,7 +136,7 @@
     }
 }
 
-/// The clusters of a node, none of them started, and what else depends on its clock and its seed.
+/// The clusters of a node, none of them started, and the other parts that depend on its clock and seed.
 struct ClusterParts {
     clusters: Clusters,
     ids: Rc<IdGenerator>,
@@ -143,7 +149,8 @@
     errors: mpsc::UnboundedSender<ClusterError>,
 ) -> ClusterParts {
     let clock = Clock::start();
-    // Another with each start: nodes that share work must not make the same choices at the same time.
+    // Without a configured seed, it differs for each start: nodes must not make the same random choices at
+    // the same time.
     let seed =
         plan.seed.unwrap_or_else(|| clock.now().as_nanos() as u64 ^ u64::from(std::process::id()) << 32);
     let stalls = StallDetector::start();
@@ -153,7 +160,7 @@
     ClusterParts { clusters, ids, stalls }
 }
 
-/// What reports of a node's requests.
+/// The parts that report requests.
 struct Reports {
     recorder: Option<Recorder>,
     telemetry: Rc<Telemetry>,
@@ -200,13 +207,13 @@
 ) -> Result<(), NodeError> {
     let listener = TcpListener::bind(address).await.map_err(|error| NodeError::Admin(address, error))?;
     let address = listener.local_addr().unwrap_or(address);
-    info!("figures are told at http://{address}/metrics");
+    info!("metrics are served at http://{address}/metrics");
     let state = AdminState { telemetry: telemetry.clone(), shutting_down: shutting_down.clone() };
     spawn_local(admin::run(listener, state));
     Ok(())
 }
 
-/// The settings that apply from the next start on.
+/// The settings of which a change takes effect at the next start only.
 struct StartupSettings {
     admin: Option<SocketAddr>,
     log: route_config::model::Log,
@@ -233,7 +240,7 @@
     }
 }
 
-/// What a SIGHUP may change.
+/// Reloads the file on SIGHUP. Holds what a reload may change.
 struct FileReload {
     path: PathBuf,
     at_start: StartupSettings,
@@ -247,7 +254,7 @@
 }
 
 impl FileReload {
-    /// Reads the file again at each signal.
+    /// Reloads the file at each signal.
     async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             if let Some(plan) = self.load().await {
@@ -256,9 +263,10 @@
         }
     }
 
-    /// The plan of the file as it is now; `None` if it is invalid, which is logged.
+    /// Loads the plan from the file; `None` if the file is invalid, which is logged.
     async fn load(&self) -> Option<Plan> {
-        // On another thread: a file of 10,000 routes takes some 80 ms, in which no request would be answered.
+        // On another thread, as loading a file of 10,000 routes takes about 80 ms, in which no request would
+        // be answered.
         let file = self.path.clone();
         let loaded = tokio::task::spawn_blocking(move || {
             let source = file_source::load(&file);
@@ -267,12 +275,15 @@
         match loaded.await {
             Ok(Ok(plan)) => Some(plan),
             Ok(Err(lines)) => {
-                error!("{}: refused, going on with the file as it was", self.path.display());
+                error!("{}: rejected; the previous configuration stays active", self.path.display());
                 lines.iter().for_each(|line| error!("{line}"));
                 None
             }
             Err(e) => {
-                error!("{}: not read, going on with the file as it was: {e}", self.path.display());
+                error!(
+                    "{}: cannot be loaded; the previous configuration stays active: {e}",
+                    self.path.display()
+                );
                 None
             }
         }
@@ -280,22 +291,22 @@
 
     fn apply(&mut self, plan: Plan) {
         let path = self.path.display();
-        // The last step that can fail.
+        // The last step that can fail; a failure leaves everything unchanged.
         if let Err(e) = self.listeners.replace(&plan.listeners) {
-            return error!("{path}: refused, going on with the file as it was: {e}");
+            return error!("{path}: rejected; the previous configuration stays active: {e}");
         }
         if self.at_start.has_other_admin_or_log(&plan) {
-            warn!("{path}: `[admin]`, `format` and `queue` hold from the next start on");
+            warn!("{path}: changes of `[admin]`, `format` and `queue` take effect at the next start");
         }
         self.telemetry.set_logged_share(plan.log.exchanges);
         if self.at_start.has_other_limits(&plan) {
-            warn!("{path}: `sockets` and `memory` hold from the next start on");
+            warn!("{path}: changes of `sockets` and `memory` take effect at the next start");
         }
         if plan.trace != self.trace {
             match open_recorder(&plan) {
                 Ok(recorder) => drop(self.downstream.recorder.replace(recorder)),
-                // A node without its trace serves as well as with it.
-                Err(e) => warn!("no trace from now on: {e}"),
+                // The node can serve without the new trace.
+                Err(e) => warn!("cannot open the new trace: {e}"),
             }
             self.trace = plan.trace.clone();
         }
@@ -309,7 +320,7 @@
     }
 }
 
-/// A recorder for the trace that the file demands, if it does.
+/// Opens the trace, if the file configures one.
 fn open_recorder(plan: &Plan) -> Result<Option<Recorder>, NodeError> {
     let Some(trace) = &plan.trace else { return Ok(None) };
     let path = Path::new(&trace.file);
@@ -320,7 +331,7 @@
 fn log_plan(path: &Path, plan: &Plan) {
     let backends: usize = plan.clusters.iter().map(|cluster| cluster.backends.len()).sum();
     info!(
-        "{} taken: {} routes, {} clusters, {backends} boxes",
+        "{} applied: {} routes, {} clusters, {backends} backends",
         path.display(),
         plan.routes.len(),
         plan.clusters.len()
--- a/crates/standalone-proxy/src/platform_node/console.rs
+++ b/crates/standalone-proxy/src/platform_node/console.rs
@@ -1,5 +1,5 @@
-//! The second address: calls of one line each from operators. A call is answered and changes nothing; a slow caller
-//! occupies a place here and costs nothing else.
+//! The console, at a second address: operators send calls of one line each and get a response. Calls change
+//! nothing, and a slow caller delays nobody else.
 
 use crate::telemetry::node_metrics::NodeMetrics;
 use http_transport::rate_limited_log::RateLimitedLog;
@@ -14,28 +14,29 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info};
 
-/// The longest call, in bytes. Guards against a line that never ends.
+/// The maximum size of a call, in bytes. Guards against a line that never ends.
 const MAX_CALL_SIZE: usize = 256;
-/// How long a call and its response may take together. Guards the places against callers that never leave.
+/// The time-out for a call and its response together. Guards against callers that keep their connection open.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// The most callers at a time. Beyond it the oldest is disconnected: a caller normally sends its call at once.
+/// The maximum number of callers. Once it is exceeded, the oldest is disconnected, as a caller normally sends
+/// its call at once.
 const MAX_CALLERS: usize = 12;
 
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a call may ask about.
+/// The state that calls can query.
 pub struct ConsoleState {
-    /// The metrics.
+    /// The metrics of the node.
     pub metrics: Rc<NodeMetrics>,
     /// Whether the node has backends to send to.
     pub ready: Rc<Cell<bool>>,
-    /// Whether it is shutting down.
+    /// Whether the node is shutting down.
     pub shutting_down: Rc<Cell<bool>>,
 }
 
 impl ConsoleState {
-    /// The response to a call, complete.
+    /// Returns the complete response to a call.
     fn respond(&self, call: &str) -> String {
         match call {
             "HEALTH" if self.shutting_down.get() => "NAK ending\n".into(),
@@ -47,18 +48,19 @@
     }
 }
 
-/// Answers calls at an address for as long as it is polled. Clients are served also while the address is not available.
+/// Answers calls at this address until it is dropped. Retries for as long as the address is not available;
+/// the node serves clients meanwhile.
 pub async fn run(address: SocketAddr, state: ConsoleState) {
     let bind_error_log = RateLimitedLog::default();
     let listener = loop {
         match TcpListener::bind(address).await {
             Ok(listener) => break listener,
-            Err(e) => bind_error_log.warn(|| format!("the second address, {address}, is not open: {e}")),
+            Err(e) => bind_error_log.warn(|| format!("console: cannot listen on {address}: {e}")),
         }
         sleep(BIND_RETRY_INTERVAL).await;
     };
     if let Ok(address) = listener.local_addr() {
-        info!("calls are answered at {address}");
+        info!("console listens at {address}");
     }
     accept_callers(listener, state).await;
 }
@@ -72,7 +74,7 @@
                 let state = state.clone();
                 let task = spawn_local(async move {
                     if timeout(CALL_TIMEOUT, serve_call(stream, &state)).await.is_err() {
-                        debug!("a caller at the second address took too long");
+                        debug!("console: a call took longer than {CALL_TIMEOUT:?}");
                     }
                 });
                 let mut callers = callers.borrow_mut();
@@ -85,14 +87,14 @@
                 }
             }
             Err(e) => {
-                accept_error_log.warn(|| format!("a caller at the second address was not taken: {e}"));
+                accept_error_log.warn(|| format!("console: cannot accept a connection: {e}"));
                 sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// Reads one line and answers it. A caller that leaves before the end of its line gets no response.
+/// Reads one line and answers it. A caller that disconnects before the end of the line gets no response.
 async fn serve_call(mut stream: TcpStream, state: &ConsoleState) {
     let (mut line, mut chunk) = (Vec::new(), [0; MAX_CALL_SIZE]);
     let response = loop {
@@ -112,6 +114,6 @@
         stream.shutdown().await
     };
     if let Err(e) = written.await {
-        debug!("a caller at the second address: {e}");
+        debug!("console: cannot send a response: {e}");
     }
 }
--- a/crates/standalone-proxy/src/platform_node/discovery.rs
+++ b/crates/standalone-proxy/src/platform_node/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch that brings the list of backends: opening it, reading it, and opening it again.
+//! The watch that receives the list of backends from discovery: opens it, reads it, and opens it again.
 
 use crate::decision_loop::list_requests::ListRequests;
 use crate::endpoint_update::EndpointUpdate;
@@ -25,21 +25,26 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tracing::{debug, info};
 
-/// A watch without a line for so long is dead: one is due every 2 s, and a node counts as notified of what a silent watch
-/// would have brought 6 s after its last line. That leaves time for a second watch that is silent as well.
+/// The time without a line after which a watch is considered dead. A line is due every 2 s. Discovery assumes
+/// that a node knows of a change at the latest 6 s after the last line on its watch, which leaves time for a
+/// second watch that is silent as well.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long a request may take to be answered. Guards against an address that accepts connections and never responds.
+/// The time-out for the response to a request. Guards against an address that accepts connections and never
+/// responds.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(4500);
-/// How long an open watch may take to its first line, which is due at once, and at the latest with the first of those that
-/// come every 2 s.
+/// The time-out for the first line of an open watch. That is due at once, and at the latest with the first
+/// heartbeat after 2 s.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2250);
-/// A watch that ended so soon is not reopened at once: a discovery that ends every watch would get requests without pause.
+/// A watch that ended within this time is not reopened at once. Otherwise a discovery that ends every watch
+/// would get requests without pause.
 const SHORT_LIVED: Duration = Duration::from_millis(500);
-/// The most requests for a watch that may be in flight at once.
+/// The maximum number of requests for a watch that are in flight at once.
 const MAX_REQUESTS: usize = 4;
-/// The part of the grace for drains that may pass between discovery's return and the next request to it.
+/// Requests to a discovery that does not respond are repeated after the drain grace divided by this, so that
+/// its return is noticed early within the grace.
 const DRAIN_GRACE_DIVISOR: u32 = 4;
-/// The longest line, in bytes: several thousand backends. Guards the node's memory against a line that never ends.
+/// The maximum size of a line, in bytes, enough for several thousand backends. Guards the memory against a
+/// line that never ends.
 const MAX_LINE_SIZE: usize = 2 << 20;
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
@@ -48,41 +53,42 @@
     /// Why a watch ended.
     #[derive(Debug)]
     enum WatchEnd {
-        /// It did not open.
-        NotOpened(error: OpenError) { display("not up: {error}") source(error) }
+        /// It could not be opened.
+        NotOpened(error: OpenError) { display("not opened: {error}") source(error) }
         /// No line arrived in time.
-        TimedOut { display("silent") }
-        /// Its response ended.
-        ResponseEnded { display("ended: its answer is over") }
-        /// Its connection broke.
-        ConnectionLost(error: hyper::Error) { display("ended: {error}") source(error) }
+        TimedOut { display("no line received in time") }
+        /// The response ended.
+        ResponseEnded { display("end of the response") }
+        /// The connection was lost.
+        ConnectionLost(error: hyper::Error) { display("connection lost: {error}") source(error) }
         /// The node no longer reads updates.
-        NodeEnded { display("ended: the node ends") }
+        NodeEnded { display("the node no longer reads updates") }
         /// A line exceeds the maximum.
-        LineTooLong { display("ended: a line of over {MAX_LINE_SIZE} bytes") }
+        LineTooLong { display("a line of more than {MAX_LINE_SIZE} bytes") }
     }
 }
 
 quick_error! {
-    /// Why a watch did not open.
+    /// Why a watch could not be opened.
     #[derive(Debug)]
     enum OpenError {
-        /// No connection.
+        /// The connection could not be established.
         Connect(error: io::Error) { display("{error}") from() source(error) }
-        /// The connection broke, or what came was no HTTP.
+        /// The connection was lost, or the received bytes are not HTTP.
         Http(error: hyper::Error) { display("{error}") from() source(error) }
-        /// The request could not be formed.
+        /// The request could not be built.
         InvalidRequest(error: hyper::http::Error) { display("{error}") from() source(error) }
-        /// Another status than 200.
-        Status(status: StatusCode) { display("answered {status}") }
-        /// No response in time.
-        TimedOut { display("no answer in time") }
+        /// The response has another status than 200.
+        Status(status: StatusCode) { display("status {status}") }
+        /// No response arrived in time.
+        TimedOut { display("no response within {OPEN_TIMEOUT:?}") }
     }
 }
 
-/// How often a discovery that does not respond gets a request. Where lists are pushed, a node counts as notified of a list
-/// whether or not it has a watch open: discovery's return must be noticed well within the grace for drains, and a request
-/// costs nothing. Shared with the reload of settings.
+/// The interval between requests to a discovery that does not respond. Where lists are pushed, discovery
+/// assumes that a node knows a list whether or not the node has a watch open. Its return must therefore be
+/// noticed well within the drain grace, and a request costs little. Clones share the interval, so that a
+/// reload of settings can change it.
 #[derive(Clone)]
 pub struct RetryInterval(Rc<Cell<Duration>>);
 
@@ -104,28 +110,28 @@
     }
 }
 
-/// Where a watch gets its lists from, and where they go.
+/// The source of the lists of a watch, and where they are passed.
 #[derive(Clone)]
 pub struct WatchTarget {
-    /// Where discovery listens.
+    /// The address of discovery.
     pub address: SocketAddr,
-    /// What is known of the backends.
+    /// The backends that are known so far.
     pub registry: Rc<RefCell<EndpointRegistry>>,
-    /// Where changes of the list go.
+    /// The channel for changes of the list.
     pub updates: mpsc::Sender<EndpointUpdate>,
-    /// The requests for the list, where it is not pushed.
+    /// The balancer's requests for the list; `None` if lists are pushed.
     pub list_requests: Option<Rc<ListRequests>>,
-    /// How often requests are made to a discovery that does not respond.
+    /// The interval between requests to a discovery that does not respond.
     pub retry_interval: RetryInterval,
 }
 
-/// Keeps a watch open for as long as the node runs, and passes on what it brings. Nothing that happens to the watch empties
-/// the list: the node goes on with the list that it has. A predecessor, the watch of another discovery, goes on until the
-/// first list has arrived from here. Where the list has to be requested, each watch waits for a request, and one that ended
-/// or did not open is passed on as a list that failed: when to retry is the balancer's decision.
+/// Keeps a watch open for as long as the node runs, and passes on the lists that it receives. If the watch
+/// fails, the node keeps the list that it has. A predecessor, the watch of another discovery, continues until
+/// the first list has arrived here. Where the list must be requested, each watch waits for a request, and one
+/// that ended or did not open is passed on as a failed list: the balancer decides when to retry.
 pub async fn maintain_watch(target: WatchTarget, predecessor: Option<ScopedTask>) {
     let (address, list_requests) = (target.address, target.list_requests.clone());
-    // Another discovery gets a request at once: the operator has named it.
+    // The operator has just configured another discovery, which gets a request at once.
     let mut is_immediate = predecessor.is_some();
     let mut watch = Watch { has_list: predecessor.is_none(), target, predecessor, has_received: false };
     let mut backoff = Duration::ZERO;
@@ -146,9 +152,9 @@
         backoff = if has_worked { Duration::ZERO } else { next_backoff(backoff, retry_interval) };
         if has_received || !is_down {
             let generation = watch.target.registry.borrow().generation();
-            info!("discovery: watch of {address} from {generation} is over, {end}");
+            info!("discovery: watch of {address} from generation {generation} ended: {end}");
         } else {
-            debug!("discovery: still no watch of {address}, {end}");
+            debug!("discovery: watch of {address} still not open: {end}");
         }
         is_down = !has_received;
         if list_requests.is_none() {
@@ -163,27 +169,28 @@
     }
 }
 
-/// The pause before a watch that did not open or stay open is opened again. It grows.
+/// The pause before a watch that could not be opened, or ended early, is opened again. It doubles each time.
 fn next_backoff(last: Duration, retry_interval: &RetryInterval) -> Duration {
     let max = MAX_BACKOFF.min(retry_interval.get());
     (2 * last).clamp(MIN_BACKOFF.min(max), max)
 }
 
-/// A watch of one discovery, opened again and again.
+/// A watch of one discovery, which can be opened any number of times.
 struct Watch {
     target: WatchTarget,
-    /// Whether a list has arrived from here. Until then it is not known whether its generations continue the registry's.
+    /// Whether a list has arrived from this discovery. Until then it is unknown whether its generations
+    /// continue those of the registry.
     has_list: bool,
     /// The watch that this one replaces, until the first list.
     predecessor: Option<ScopedTask>,
-    /// Whether a line has arrived since it was last opened.
+    /// Whether a line has arrived since the watch was last opened.
     has_received: bool,
 }
 
 impl Watch {
-    /// Opens the watch and reads it to its end.
+    /// Opens the watch and reads it until it ends.
     async fn run(&mut self) -> WatchEnd {
-        // Another discovery may number its lists in its own way: the complete list is requested from it.
+        // Another discovery may number its lists differently, so the complete list is requested from it.
         let from =
             if self.has_list { self.target.registry.borrow().generation() } else { Generation::default() };
         let mut watch = match open(&self.target, from).await {
@@ -215,7 +222,7 @@
         }
     }
 
-    /// Applies the text of a list, and passes the change on. An invalid one is logged and ignored.
+    /// Applies the text of a list and passes the change on. An invalid list is logged and ignored.
     async fn apply(&mut self, text: &[u8]) -> Result<(), WatchEnd> {
         let source = if self.has_list { ListSource::Known } else { ListSource::New };
         let applied = self.target.registry.borrow_mut().apply_text(text, source);
@@ -235,16 +242,17 @@
     }
 }
 
-/// A watch that has a response.
+/// A watch whose response has begun.
 struct OpenWatch {
     body: Incoming,
     _sender: SendRequest<Empty<Bytes>>,
     _driver: ScopedTask,
 }
 
-/// Makes requests for a watch until one is answered. A discovery that is down may accept a connection and never respond on
-/// it even when it is back. Where lists are pushed, further requests are made meanwhile, and the oldest is abandoned; where
-/// the requests of all nodes go to one service, one is made at a time.
+/// Requests a watch until a request is answered. A discovery that is down may accept a connection and never
+/// respond on it, even once it is up again. Where lists are pushed, further requests are therefore made in
+/// the meantime, and the oldest is abandoned. Where the requests of all nodes go to one service, only one
+/// request is made at a time.
 async fn open(target: &WatchTarget, from: Generation) -> Result<OpenWatch, OpenError> {
     let hedging = target.list_requests.is_none().then_some(&target.retry_interval);
     let (mut requests, mut order) = (JoinSet::new(), VecDeque::<AbortHandle>::new());
@@ -263,7 +271,7 @@
                 Some(ended) = requests.join_next() => match ended {
                     Ok(Ok(watch)) => return Ok(watch),
                     Ok(Err(error)) if requests.is_empty() => return Err(error),
-                    // One of several, or one that was abandoned.
+                    // Others are in flight, or it was abandoned.
                     Ok(Err(_)) | Err(_) => {}
                 },
                 () = sleep_until(next_request.min(deadline)) => break,
@@ -275,7 +283,7 @@
     }
 }
 
-/// One request for a watch.
+/// Makes one request for a watch.
 async fn request_watch(address: SocketAddr, from: Generation) -> Result<OpenWatch, OpenError> {
     let stream = TcpStream::connect(address).await?;
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await?;
--- a/crates/standalone-proxy/src/platform_node/handover.rs
+++ b/crates/standalone-proxy/src/platform_node/handover.rs
@@ -1,9 +1,10 @@
-//! The listening sockets of a running process, passed to its successor: both then hold the same queue of connections, so that
-//! none is turned away in between. Over a Unix socket beside the process; it decides nothing of requests.
+//! Passes the listening sockets of a running process to its successor, over a Unix socket. Both processes
+//! then share the queues of connections, so that no connection is refused during the handover.
 //!
-//! The running process sends a greeting with the sockets attached. The successor answers `ready` once it has a list of
-//! backends; the predecessor stops accepting connections, answers `yours`, and the successor begins. If the successor ends
-//! before the predecessor has, the predecessor accepts connections again.
+//! The running process sends a greeting with the sockets attached. The successor answers `ready` once it has
+//! a list of backends. The predecessor then stops accepting connections and answers `yours`, and the
+//! successor starts to accept. If the successor ends before the predecessor, the predecessor accepts
+//! connections again.
 
 use http_transport::listeners::Listeners;
 use rustix::net::{
@@ -25,23 +26,25 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info, warn};
 
-/// Begins a handover. Its number changes with the messages of the two sides, so that processes of different versions don't
-/// misunderstand each other.
+/// The first message of a handover. Its number changes whenever the protocol changes, so that processes of
+/// different versions recognize that they are incompatible.
 const GREETING: &[u8] = b"marlwinch handover 1\n";
 const READY: &str = "ready\n";
 const YOURS: &str = "yours\n";
-/// The most sockets in one handover.
+/// The maximum number of sockets in a handover.
 const MAX_SOCKETS: usize = 16;
-/// How long each side waits for a message of the other. A process that sends nothing must not delay a start.
+/// How long each side waits for a message of the other. A predecessor that sends nothing must not delay the
+/// start.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a successor may take to get its list of backends before the predecessor goes on alone.
+/// How long a successor may take to get its list of backends before the predecessor gives up on it.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// The pause after a connection that was not accepted.
+/// The pause after a failure to accept a connection.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// The pause after a failure to listen for a successor.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Where the process that listens at this address hands over, in a folder that both processes see.
+/// The path of the Unix socket at which the process that listens at `address` offers the handover. Both
+/// processes must have access to the folder.
 pub fn socket_path(folder: &Path, address: SocketAddr) -> PathBuf {
     folder.join(format!("marlwinch-{}-{}.sock", address.ip(), address.port()))
 }
@@ -54,14 +57,14 @@
     pub predecessor: StdUnixStream,
 }
 
-/// Requests the sockets of the running process, if there is one.
+/// Requests the sockets of the running process. `None` if there is no such process or it sends none.
 pub fn request_sockets(path: &Path) -> Option<Inheritance> {
     let predecessor = StdUnixStream::connect(path).ok()?;
     match receive(&predecessor) {
         Ok(listeners) if !listeners.is_empty() => Some(Inheritance { listeners, predecessor }),
         Ok(_) => None,
         Err(e) => {
-            warn!("no sockets from the process that runs: {e}");
+            warn!("handover: no sockets from the running process: {e}");
             None
         }
     }
@@ -81,18 +84,19 @@
         }
     }
     if received.bytes != GREETING.len() || greeting != *GREETING {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, "not the greeting of this version"));
+        return Err(io::Error::new(io::ErrorKind::InvalidData, "the greeting is not that of this version"));
     }
     listeners.iter().try_for_each(|listener| listener.set_nonblocking(true))?;
     Ok(listeners)
 }
 
-/// The connection to the predecessor. As long as it is open, the predecessor does not accept connections again.
+/// The connection to the predecessor, which does not accept connections again as long as it is open.
 pub struct PredecessorConnection {
     _stream: BufReader<UnixStream>,
 }
 
-/// Notifies the predecessor that this process is ready, and waits for its answer. Whatever that is, this process may begin.
+/// Notifies the predecessor that this process is ready, and waits for the answer. This process may start to
+/// accept connections whatever the answer is.
 pub async fn take_over(predecessor: StdUnixStream) -> io::Result<PredecessorConnection> {
     predecessor.set_nonblocking(true)?;
     let mut stream = BufReader::new(UnixStream::from_std(predecessor)?);
@@ -103,15 +107,23 @@
         Ok::<_, io::Error>(answer)
     });
     match answer.await {
-        Ok(Ok(answer)) if answer == YOURS => info!("took over from the process that ran"),
-        Ok(Ok(answer)) => warn!("the process that ran said {answer:?}; going on beside it"),
-        Ok(Err(e)) => warn!("the process that ran said nothing: {e}; going on"),
-        Err(_) => warn!("the process that ran said nothing in time; going on beside it"),
+        Ok(Ok(answer)) if answer == YOURS => info!("handover: took over from the previous process"),
+        Ok(Ok(answer)) => {
+            warn!(
+                "handover: unexpected answer {answer:?} of the previous process; \
+                 accepting connections beside it"
+            );
+        }
+        Ok(Err(e)) => warn!("handover: no answer of the previous process: {e}; accepting connections"),
+        Err(_) => warn!(
+            "handover: no answer of the previous process within {MESSAGE_TIMEOUT:?}; \
+             accepting connections beside it"
+        ),
     }
     Ok(PredecessorConnection { _stream: stream })
 }
 
-/// Hands the sockets to successors of this process, one at a time, for as long as it is polled.
+/// Offers the sockets to successors of this process, one at a time, until it is dropped.
 pub async fn offer(path: PathBuf, listeners: Rc<Listeners>) {
     let mut has_warned = false;
     loop {
@@ -119,7 +131,7 @@
             Ok(listener) => listener,
             Err(e) => {
                 if !std::mem::replace(&mut has_warned, true) {
-                    warn!("{}: no handover from here: {e}", path.display());
+                    warn!("handover: cannot listen on {}: {e}", path.display());
                 }
                 sleep(BIND_RETRY_INTERVAL).await;
                 continue;
@@ -130,19 +142,20 @@
             match listener.accept().await {
                 Ok((stream, _)) => match hand_over(stream, &listeners, &mut owned_path).await {
                     Ok(()) => break,
-                    Err(e) => info!("a handover came to nothing: {e}"),
+                    Err(e) => info!("handover failed: {e}"),
                 },
                 Err(e) => {
-                    debug!("{}: {e}", path.display());
+                    debug!("handover: cannot accept a connection at {}: {e}", path.display());
                     sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
         }
-        // The successor has ended, and its path belongs to this process again.
+        // The successor has ended, and this process offers the handover again.
     }
 }
 
-/// The path of the Unix socket, while it belongs to this process. It is removed with this.
+/// The path of the Unix socket; `None` once it belongs to a successor. Dropping this removes the socket that
+/// it names.
 struct OwnedPath<'a>(Option<&'a Path>);
 
 impl Drop for OwnedPath<'_> {
@@ -154,14 +167,14 @@
 }
 
 fn listen(path: &Path) -> io::Result<UnixListener> {
-    // A process that has ended may have left it behind.
+    // A process that was killed may have left the socket behind.
     let _ = std::fs::remove_file(path);
     let listener = UnixListener::bind(path)?;
     std::fs::set_permissions(path, Permissions::from_mode(0o600))?;
     Ok(listener)
 }
 
-/// One handover. Returns once a successor that had taken over has ended.
+/// Performs a handover. Returns once the successor, after taking over, has ended.
 ///
 /// # Errors
 /// The successor did not take over.
@@ -171,7 +184,7 @@
     owned_path: &mut OwnedPath<'_>,
 ) -> io::Result<()> {
     if stream.peer_cred()?.uid() != rustix::process::geteuid().as_raw() {
-        return Err(io::Error::new(io::ErrorKind::PermissionDenied, "somebody else's process"));
+        return Err(io::Error::new(io::ErrorKind::PermissionDenied, "the peer belongs to another user"));
     }
     let sockets = listeners.duplicate()?;
     timeout(MESSAGE_TIMEOUT, stream.async_io(Interest::WRITABLE, || send(&stream, &sockets))).await??;
@@ -180,16 +193,17 @@
     let mut message = String::new();
     timeout(START_TIMEOUT, stream.read_line(&mut message)).await??;
     if message != READY {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, format!("the new process said {message:?}")));
+        let text = format!("unexpected message {message:?} of the successor, expected {READY:?}");
+        return Err(io::Error::new(io::ErrorKind::InvalidData, text));
     }
     listeners.set_paused(true);
-    // From here on the path belongs to the successor.
+    // From now on the path belongs to the successor.
     owned_path.0 = None;
-    info!("a new process takes the connections from here on");
+    info!("handover: the successor accepts connections from now on");
     let _ = stream.get_mut().write_all(YOURS.as_bytes()).await;
     let mut remaining = String::new();
     let _ = stream.read_line(&mut remaining).await;
-    warn!("the new process has gone; taking connections again");
+    warn!("handover: the successor has ended; accepting connections again");
     listeners.set_paused(false);
     Ok(())
 }
@@ -199,9 +213,12 @@
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
     let mut attached = SendAncillaryBuffer::new(&mut space);
     if sockets.len() > MAX_SOCKETS || !attached.push(SendAncillaryMessage::ScmRights(&sockets)) {
-        return Err(io::Error::other("too many sockets for one handover"));
+        let count = sockets.len();
+        return Err(io::Error::other(format!(
+            "cannot hand over {count} sockets, the maximum is {MAX_SOCKETS}"
+        )));
     }
-    // So short a message is written completely or not at all.
+    // A message this short is written completely or not at all.
     sendmsg(stream, &[IoSlice::new(GREETING)], &mut attached, SendFlags::NOSIGNAL)?;
     Ok(())
 }
--- a/crates/standalone-proxy/src/platform_node/reload.rs
+++ b/crates/standalone-proxy/src/platform_node/reload.rs
@@ -1,4 +1,5 @@
-//! Applies a changed configuration on SIGHUP: the address of discovery, and the settings, which go to each part of the node.
+//! Applies a changed configuration on SIGHUP: the address of discovery, and the settings of all parts of the
+//! node.
 
 use crate::decision_loop::event::NodeEvent;
 use crate::downstream::state::DownstreamState;
@@ -19,39 +20,40 @@
 use tokio::time::sleep;
 use tracing::{error, info};
 
-/// How long the classes of the old settings are known beside the new ones. Clients learn of new settings 1.2 s after the
-/// node.
+/// How long the classes of the old settings are accepted beside the new ones. Clients learn of new settings
+/// 1.2 s after the node.
 const CHANGEOVER: Duration = Duration::from_millis(2500);
 
-/// The platform sends SIGKILL after SIGTERM once the longest deadline has passed, but after no more than this much of it, and
-/// after [`KILL_DELAY`].
+/// The platform sends SIGKILL after SIGTERM once the longest deadline of a class, but at most this much of
+/// it, and [`KILL_DELAY`] have passed.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// What the platform waits beyond the deadline.
+/// How long the platform waits in addition to the deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// How much earlier every request is to be answered: what is open at SIGKILL is lost.
+/// How long before SIGKILL all requests must be answered. Requests that are open then are lost.
 const KILL_MARGIN: Duration = Duration::from_millis(200);
 
-/// How long after SIGTERM every request is to be answered.
+/// The time after SIGTERM within which all requests must be answered.
 pub fn shutdown_time(settings: &Settings) -> Duration {
     let longest = settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
     longest.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN
 }
 
-/// The parts of a node that settings go to.
+/// The parts of a node to which settings are passed.
 #[derive(Clone)]
 pub struct SettingsTargets {
-    /// The channel of the node's task.
+    /// The channel of the task of the node.
     pub events: mpsc::UnboundedSender<NodeEvent>,
     /// The connections to backends.
     pub backends: Rc<BackendClient>,
-    /// The clients' side.
+    /// The state that all client connections share.
     pub downstream: Rc<DownstreamState>,
-    /// The metrics, which may get new classes.
+    /// The metrics, to which new classes are added.
     pub metrics: Rc<NodeMetrics>,
 }
 
 impl SettingsTargets {
-    /// Passes on settings. The balancer gets them before any request that is routed by them: both go through one channel.
+    /// Passes settings to all parts. The balancer gets them before any request that is routed by them, as
+    /// both pass through the same channel.
     fn apply(&self, settings: NodeSettings) {
         let NodeSettings { balancer, host } = &settings;
         self.backends.reconfigure(balancer, host.idle_close, host.columns.clone());
@@ -62,7 +64,7 @@
     }
 }
 
-/// What a SIGHUP may change.
+/// Reloads the configuration on SIGHUP. Holds what a reload may change.
 pub struct ConfigReload {
     targets: SettingsTargets,
     shutdown_time: Rc<Cell<Duration>>,
@@ -70,12 +72,13 @@
     watch: ScopedTask,
     settings: NodeSettings,
     settings_source: serde_json::Value,
-    /// The number of changes of the settings: the second step of a change is omitted once another change has begun.
+    /// The number of changes of the settings. The second step of a change is skipped if another change has
+    /// begun.
     changes: Rc<Cell<u64>>,
 }
 
 impl ConfigReload {
-    /// Begins with the configuration that the node was started with.
+    /// Starts with the configuration of the running node.
     pub fn new(
         targets: SettingsTargets,
         shutdown_time: Rc<Cell<Duration>>,
@@ -87,7 +90,7 @@
         ConfigReload { targets, shutdown_time, watch_target, watch, settings, settings_source, changes }
     }
 
-    /// Reads the configuration again at each signal.
+    /// Reloads the configuration at each signal.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             match config::reload(|name| std::env::var(name).ok(), &self.settings_source) {
@@ -97,7 +100,7 @@
                 }
                 Err(e) => {
                     increment(&self.targets.metrics.config_rejected);
-                    error!("told to read the configuration again, and going on with the old one: {e}");
+                    error!("configuration reload: rejected, the previous configuration stays active: {e}");
                 }
             }
         }
@@ -110,27 +113,24 @@
         let is_renamed =
             self.watch_target.registry.borrow_mut().rename(&settings.host.zones, &settings.host.kinds);
         if config.discovery != self.watch_target.address || is_renamed {
-            info!("told to read the configuration again: discovery is at {}", config.discovery);
+            info!("configuration reload: discovery is at {}", config.discovery);
             self.watch_target.address = config.discovery;
             self.replace_watch();
         }
         if settings == self.settings {
-            return info!("told to read the configuration again: the settings are as they were");
+            return info!("configuration reload: settings unchanged");
         }
-        info!(
-            "told to read the configuration again: the settings are others, of {:?}",
-            settings.host.classes
-        );
+        info!("configuration reload: settings changed, classes {:?}", settings.host.classes);
         self.change_settings(settings, config.settings_source);
     }
 
-    /// Starts a watch in place of the present one, which goes on until the first list has arrived.
+    /// Replaces the watch. The previous one continues until the first list has arrived on the new one.
     fn replace_watch(&mut self) {
         let predecessor = std::mem::replace(&mut self.watch, ScopedTask::spawn(std::future::ready(())));
         self.watch = ScopedTask::spawn(maintain_watch(self.watch_target.clone(), Some(predecessor)));
     }
 
-    /// Applies the settings in two steps: with the old classes beside the new ones, then without.
+    /// Applies the settings in two steps: first with the old classes beside the new ones, later without them.
     fn change_settings(&mut self, settings: NodeSettings, source: serde_json::Value) {
         increment(&self.changes);
         let merged = merge_for_changeover(&settings, &self.settings);
--- a/crates/standalone-proxy/src/platform_node/run.rs
+++ b/crates/standalone-proxy/src/platform_node/run.rs
@@ -1,5 +1,5 @@
-//! The platform's node: one thread, its configuration from the platform, its list from discovery. Joins the parts and handles
-//! signals; everything else is done in the parts.
+//! Runs the platform's node: one thread, with its configuration from the platform and its list of backends
+//! from discovery. Connects the parts and handles signals.
 
 use crate::decision_loop::clock::Clock;
 use crate::decision_loop::event::NodeEvent;
@@ -46,27 +46,34 @@
 use tokio::time::sleep;
 use tracing::{error, info, warn};
 
-/// How often a new process checks whether it has a list. A start waits for nothing else.
+/// How often a starting process checks whether it has a list of backends.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The changes of the list that may wait for the node.
+/// The maximum number of changes of the list that wait for the task of the node.
 const UPDATE_QUEUE: usize = 4;
 
 quick_error! {
-    /// Why a node did not start or go on.
+    /// Why a node did not start or continue.
     #[derive(Debug)]
     pub enum RunError {
-        /// A signal can't be handled.
-        Signal(name: &'static str, error: io::Error) { display("{name}: {error}") source(error) }
-        /// The node can't listen at its address.
-        Listen(address: SocketAddr, error: io::Error) { display("{address}: {error}") source(error) }
-        /// A listening socket of the predecessor, or its address, can't be used.
-        Socket(error: io::Error) { display("{error}") source(error) }
-        /// The task that decides has ended, and no request would be answered any more.
-        TaskEnded(error: Option<JoinError>) { display("the node's task ended: {error:?}") }
+        /// The handler of a signal could not be installed.
+        Signal(name: &'static str, error: io::Error) {
+            display("cannot handle {name}: {error}")
+            source(error)
+        }
+        /// The node could not listen at its address.
+        Listen(address: SocketAddr, error: io::Error) {
+            display("cannot listen on {address}: {error}")
+            source(error)
+        }
+        /// The listening socket, which may be that of the predecessor, cannot be used.
+        Socket(error: io::Error) { display("the listening socket cannot be used: {error}") source(error) }
+        /// The task of the decision loop has ended, so that no request would be answered. `None` if it ended
+        /// without a panic.
+        TaskEnded(error: Option<JoinError>) { display("the task of the decision loop ended: {error:?}") }
     }
 }
 
-/// Runs the node that the platform's variables describe, until a termination signal.
+/// Runs the node that the platform's environment variables describe, until a termination signal.
 pub fn main() -> ExitCode {
     logging::start();
     let config = match config::load(|name| std::env::var(name).ok()) {
@@ -79,7 +86,7 @@
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            error!("no runtime: {e}");
+            error!("cannot start the async runtime: {e}");
             return ExitCode::FAILURE;
         }
     };
@@ -92,12 +99,13 @@
     }
 }
 
-/// Runs the node until SIGTERM, and until all requests are answered. `on_listening` gets the address that clients connect to.
+/// Runs the node until SIGTERM and then until all requests are answered. `on_listening` gets the address at
+/// which clients connect.
 ///
 /// # Errors
-/// The node can't handle signals or can't listen, or its task has ended.
+/// The node cannot handle signals or cannot listen, or the task of its decision loop has ended.
 pub async fn run(config: Config, on_listening: impl FnOnce(SocketAddr)) -> Result<(), RunError> {
-    // Before anything else: a signal that is not handled ends the process.
+    // Installed first, as a signal without a handler would kill the process.
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| RunError::Signal("SIGTERM", e))?;
     let hangup = signal(SignalKind::hangup()).map_err(|e| RunError::Signal("SIGHUP", e))?;
     let (listener, predecessor) = inherit_or_bind(&config)?;
@@ -154,12 +162,13 @@
     };
     tokio::select! {
         () = serve::serve(downstream, listeners, limits.max_clients, end) => Ok(()),
-        // It runs for as long as its channel has a sender: that it ended is a fault.
+        // It runs for as long as its channel has a sender, so its end is a fault.
         end = node => Err(RunError::TaskEnded(end.err())),
     }
 }
 
-/// The socket of the process whose place this one takes, with the connection to it; else a new one.
+/// Returns the listening socket of the predecessor and the connection to it, or a new socket if there is no
+/// predecessor.
 fn inherit_or_bind(config: &Config) -> Result<(TcpListener, Option<UnixStream>), RunError> {
     let path = config.handover_folder.as_deref().map(|folder| handover::socket_path(folder, config.listen));
     if let Some(inheritance) = path.as_deref().and_then(handover::request_sockets) {
@@ -175,7 +184,7 @@
     Ok((listener, None))
 }
 
-/// A listening socket whose address may be shared with another process of this node: the one whose place it takes.
+/// Opens a listening socket. Its address may be shared with another process of this node, the predecessor.
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -227,8 +236,8 @@
     }
 }
 
-/// Starts to accept connections: at once, or, where another process has done so until now, once there is a list of backends.
-/// From then on a further process may take the place of this one.
+/// Starts to accept connections: at once, or, if there is a predecessor, once there is a list of backends.
+/// From then on offers the sockets to a successor.
 async fn start_accepting(
     listeners: Rc<Listeners>,
     handover_path: Option<PathBuf>,
@@ -248,7 +257,7 @@
         is_ready.as_mut().await;
         match handover::take_over(predecessor).await {
             Ok(connection) => _connection = Some(connection),
-            Err(e) => warn!("no word with the process that ran: {e}"),
+            Err(e) => warn!("handover: cannot notify the previous process: {e}"),
         }
         listeners.set_paused(false);
         accepting.set(true);
--- a/crates/standalone-proxy/src/telemetry/admin.rs
+++ b/crates/standalone-proxy/src/telemetry/admin.rs
@@ -1,4 +1,5 @@
-//! The admin address of a node that runs from a file: metrics and readiness over HTTP. Changes nothing.
+//! The admin address of a node that runs from a file: serves metrics and readiness over HTTP. Changes
+//! nothing.
 
 use crate::telemetry::exchanges::Telemetry;
 use bytes::Bytes;
@@ -18,29 +19,29 @@
 use tokio::time::sleep;
 use tracing::debug;
 
-/// The most connections at once. Guards the descriptors of clients and backends.
+/// The maximum number of open connections. Keeps descriptors free for clients and backends.
 const MAX_CONNECTIONS: usize = 16;
 /// How long a head may take to arrive.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 /// The pause after a connection that could not be accepted.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// The media type of metrics, by the specification of the text format.
+/// The media type of the OpenMetrics text format.
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What is served.
+/// The state that is served.
 #[derive(Clone)]
 pub struct AdminState {
-    /// The metrics.
+    /// The metrics of exchanges.
     pub telemetry: Rc<Telemetry>,
     /// Whether the node is shutting down.
     pub shutting_down: Rc<Cell<bool>>,
 }
 
-/// Serves requests for as long as the node runs.
+/// Serves requests until it is dropped.
 pub async fn run(listener: TcpListener, state: AdminState) {
     let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        // Never closed, so that a slot always gets free.
+        // Fails only if the semaphore is closed, which it never is.
         let Ok(slot) = slots.clone().acquire_owned().await else { return };
         let Ok((stream, _)) = listener.accept().await else {
             sleep(ACCEPT_RETRY_INTERVAL).await;
@@ -55,7 +56,7 @@
             let builder =
                 builder.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).keep_alive(false);
             if let Err(e) = builder.serve_connection(TokioIo::new(stream), service).await {
-                debug!("a watcher's connection: {e}");
+                debug!("admin connection failed: {e}");
             }
         });
     }
--- a/crates/standalone-proxy/src/telemetry/recorder.rs
+++ b/crates/standalone-proxy/src/telemetry/recorder.rs
@@ -1,5 +1,5 @@
-//! Records a node's requests, as a trace that the load generator replays. Off the request path: a line that finds the queue
-//! full is dropped and counted, and nothing waits.
+//! Records the requests of a node as a trace that the load generator can replay. A separate thread writes the
+//! trace; a line that finds the queue full is dropped and counted, so that no request waits.
 
 use load_generator::trace::TraceEntry;
 use std::cell::Cell;
@@ -10,18 +10,18 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Buffered lines are written at least so often, so that a reader of the trace is not far behind.
+/// The maximum time for which lines stay in the write buffer. Lets a reader follow the trace.
 const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The names of a request's class and tenant.
 pub struct TraceLabels {
-    /// The class.
+    /// The name of the class.
     pub class: String,
-    /// The tenant, if there are tenants.
+    /// The name of the tenant; `None` if there are no tenants.
     pub tenant: Option<String>,
 }
 
-/// A request as it is recorded.
+/// The recorded properties of a request.
 pub struct RecordedRequest<'r> {
     /// The method.
     pub method: &'r str,
@@ -35,7 +35,7 @@
     pub body_size: usize,
 }
 
-/// A recorder. Dropping it ends the trace once all queued lines are written.
+/// Records requests. Dropping it ends the trace once all queued lines are written.
 pub struct Recorder {
     lines: SyncSender<TraceEntry>,
     start: Instant,
@@ -43,28 +43,28 @@
 }
 
 impl Recorder {
-    /// Records to a new file of at most `max_size` bytes. Up to `queue` lines may wait for the disk.
+    /// Records to a new file of at most `max_size` bytes. At most `queue` lines wait to be written.
     ///
     /// # Errors
     /// The file can't be created.
     pub fn to_file(path: &Path, queue: usize, max_size: u64) -> io::Result<Self> {
         let file = File::create(path)?;
-        info!("recording to {}, {max_size} bytes at most", path.display());
+        info!("recording a trace to {}, at most {max_size} bytes", path.display());
         Ok(Recorder::to_writer(BufWriter::new(file), queue, max_size))
     }
 
-    /// The same for any writer.
+    /// Records to a writer. The limits are those of [`Recorder::to_file`].
     pub fn to_writer(out: impl Write + Send + 'static, queue: usize, max_size: u64) -> Self {
         let (lines, receiver) = sync_channel(queue);
         std::thread::spawn(move || {
             if let Err(e) = write(out, &receiver, max_size) {
-                warn!("the trace ends: {e}");
+                warn!("trace recording stopped: {e}");
             }
         });
         Recorder { lines, start: Instant::now(), dropped: Cell::new(0) }
     }
 
-    /// Records a request, or counts it as dropped.
+    /// Records a request, or counts it as dropped if the queue is full.
     pub fn record(&self, request: RecordedRequest<'_>) {
         let line = TraceEntry {
             method: request.method.to_string(),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The number of lines that were dropped so far.
+    /// The number of lines dropped so far.
     #[cfg(test)]
     fn dropped(&self) -> u64 {
         self.dropped.get()
@@ -89,7 +89,7 @@
 
 impl Drop for Recorder {
     fn drop(&mut self) {
-        info!("the trace is over, {} lines were dropped", self.dropped.get());
+        info!("trace recording ended, {} lines were dropped", self.dropped.get());
     }
 }
 
@@ -109,7 +109,7 @@
         written += text.len() as u64;
         if written > max_size {
             out.flush()?;
-            return Err(io::Error::other("it has as many bytes as it may"));
+            return Err(io::Error::other(format!("the trace has reached its maximum of {max_size} bytes")));
         }
         out.write_all(&text)?;
     }
--- a/crates/standalone-proxy/src/upstream/connect.rs
+++ b/crates/standalone-proxy/src/upstream/connect.rs
@@ -1,4 +1,4 @@
-//! A connection for an exchange: an idle one, or a new one.
+//! Provides the connection for an exchange: an idle one or a new one.
 
 use crate::headers::MAX_HEAD_SIZE;
 use crate::upstream::backend_client::BackendClient;
@@ -23,20 +23,21 @@
 use tokio::time::{Instant, sleep_until, timeout};
 use tracing::debug;
 
-/// A backend with so many connections in use gets requests so often that a wait for the reuse delay of one would add up.
+/// From this number of connections in use on, a new connection is opened rather than waiting for a reuse
+/// delay: the backend gets requests so often that the waits would add up.
 const BUSY_CONNECTIONS: usize = 4;
 
-/// What the pool of a backend has for an exchange.
+/// The result of looking for an idle connection.
 enum IdleLookup {
     /// An idle connection whose reuse delay is over.
     Usable(Connection),
-    /// There is one whose reuse delay is over at this time, beside so many connections in use.
+    /// The reuse delay of an idle connection is over at `usable_at`; `in_use` connections are in use.
     Delayed { usable_at: Instant, in_use: usize },
-    /// There is no idle connection, or no such backend.
+    /// There is no idle connection, or the backend is not listed.
     Nothing,
 }
 
-/// What a connection is opened for.
+/// The purpose for which a connection is opened.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ConnectionPurpose {
     /// Any number of exchanges.
@@ -46,8 +47,8 @@
 }
 
 impl BackendClient {
-    /// A connection for an exchange. `None` after a wait for the reuse delay of one: whatever the exchange depends on is to
-    /// be checked again, and then this called again.
+    /// Returns a connection for an exchange. `None` after a wait for a reuse delay: the caller must check the
+    /// conditions of the exchange again and then call this again.
     pub(super) async fn acquire(
         &self,
         backend: ServerId,
@@ -63,8 +64,9 @@
         };
         match lookup {
             IdleLookup::Usable(connection) => Ok(Some((connection, ConnectionUse::Reused))),
-            // With the platform's backends, a wait for the reuse delay costs less than to open a connection. A busy backend
-            // of an operator's file gets as many further connections as are delayed at a time, unless sockets are short.
+            // With the platform's backends, waiting for the reuse delay costs less than opening a connection.
+            // For a busy backend of an operator's file, a new connection is opened unless no sockets are
+            // left.
             IdleLookup::Delayed { usable_at, in_use }
                 if self.criterion == SuccessCriterion::Status200
                     || in_use < BUSY_CONNECTIONS
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Looks for an idle connection whose reuse delay is over, or else for when the first delay will be.
+    /// Looks for an idle connection whose reuse delay is over, or else for the time at which the first delay
+    /// ends.
     fn find_idle(&self, backend: ServerId) -> IdleLookup {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&backend) else { return IdleLookup::Nothing };
@@ -125,7 +128,7 @@
             Err(error) => return Err(self.connect_failed(backend, address, &error)),
         };
         let progress = Rc::new(ExchangeProgress::default());
-        // The platform's protocol has closes and no resets for what is cancelled.
+        // The platform's protocol demands that the connection of a cancelled request is closed and not reset.
         if self.criterion == SuccessCriterion::NoBackendFailure {
             progress.reset_when_abandoned();
         }
@@ -138,15 +141,15 @@
     }
 
     fn connect_failed(&self, backend: ServerId, address: SocketAddr, error: &dyn Display) -> Outcome {
-        debug!("backend {backend:?} at {address}: no connection: {error}");
-        self.counters.refused.set(self.counters.refused.get() + 1);
+        debug!("backend {backend:?}: cannot connect to {address}: {error}");
+        self.counters.failed.set(self.counters.failed.get() + 1);
         Outcome::ConnectFailed
     }
 }
 
 type Handshake = (SendRequest<MessageBody>, ScopedTask, Option<oneshot::Receiver<RawConnection>>);
 
-/// Begins HTTP on a new connection, and spawns its driver.
+/// Starts HTTP on a new connection, and spawns the task that drives it.
 async fn handshake(stream: MonitoredStream, purpose: ConnectionPurpose) -> hyper::Result<Handshake> {
     let (sender, driver) =
         http1::Builder::new().max_buf_size(MAX_HEAD_SIZE).handshake(TokioIo::new(stream)).await?;
--- a/crates/standalone-proxy/src/upstream/pool.rs
+++ b/crates/standalone-proxy/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to backends, and the sockets that all clusters share. Opens none.
+//! Idle connections to backends, and the limit of connections that all clusters share. Opens none.
 
 use http_transport::backend_stream::ExchangeProgress;
 use http_transport::body::MessageBody;
@@ -20,38 +20,38 @@
 /// Counts of connections since the start.
 #[derive(Default)]
 pub struct ConnectionCounters {
-    /// Connections that were begun.
+    /// Connections that were started.
     pub opened: Cell<u64>,
-    /// Connections that did not open.
-    pub refused: Cell<u64>,
-    /// Idle connections that turned out to be closed when they were used.
+    /// Connections that could not be established.
+    pub failed: Cell<u64>,
+    /// Idle connections that the backend turned out to have closed when a request was to be sent.
     pub stale: Cell<u64>,
 }
 
 /// The pools of a cluster, by backend.
 pub type BackendPools = HashMap<ServerId, BackendPool>;
 
-/// The sockets that all clusters' connections share. Where none is left, the connection that has been idle for longest is
-/// closed for a new one, whichever cluster it belongs to.
+/// The limit of connections that all clusters share. Once it is reached, the connection that has been idle
+/// for longest is closed for a new one, whichever cluster it belongs to.
 pub struct SocketBudget {
     /// The number of open connections.
     pub open: Rc<Cell<usize>>,
-    /// The most that may be open.
+    /// The maximum number of open connections.
     max_open: usize,
     pools: RefCell<Vec<Weak<RefCell<BackendPools>>>>,
 }
 
 impl SocketBudget {
-    /// A budget of so many connections.
+    /// A budget of `max_open` connections.
     pub fn new(max_open: usize) -> Self {
         SocketBudget { open: Rc::default(), max_open, pools: RefCell::default() }
     }
 
-    /// Adds a cluster's pools, and drops those that are gone.
+    /// Adds the pools of a cluster, and forgets those of removed clusters.
     pub fn register(&self, pools: &Rc<RefCell<BackendPools>>) {
-        let mut known = self.pools.borrow_mut();
-        known.retain(|pools| pools.strong_count() > 0);
-        known.push(Rc::downgrade(pools));
+        let mut registered = self.pools.borrow_mut();
+        registered.retain(|pools| pools.strong_count() > 0);
+        registered.push(Rc::downgrade(pools));
     }
 
     /// Whether another connection may be opened.
@@ -74,15 +74,15 @@
 
 /// The connections to one backend.
 pub struct BackendPool {
-    /// Where the backend listens.
+    /// The address at which the backend listens.
     pub address: SocketAddr,
-    /// When the process there started, as the list says.
+    /// When the process of the backend started, if the list says so.
     pub started: Option<Duration>,
-    /// Whether new attempts may start, so that idle connections are worth keeping.
+    /// Whether new attempts may start. Idle connections are kept only then.
     pub serving: ServingFlag,
-    /// The deadlines of responses that are streamed.
+    /// The deadlines of streamed responses.
     pub streams: Vec<StreamDeadline>,
-    /// The most recently used is last, and is used first: the others grow old and are closed.
+    /// The idle connections, the most recently used last. That one is used first, so that the others expire.
     pub idle: Vec<IdleConnection>,
     /// The number of open connections, including those in use.
     pub open: Rc<Cell<usize>>,
@@ -109,14 +109,15 @@
 
 impl Drop for BackendPool {
     fn drop(&mut self) {
-        // The backend is no longer on the list: an attempt that was decided and has not started does not start.
+        // The backend is no longer on the list: attempts that were decided but have sent nothing must not
+        // start.
         self.serving.set(false);
     }
 }
 
 /// An idle connection.
 pub struct IdleConnection {
-    /// The connection.
+    /// The open connection.
     pub connection: Connection,
     /// When its last response ended.
     pub since: Instant,
@@ -124,21 +125,22 @@
 
 /// An open connection. Dropping it closes it.
 pub struct Connection {
-    /// Where it leaves HTTP, if it may switch to another protocol. It is then not used again.
+    /// Receives the raw connection after a switch of protocols; `None` if the request asks for none. A
+    /// connection with this is not reused.
     pub raw: Option<oneshot::Receiver<RawConnection>>,
-    /// Sends requests.
+    /// Sends requests on it.
     pub sender: SendRequest<MessageBody>,
-    /// How far its present exchange has come.
+    /// The progress of the exchange in flight.
     pub progress: Rc<ExchangeProgress>,
-    /// The address that it was opened to.
+    /// The address to which it was opened.
     pub address: SocketAddr,
-    /// Runs it.
+    /// The task that drives it.
     pub _driver: ScopedTask,
-    /// Count it in [`SocketBudget`] and [`BackendPool`].
+    /// Counts it as open in [`SocketBudget`] and [`BackendPool`].
     pub _open_guards: [OpenGuard; 2],
 }
 
-/// Keeps a connection for the next attempt, unless there will be none.
+/// Keeps a connection for the next attempt, unless the backend takes no more attempts at this address.
 pub fn store_idle(pools: &RefCell<BackendPools>, backend: ServerId, connection: Connection) {
     if connection.raw.is_some() {
         return;
