--- a/crates/http-transport/src/body/upload.rs
+++ b/crates/http-transport/src/body/upload.rs
@@ -81,8 +81,8 @@
     pub fn is_finished(&self) -> bool {
         self.finished.get()
     }
-    /// Whether another attempt can send the body again.
-    pub fn replay_state(&self) -> BodyAvailability {
+    /// How much of the body is available for another attempt.
+    pub fn availability(&self) -> BodyAvailability {
         if self.streaming.get() { BodyAvailability::Incomplete } else { BodyAvailability::NothingSent }
     }
     fn mark_finished(&self) {
--- a/crates/standalone-proxy/src/decision_loop/open_requests.rs
+++ b/crates/standalone-proxy/src/decision_loop/open_requests.rs
@@ -48,7 +48,7 @@
         let possible_execution = self.first_possible_execution();
         let outcome = possible_execution.map(|attempt| attempt.outcome.unwrap_or(Outcome::Cancelled));
         let body =
-            self.payload.upload.as_ref().map_or(BodyAvailability::Complete, |upload| upload.replay_state());
+            self.payload.upload.as_ref().map_or(BodyAvailability::Complete, |upload| upload.availability());
         attempt::may_retry(self.repeat, outcome, body)
     }
 
