--- a/crates/standalone-proxy/src/decision_loop/admission_gate.rs
+++ b/crates/standalone-proxy/src/decision_loop/admission_gate.rs
@@ -82,7 +82,7 @@
     }
 
     /// The requests that have left the queue since the last call, in the order of the decisions.
-    pub fn take_decided(&mut self) -> Vec<GateOutcome> {
+    pub fn take_dequeued(&mut self) -> Vec<GateOutcome> {
         let decisions = self.gate.take_decisions();
         let outcome = |decision: QueueDecision| {
             let arrival = self.queued.remove(&decision.id)?;
--- a/crates/standalone-proxy/src/decision_loop/event.rs
+++ b/crates/standalone-proxy/src/decision_loop/event.rs
@@ -76,7 +76,7 @@
     /// The response of a backend that served the request.
     Served(BackendResponse),
     /// The error response of a backend, where no further attempt follows.
-    Unserved(BackendResponse),
+    BackendError(BackendResponse),
     /// The request was rejected without being executed.
     Rejected {
         /// After what time the client is asked to retry; `None` if it is told no time.
--- a/crates/standalone-proxy/src/decision_loop/node.rs
+++ b/crates/standalone-proxy/src/decision_loop/node.rs
@@ -337,7 +337,7 @@
             abandoned: false,
             remaining: request.remaining,
             repeat: arrival.repeat,
-            unserved: None,
+            error_response: None,
         };
         self.open.insert(id, open);
         self.notify(match arrival.upload_timeout {
@@ -353,12 +353,12 @@
             let now = self.clock.now();
             let Some(gate) = &mut self.gate else { return };
             gate.tick(now);
-            let (events, decided) = (gate.take_events(now), gate.take_decided());
-            if events.is_empty() && decided.is_empty() {
+            let (events, dequeued) = (gate.take_events(now), gate.take_dequeued());
+            if events.is_empty() && dequeued.is_empty() {
                 return;
             }
             events.into_iter().for_each(|event| self.notify(event));
-            decided.into_iter().for_each(|outcome| self.apply_gate_outcome(Some(outcome)));
+            dequeued.into_iter().for_each(|outcome| self.apply_gate_outcome(Some(outcome)));
         }
     }
 
@@ -383,11 +383,11 @@
         if outcome != Outcome::Served {
             debug!("attempt {number} of {id:?} at {server:?}: {outcome:?} after {elapsed:?}");
         }
-        let (served, unserved) = match outcome {
+        let (served, error_response) = match outcome {
             Outcome::Served => (response, None),
             _ => (None, response),
         };
-        open.unserved = unserved;
+        open.error_response = error_response;
         if let Some(served) = served
             && let Some(response) = open.response.take()
         {
@@ -448,7 +448,7 @@
     fn perform(&mut self, action: Action, now: Duration, events: &mut VecDeque<Event>) {
         match action {
             Action::Send { id, server, timeout } => self.start_attempt(id, server, timeout, now, events),
-            Action::Refuse { id, .. } | Action::Fail { id } if self.respond_unserved(id) => {
+            Action::Refuse { id, .. } | Action::Fail { id } if self.send_error_response(id) => {
                 self.remove_if_finished(id);
             }
             Action::Refuse { id, retry_after } => self.reject(id, retry_after),
@@ -547,26 +547,27 @@
 
     /// Sends the client the error response of the last attempt, if there is one and no attempt is in flight.
     /// Returns whether it was sent.
-    fn respond_unserved(&mut self, id: RequestId) -> bool {
+    fn send_error_response(&mut self, id: RequestId) -> bool {
         let Some(open) = self.open.get_mut(&id) else { return false };
         if open.has_attempt_in_flight() || open.response.is_none() {
             return false;
         }
-        let Some(mut unserved) = open.unserved.take() else { return false };
+        let Some(mut error_response) = open.error_response.take() else { return false };
         let Some(response) = open.response.take() else { return false };
         let may_have_been_executed =
             open.attempts.iter().any(|a| a.outcome.is_some_and(|outcome| !outcome.never_ran()));
         let execution = if may_have_been_executed { Execution::Possible } else { Execution::RuledOut };
-        if local_response(unserved.status.as_u16(), open.repeat, execution) == LocalResponse::BadGateway {
-            unserved.status = StatusCode::BAD_GATEWAY;
-            unserved.headers.remove(header::RETRY_AFTER);
+        if local_response(error_response.status.as_u16(), open.repeat, execution) == LocalResponse::BadGateway
+        {
+            error_response.status = StatusCode::BAD_GATEWAY;
+            error_response.headers.remove(header::RETRY_AFTER);
         }
         open.abandoned = true;
-        match unserved.status {
+        match error_response.status {
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => self.counts.rejected += 1,
             _ => self.counts.failed += 1,
         }
-        response.send(FinalResponse::Unserved(unserved));
+        response.send(FinalResponse::BackendError(error_response));
         true
     }
 
--- a/crates/standalone-proxy/src/decision_loop/open_requests.rs
+++ b/crates/standalone-proxy/src/decision_loop/open_requests.rs
@@ -29,7 +29,7 @@
     /// Whether and where it may be sent again.
     pub repeat: Repeat,
     /// The error response that ended the last attempt, if the backend sent one.
-    pub unserved: Option<BackendResponse>,
+    pub error_response: Option<BackendResponse>,
 }
 
 impl OpenRequest {
@@ -123,6 +123,6 @@
         let _ = events.send(NodeEvent::AttemptEnded { id, attempt: number, result });
     });
     let task = Some(task.abort_handle());
-    request.unserved = None;
+    request.error_response = None;
     request.attempts.push(Attempt { backend, sent_at, task, timed_out: false, outcome: None });
 }
--- a/crates/standalone-proxy/src/downstream/request.rs
+++ b/crates/standalone-proxy/src/downstream/request.rs
@@ -413,7 +413,9 @@
 
 /// The name of the backend that a response came from; `None` for a local response.
 fn served_by(response: &FinalResponse, router: &dyn RequestRouter, route: Option<usize>) -> Option<ServedBy> {
-    let (FinalResponse::Served(response) | FinalResponse::Unserved(response)) = response else { return None };
+    let (FinalResponse::Served(response) | FinalResponse::BackendError(response)) = response else {
+        return None;
+    };
     let backend = router.backend_name(route, response.backend)?;
     Some(ServedBy { backend, attempts: response.attempts })
 }
--- a/crates/standalone-proxy/src/downstream/response.rs
+++ b/crates/standalone-proxy/src/downstream/response.rs
@@ -42,7 +42,7 @@
 /// Builds the response to the client.
 pub fn client_response(response: FinalResponse, form: ResponseForm) -> Response<MessageBody> {
     match response {
-        FinalResponse::Served(response) | FinalResponse::Unserved(response) => {
+        FinalResponse::Served(response) | FinalResponse::BackendError(response) => {
             forwarded_response(response, form)
         }
         FinalResponse::Rejected { retry_after, .. } => {
--- a/crates/standalone-proxy/src/file_node/run.rs
+++ b/crates/standalone-proxy/src/file_node/run.rs
@@ -108,14 +108,14 @@
     if let Some(address) = plan.admin {
         start_admin(address, &telemetry, &shutting_down).await?;
     }
-    let at_start = StartupSettings::of(&plan);
+    let startup = StartupSettings::of(&plan);
     let trace = plan.trace.clone();
     let router = FileRouter::new(Rc::new(plan), cluster_events, ids.clone());
     let reports = Reports { recorder, telemetry: telemetry.clone() };
     let downstream = Rc::new(downstream_state(router, admission, reports, shutting_down, &limits, stalls));
     let reload = FileReload {
         path,
-        at_start,
+        startup,
         trace,
         clusters,
         ids,
@@ -231,11 +231,11 @@
         }
     }
 
-    fn has_other_admin_or_log(&self, plan: &Plan) -> bool {
+    fn changes_admin_or_log(&self, plan: &Plan) -> bool {
         plan.admin != self.admin || plan.log.format != self.log.format || plan.log.queue != self.log.queue
     }
 
-    fn has_other_limits(&self, plan: &Plan) -> bool {
+    fn changes_limits(&self, plan: &Plan) -> bool {
         plan.max_sockets != self.sockets || plan.max_memory != self.memory
     }
 }
@@ -243,7 +243,7 @@
 /// Reloads the file on SIGHUP. Holds what a reload may change.
 struct FileReload {
     path: PathBuf,
-    at_start: StartupSettings,
+    startup: StartupSettings,
     /// The trace that is being recorded.
     trace: Option<route_config::model::Trace>,
     clusters: Clusters,
@@ -295,11 +295,11 @@
         if let Err(e) = self.listeners.replace(&plan.listeners) {
             return error!("{path}: rejected; the previous configuration stays active: {e}");
         }
-        if self.at_start.has_other_admin_or_log(&plan) {
+        if self.startup.changes_admin_or_log(&plan) {
             warn!("{path}: changes of `[admin]`, `format` and `queue` take effect at the next start");
         }
         self.telemetry.set_logged_share(plan.log.exchanges);
-        if self.at_start.has_other_limits(&plan) {
+        if self.startup.changes_limits(&plan) {
             warn!("{path}: changes of `sockets` and `memory` take effect at the next start");
         }
         if plan.trace != self.trace {
