--- a/crates/standalone-proxy/src/file_node/source.rs
+++ b/crates/standalone-proxy/src/file_node/source.rs
@@ -41,9 +41,9 @@
     };
     let metadata = std::fs::metadata(path).map_err(failed)?;
     if !metadata.is_file() {
-        let kind = if metadata.is_dir() { "a folder" } else { "no ordinary file" };
+        let kind = if metadata.is_dir() { "a directory" } else { "not a regular file" };
         let message = format!("{} is {kind}", path.display());
-        return Err(InvalidSource::unreadable(Code::NotAFile, message, "name an ordinary file"));
+        return Err(InvalidSource::unreadable(Code::NotAFile, message, "name a regular file"));
     }
     let mut bytes = Vec::new();
     // Reads one byte more than the maximum to detect a larger file. Its size is not checked beforehand, as it
--- a/crates/standalone-proxy/src/platform_node/config.rs
+++ b/crates/standalone-proxy/src/platform_node/config.rs
@@ -108,7 +108,7 @@
         /// A class has no name.
         UnnamedClass { display("settings.Classes: a class without a Name") }
         /// The limit of sockets is below the minimum.
-        TooFewSockets(sockets: usize) { display("limits.sockets: {sockets} are too few, {MIN_SOCKETS} at least") }
+        TooFewSockets(sockets: usize) { display("limits.sockets: {sockets} is below the minimum of {MIN_SOCKETS}") }
         /// The list of backends is invalid.
         InvalidList(error: ListError) {
             display("known: {error}")
@@ -210,7 +210,7 @@
     let initial_list = match file.known {
         None | Some(serde_json::Value::Null) => None,
         Some(list) => {
-            let update = registry.apply_list(list, ListSource::Known)?;
+            let update = registry.apply_list(list, ListSource::SameDiscovery)?;
             Some(EndpointUpdate { kind: ListKind::Cached, ..update })
         }
     };
--- a/crates/standalone-proxy/src/platform_node/discovery.rs
+++ b/crates/standalone-proxy/src/platform_node/discovery.rs
@@ -224,7 +224,7 @@
 
     /// Applies the text of a list and passes the change on. An invalid list is logged and ignored.
     async fn apply(&mut self, text: &[u8]) -> Result<(), WatchEnd> {
-        let source = if self.has_list { ListSource::Known } else { ListSource::New };
+        let source = if self.has_list { ListSource::SameDiscovery } else { ListSource::NewDiscovery };
         let applied = self.target.registry.borrow_mut().apply_text(text, source);
         match applied {
             Ok(update) => {
--- a/crates/standalone-proxy/src/platform_node/endpoint_registry.rs
+++ b/crates/standalone-proxy/src/platform_node/endpoint_registry.rs
@@ -43,9 +43,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
     /// The list is from the discovery that sent the earlier lists.
-    Known,
+    SameDiscovery,
     /// The list is the first one from another discovery, and counts as the newest whatever its generation.
-    New,
+    NewDiscovery,
 }
 
 quick_error! {
@@ -82,7 +82,7 @@
             display("instanceId: {instance_id:?} has the same hash as {known:?}")
         }
         /// The zone is not in the settings.
-        UnknownZone(zone: String) { display("zone: {zone:?} is none of the settings' Localities") }
+        UnknownZone(zone: String) { display("zone: {zone:?} is not in Localities of the settings") }
         /// The start time of the process is invalid.
         InvalidStart(error: TryFromFloatSecsError) {
             display("startedAtMs: {error}")
@@ -217,7 +217,7 @@
 
     /// Determines the version of a list with this generation.
     fn advance_version(&mut self, generation: Generation, source: ListSource) -> ListVersion {
-        if source == ListSource::New {
+        if source == ListSource::NewDiscovery {
             self.version_offset = self.version.0.saturating_sub(generation.0);
             self.generation = generation;
         }
--- a/crates/standalone-proxy/src/platform_node/handover.rs
+++ b/crates/standalone-proxy/src/platform_node/handover.rs
@@ -50,7 +50,7 @@
 }
 
 /// What a successor has received from its predecessor.
-pub struct Inheritance {
+pub struct InheritedSockets {
     /// The listening sockets.
     pub listeners: Vec<TcpListener>,
     /// The connection to the predecessor.
@@ -58,10 +58,10 @@
 }
 
 /// Requests the sockets of the running process. `None` if there is no such process or it sends none.
-pub fn request_sockets(path: &Path) -> Option<Inheritance> {
+pub fn request_sockets(path: &Path) -> Option<InheritedSockets> {
     let predecessor = StdUnixStream::connect(path).ok()?;
     match receive(&predecessor) {
-        Ok(listeners) if !listeners.is_empty() => Some(Inheritance { listeners, predecessor }),
+        Ok(listeners) if !listeners.is_empty() => Some(InheritedSockets { listeners, predecessor }),
         Ok(_) => None,
         Err(e) => {
             warn!("handover: no sockets from the running process: {e}");
--- a/crates/standalone-proxy/src/platform_node/run.rs
+++ b/crates/standalone-proxy/src/platform_node/run.rs
@@ -11,7 +11,7 @@
 use crate::platform_node::config::{self, Config};
 use crate::platform_node::console::{self, ConsoleState};
 use crate::platform_node::discovery::{RetryInterval, WatchTarget, maintain_watch};
-use crate::platform_node::handover::{self, Inheritance};
+use crate::platform_node::handover::{self, InheritedSockets};
 use crate::platform_node::reload::{ConfigReload, SettingsTargets, shutdown_time};
 use crate::platform_node::router::PlatformRouter;
 use crate::platform_node::settings::NodeSettings;
@@ -171,8 +171,8 @@
 /// predecessor.
 fn inherit_or_bind(config: &Config) -> Result<(TcpListener, Option<UnixStream>), RunError> {
     let path = config.handover_folder.as_deref().map(|folder| handover::socket_path(folder, config.listen));
-    if let Some(inheritance) = path.as_deref().and_then(handover::request_sockets) {
-        let Inheritance { listeners, predecessor } = inheritance;
+    if let Some(inherited) = path.as_deref().and_then(handover::request_sockets) {
+        let InheritedSockets { listeners, predecessor } = inherited;
         let at_address = |socket: &std::net::TcpListener| {
             socket.local_addr().is_ok_and(|address| address == config.listen)
         };
--- a/crates/standalone-proxy/src/platform_node/settings.rs
+++ b/crates/standalone-proxy/src/platform_node/settings.rs
@@ -24,7 +24,7 @@
     #[derive(Debug, PartialEq, Eq)]
     pub enum InvalidSetting {
         /// The number at this path of keys is not greater than 0.
-        NotPositive(path: String) { display("{path}: must be over 0") }
+        NotPositive(path: String) { display("{path}: must be greater than 0") }
     }
 }
 
--- a/crates/standalone-proxy/src/platform_node/settings/tests.rs
+++ b/crates/standalone-proxy/src/platform_node/settings/tests.rs
@@ -41,10 +41,10 @@
 fn deadlines_and_attempts_must_be_greater_than_zero() {
     for (give_up, attempts, expected) in [
         (1.0, 1, None),
-        (0.0, 1, Some("Classes[0].GiveUp: must be over 0")),
-        (-5.0, 1, Some("Classes[0].GiveUp: must be over 0")),
-        (1.0, 0, Some("Permissions.AttemptsCap: must be over 0")),
-        (1.0, -2, Some("Permissions.AttemptsCap: must be over 0")),
+        (0.0, 1, Some("Classes[0].GiveUp: must be greater than 0")),
+        (-5.0, 1, Some("Classes[0].GiveUp: must be greater than 0")),
+        (1.0, 0, Some("Permissions.AttemptsCap: must be greater than 0")),
+        (1.0, -2, Some("Permissions.AttemptsCap: must be greater than 0")),
     ] {
         let settings = json!({"Classes": [{"GiveUp": give_up}], "Permissions": {"AttemptsCap": attempts}});
         assert_eq!(validate(&settings).err().map(|error| error.to_string()).as_deref(), expected);
