--- a/crates/agent/src/monitor_ring.rs
+++ b/crates/agent/src/monitor_ring.rs
@@ -2,7 +2,7 @@
 //! members of the view that follow its position on a ring. When a member joins or leaves, only the nodes that
 //! it monitors are reassigned.
 
-use range_digest::mixed;
+use range_digest::mix64;
 use std::collections::BTreeSet;
 
 /// The number of positions (virtual nodes) of each member on the ring. More positions spread nodes more
@@ -28,9 +28,9 @@
 }
 
 fn member_position(member: u64, index: u64) -> u64 {
-    mixed(mixed(member).wrapping_add(index))
+    mix64(mix64(member).wrapping_add(index))
 }
 
 fn node_position(node: &str) -> u64 {
-    node.bytes().fold(0, |hash, byte| mixed(hash ^ u64::from(byte)))
+    node.bytes().fold(0, |hash, byte| mix64(hash ^ u64::from(byte)))
 }
--- a/crates/quota/src/probabilistic_rejection.rs
+++ b/crates/quota/src/probabilistic_rejection.rs
@@ -4,7 +4,7 @@
 //! requests would admit all of theirs, busy nodes few. With it, each request has the same chance to be asked for, at each node
 //! and at each moment.
 
-use range_digest::mixed;
+use range_digest::mix64;
 use std::time::Duration;
 
 /// The time after which a reported pressure no longer counts: the tenant may have stopped.
@@ -35,7 +35,7 @@
             return true;
         }
         self.draws += 1;
-        let drawn = mixed(mixed(now.as_nanos() as u64) ^ cost.to_bits() ^ mixed(self.draws));
+        let drawn = mix64(mix64(now.as_nanos() as u64) ^ cost.to_bits() ^ mix64(self.draws));
         (drawn as f64 / u64::MAX as f64) * pressure < 1.0
     }
 
--- a/crates/range-digest/src/lib.rs
+++ b/crates/range-digest/src/lib.rs
@@ -16,6 +16,6 @@
 mod set;
 mod walk;
 
-pub use range::{FAN_OUT, KeyRange, RangeDigest, mixed};
+pub use range::{FAN_OUT, KeyRange, RangeDigest, mix64};
 pub use set::{DigestedSet, MAX_ITEMS, RangeContent};
 pub use walk::{Difference, Walk, WalkError};
--- a/crates/range-digest/src/range.rs
+++ b/crates/range-digest/src/range.rs
@@ -100,12 +100,12 @@
 }
 
 fn hash_of(key: u64, value: u64) -> u64 {
-    mixed(mixed(key).wrapping_add(value))
+    mix64(mix64(key).wrapping_add(value))
 }
 
 /// A hash of a 64-bit number: the finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014), in which
 /// every bit of the result depends on every bit of the value. It is the same in every process and release.
-pub fn mixed(value: u64) -> u64 {
+pub fn mix64(value: u64) -> u64 {
     let mut bits = value.wrapping_add(0x9E37_79B9_7F4A_7C15);
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
--- a/crates/routing/src/affinity.rs
+++ b/crates/routing/src/affinity.rs
@@ -2,7 +2,7 @@
 //! exchanging messages.
 
 use crate::interface::RequestShape;
-use range_digest::mixed;
+use range_digest::mix64;
 use std::cmp::Reverse;
 
 /// A block of a prompt, identified by its prefix: two are equal only if all blocks before them are equal too.
@@ -31,7 +31,7 @@
         let mut hash = hash_of(request.model.as_bytes());
         let mut chain = Vec::with_capacity(request.blocks.len());
         for block in &request.blocks {
-            hash = mixed(hash ^ mixed(block.id));
+            hash = mix64(hash ^ mix64(block.id));
             chain.push(ChainBlock { hash, tokens: f64::from(block.tokens) });
         }
         let shared = chain.len().saturating_sub(1);
@@ -49,13 +49,13 @@
 
 /// Hashes bytes to the same value in every process.
 pub fn hash_of(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xCBF2_9CE4_8422_2325, |hash, byte| mixed(hash ^ u64::from(*byte)))
+    bytes.iter().fold(0xCBF2_9CE4_8422_2325, |hash, byte| mix64(hash ^ u64::from(*byte)))
 }
 
 /// The rendezvous score of a backend for a key; the backend with the highest one is ranked first. `weight` is
 /// below 1 while the backend is in slow start.
 pub fn rendezvous_score(key: u64, backend: u64, weight: f64) -> u64 {
-    let score = mixed(key ^ backend);
+    let score = mix64(key ^ backend);
     if weight >= 1.0 {
         return score;
     }
