--- a/crates/range-digest/tests/walks.rs
+++ b/crates/range-digest/tests/walks.rs
@@ -51,7 +51,11 @@
 
 quickcheck! {
     /// For any two sets, the walk finds exactly the differences.
-    fn a_walk_finds_exactly_what_differs(own: BTreeMap<u64, u64>, other: BTreeMap<u64, u64>, near: bool) -> bool {
+    fn a_walk_finds_exactly_what_differs(
+        own: BTreeMap<u64, u64>,
+        other: BTreeMap<u64, u64>,
+        near: bool
+    ) -> bool {
         // Keys that are close to each other differ only in small ranges.
         let place = |number: u64| if near { number >> 50 } else { number };
         let own: BTreeMap<u64, u64> = own.into_iter().map(|(key, value)| (place(key), value)).collect();
--- a/crates/replication/tests/disks.rs
+++ b/crates/replication/tests/disks.rs
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn members_rejoin_the_chain_once_their_disks_are_quick_again() {
+fn members_rejoin_the_chain_once_their_disks_are_fast_again() {
     for seed in seeds(10) {
         let took = time_until_all_rejoined(seed, None);
         assert!(took.is_some_and(|took| took <= ms(4_000)), "seed {seed}: {took:?}");
--- a/crates/replication/tests/losses.rs
+++ b/crates/replication/tests/losses.rs
@@ -50,7 +50,7 @@
 /// `SEEDS=200 cargo test --release -p replication --test losses -- --ignored --nocapture`
 #[test]
 #[ignore = "prints figures"]
-fn median_and_worst_time_without_changes_after_each_kind_of_loss() {
+fn median_and_worst_time_without_changes_after_each_kind_of_failure() {
     println!("| loss | median ms | worst ms |\n|---|---|---|");
     for failure in Failure::ALL {
         let outages = seeds(200).map(|seed| {
--- a/crates/replication/tests/planted_faults.rs
+++ b/crates/replication/tests/planted_faults.rs
@@ -49,7 +49,8 @@
         $(
             #[test]
             fn $test() {
-                let (seed, violation) = detected_in_overlaps(Fault::$fault, $first).expect("the fault violates an invariant");
+                let found = detected_in_overlaps(Fault::$fault, $first);
+                let (seed, violation) = found.expect("the fault violates an invariant");
                 println!("{:?}: seed {seed}: {violation}", Fault::$fault);
             }
         )*
@@ -71,7 +72,8 @@
         $(
             #[test]
             fn $test() {
-                let (seed, violation) = detected(Fault::$fault, $first).expect("the fault violates an invariant");
+                let found = detected(Fault::$fault, $first);
+                let (seed, violation) = found.expect("the fault violates an invariant");
                 println!("{:?}: seed {seed}: {violation}", Fault::$fault);
             }
         )*
--- a/crates/replication/tests/same_change_again.rs
+++ b/crates/replication/tests/retried_changes.rs
@@ -17,7 +17,7 @@
     HeadWiped,
     TailReplaced,
     OtherChanges,
-    RivalRejected,
+    ConflictingChangeRejected,
 }
 
 const BETWEEN: [Between; 7] = [
@@ -27,7 +27,7 @@
     Between::HeadWiped,
     Between::TailReplaced,
     Between::OtherChanges,
-    Between::RivalRejected,
+    Between::ConflictingChangeRejected,
 ];
 
 fn world(seed: u64, history_length: usize, fault: Option<Fault>) -> World {
@@ -41,9 +41,9 @@
 fn send(world: &mut World, machine: usize, change: Change) -> Option<bool> {
     let (acknowledged, rejected) = (world.checker.acknowledged, world.checker.rejections);
     world.write(machine, change);
-    let is_clear =
+    let is_definite =
         |world: &World| world.checker.acknowledged > acknowledged || world.checker.rejections > rejected;
-    world.run_until_holds(ms(6_000), is_clear)?;
+    world.run_until_holds(ms(6_000), is_definite)?;
     Some(world.checker.acknowledged > acknowledged)
 }
 
@@ -71,7 +71,7 @@
                 );
             }
         }
-        Between::RivalRejected => {
+        Between::ConflictingChangeRejected => {
             assert_eq!(
                 send(world, tail, change(0, 5, 99, 20)),
                 Some(false),
@@ -84,14 +84,14 @@
 #[test]
 fn a_retried_change_is_recognized_at_every_member_whatever_has_happened() {
     for between in BETWEEN {
-        for again in 0..3 {
-            let mut world = world(again as u64 + 1, replication::DEFAULT_HISTORY_LENGTH, None);
+        for retried_at in 0..3 {
+            let mut world = world(retried_at as u64 + 1, replication::DEFAULT_HISTORY_LENGTH, None);
             let sent = change(0, 5, 5, 20);
             assert_eq!(send(&mut world, 1, sent.clone()), Some(true));
             apply(&mut world, between);
             world.run_for(ms(1_500));
             let running = world.running();
-            let machine = running[again % running.len()];
+            let machine = running[retried_at % running.len()];
             assert_eq!(send(&mut world, machine, sent), Some(true), "{between:?}, retried at {machine}");
             assert_eq!(
                 send(&mut world, machine, change(0, 5, 77, 20)),
--- a/crates/replication/tests/schedules.rs
+++ b/crates/replication/tests/schedules.rs
@@ -29,7 +29,7 @@
 /// nobody else has. It may discard that entry only inside the chain, so it must be allowed to join although
 /// its register differs.
 #[test]
-fn a_member_that_differs_joins_a_chain_that_has_lost_a_disk() {
+fn a_member_whose_register_differs_joins_a_chain_that_has_lost_a_disk() {
     for seed in [200_088, 201_267, 203_238, 203_898, 204_387] {
         run_seeds(draw_overlaps, seed..seed + 1);
     }
