--- a/crates/coordinator/src/operator_api.rs
+++ b/crates/coordinator/src/operator_api.rs
@@ -154,7 +154,8 @@
     if has_quorum_contact { REPLICA_TIMEOUT } else { REPLICA_TIMEOUT_WITHOUT_QUORUM }
 }
 
-/// The generation on which a configuration is based: none if there is no header, `None` if it is invalid.
+/// The generation on which a configuration is based: [`Generation::NONE`] if the header is absent. `None` if
+/// the header is invalid.
 fn base_generation(headers: &HeaderMap) -> Option<Generation> {
     match headers.get(BASE_HEADER) {
         None => Some(Generation::NONE),
--- a/crates/coordinator/src/quotas.rs
+++ b/crates/coordinator/src/quotas.rs
@@ -42,7 +42,7 @@
 
     /// Applies a change of this member's role: starts an allocator when it becomes the acting head, and drops
     /// it when it no longer is. `number_offset` has to be higher for each new allocator; otherwise nodes
-    /// reject its responses until its numbers exceed those of the allocator before.
+    /// reject its responses for a while.
     pub fn set_role_status(&self, role: RoleStatus, now: Duration, number_offset: u64) {
         let mut state = self.state();
         if !role.acting_head {
