--- a/crates/coordinator/tests/golden_frames.rs
+++ b/crates/coordinator/tests/golden_frames.rs
@@ -48,7 +48,7 @@
         },
         variants: &["Peer", "Hello"],
     }
-    .hold();
+    .assert_match_golden();
     // An agent's first frame is declared in two types: both encode it in the same bytes, and each decodes it.
     let mut agents = 0;
     for ((_, message), approved) in first_frames().into_iter().zip(frames::read(FIRST_FRAMES)) {
@@ -134,5 +134,5 @@
         },
         variants: &["Replica", "Backends", "BackendsWanted", "Leaving"],
     }
-    .hold();
+    .assert_match_golden();
 }
