--- a/crates/standalone-proxy/src/decision_loop/admission_gate.rs
+++ b/crates/standalone-proxy/src/decision_loop/admission_gate.rs
@@ -99,7 +99,7 @@
         for (server, change) in self.gate.take_limit_changes() {
             debug!(
                 "limit of {server:?}: {:.1} to {:.1} ({:?}; latency {:.2} times the usual, {:.0} answers a second)",
-                change.from, change.to, change.cause, change.ratio, change.rate
+                change.from, change.to, change.cause, change.latency_ratio, change.responses_per_s
             );
         }
         let capacities = self.gate.take_capacity_updates().into_iter();
@@ -111,7 +111,7 @@
             })
             .collect();
         let no_retries = self.retry_storm.borrow_mut().is_exceeded(now);
-        let restrictions = AttemptRestrictions { no_retries, ..self.gate.restraint() };
+        let restrictions = AttemptRestrictions { no_retries, ..self.gate.attempt_restrictions() };
         if restrictions != self.notified_restrictions {
             self.notified_restrictions = restrictions;
             events.push(Event::Restrict(restrictions));
