--- a/crates/data-plane/src/client_connection.rs
+++ b/crates/data-plane/src/client_connection.rs
@@ -65,7 +65,9 @@
                     closed_while_idle = connection.idle_since.get().is_some();
                     std::pin::Pin::new(&mut served).graceful_shutdown();
                 },
-                () = connection.abort_requested.notified() => return log::debug!("client connection timed out"),
+                () = connection.abort_requested.notified() => {
+                    return log::debug!("client connection timed out");
+                }
             }
         }
     }
--- a/crates/data-plane/tests/event_stream.rs
+++ b/crates/data-plane/tests/event_stream.rs
@@ -36,7 +36,9 @@
 }
 
 quickcheck! {
-    fn complete_events_are_returned_in_order_and_a_partial_one_is_buffered(kinds: Vec<u8>, cut: usize, chunk_size: usize) -> TestResult {
+    fn complete_events_are_returned_in_order_and_a_partial_one_is_buffered(
+        kinds: Vec<u8>, cut: usize, chunk_size: usize
+    ) -> TestResult {
         let (text, events) = stream(&kinds);
         if text.is_empty() {
             return TestResult::discard();
@@ -64,7 +66,8 @@
         let (text, events) = stream(&kinds);
         let after = after % 20;
         let is_later = |id: &Option<u64>| id.is_none_or(|id| id > after);
-        let expected: String = events.iter().filter(|(id, _)| is_later(id)).map(|(_, event)| event.as_str()).collect();
+        let later = events.iter().filter(|(id, _)| is_later(id));
+        let expected: String = later.map(|(_, event)| event.as_str()).collect();
         let mut splitter = EventSplitter::resuming_after(after.to_string());
         push_in_chunks(&mut splitter, text.as_bytes(), chunk_size % 17) == expected.as_bytes()
     }
--- a/crates/data-plane/tests/retries.rs
+++ b/crates/data-plane/tests/retries.rs
@@ -21,8 +21,8 @@
         TwoBackends { plane, backends }
     }
 
-    /// Sends a request, which is read at either backend. Returns the client, the connection to that backend, and
-    /// the other backend.
+    /// Sends a request, which is read at either backend. Returns the client, the connection to that backend,
+    /// and the other backend.
     fn send(&self, line: &str) -> (Peer, Peer, &Listener) {
         let mut client = self.plane.client();
         client.write(request(line, "r-1", "", "x"));
@@ -283,8 +283,8 @@
             let Some(peer) = peers.iter_mut().find(|peer| peer.has_more()) else { continue };
             peer.read();
             arrivals += 1;
-            // The first attempt of each request fails and the retry is served. Backends that rejected requests would
-            // not be selected any more.
+            // The first attempt of each request fails and the retry is served. Backends that rejected
+            // requests would not be selected any more.
             let reply = if is_first {
                 response("500 Internal Server Error", "r-1", "", "")
             } else {
--- a/crates/data-plane/tests/updates.rs
+++ b/crates/data-plane/tests/updates.rs
@@ -1,5 +1,5 @@
-//! Changes while requests are in flight: of the list of backends, of the configuration, and the shutdown of the data
-//! plane.
+//! Changes while requests are in flight: of the list of backends, of the configuration, and the shutdown of
+//! the data plane.
 
 mod harness;
 
--- a/crates/quota/src/tenant_limits.rs
+++ b/crates/quota/src/tenant_limits.rs
@@ -213,8 +213,8 @@
     }
 
     /// Applies a response of the quota leader. Ignored are duplicates, responses to expired requests and
-    /// responses of an earlier epoch. After [`FALLBACK_DURATION`] without contact, a response of any epoch is
-    /// applied, since epochs start again where the coordinators were set up anew.
+    /// responses of an earlier epoch. Once the node no longer uses its fallback rates, a response of any
+    /// epoch is applied, since epochs start again if the coordinators are set up from scratch.
     pub fn apply_response(&mut self, now: Duration, response: &QuotaResponse) {
         self.remove_expired_requests(now);
         let is_isolated =
--- a/crates/quota/tests/limits.rs
+++ b/crates/quota/tests/limits.rs
@@ -101,8 +101,8 @@
                 (large(&fleet.counts.admitted), large(&fleet.counts.rejected));
             let large_served = large_admitted as f64 / (large_admitted + large_rejected) as f64;
             println!(
-                "rate {rate}, seed {seed}: {part:.3} of the limit used, {served:.3} of all requests admitted, \
-                 {large_served:.3} of the large ones"
+                "rate {rate}, seed {seed}: {part:.3} of the limit used, {served:.3} of all requests \
+                 admitted, {large_served:.3} of the large ones"
             );
             assert!(part > 0.95, "rate {rate}, seed {seed}: only {part} of the limit is used");
             assert!(fleet.worst_window() <= bound(rate, Unit::Tokens));
--- a/crates/routing/src/service/attempt_events.rs
+++ b/crates/routing/src/service/attempt_events.rs
@@ -73,7 +73,8 @@
             Outcome::Rejected => {
                 rejection::record_rejection(&mut self.backends[position], now);
                 self.backends[position].last_received = Some(now);
-                self.record_success(position, in_flight.is_trial); // A backend that rejects requests responds.
+                // A backend that rejects requests is healthy, as it responds.
+                self.record_success(position, in_flight.is_trial);
             }
             Outcome::Cancelled if in_flight.is_trial => self.backends[position].health.cancel_trial(),
             Outcome::Cancelled => {}
--- a/crates/routing/tests/estimates.rs
+++ b/crates/routing/tests/estimates.rs
@@ -17,7 +17,9 @@
 ];
 
 quickcheck! {
-    fn the_backend_with_the_lowest_estimate_below_m_is_selected_and_its_estimate_rises_by_one(seed: u64, steps: Vec<(u8, bool)>) -> bool {
+    fn the_backend_with_the_lowest_estimate_below_m_is_selected_and_its_estimate_rises_by_one(
+        seed: u64, steps: Vec<(u8, bool)>
+    ) -> bool {
         let mut service = plain_service(6, 1, seed);
         let mut in_flight = Vec::new();
         let mut now = ms(0);
--- a/crates/routing/tests/health.rs
+++ b/crates/routing/tests/health.rs
@@ -31,7 +31,8 @@
                 service.replace_backends(now, entries(count));
             }
             if let Decision::Forward { attempt, .. } = service.decide(now, &request(), &[]) {
-                service.attempt_ended(now + ms(3), attempt, OUTCOMES[usize::from(step) % OUTCOMES.len()], None);
+                let outcome = OUTCOMES[usize::from(step) % OUTCOMES.len()];
+                service.attempt_ended(now + ms(3), attempt, outcome, None);
             }
             if 2 * service.ejected().count() > count {
                 return false;
@@ -40,7 +41,9 @@
         true
     }
 
-    fn a_request_is_rejected_only_if_all_backends_recently_rejected_requests_or_are_ejected(seed: u64, steps: Vec<(u8, u16)>) -> bool {
+    fn a_request_is_rejected_only_if_all_backends_recently_rejected_requests_or_are_ejected(
+        seed: u64, steps: Vec<(u8, u16)>
+    ) -> bool {
         let mut service = plain_service(5, 4, seed);
         let mut now = ms(0);
         let mut rejected_at = std::collections::BTreeMap::new();
