--- a/crates/data-plane/tests/interrupted_exchanges.rs
+++ b/crates/data-plane/tests/interrupted_exchanges.rs
@@ -180,8 +180,8 @@
     }
 }
 
-/// The backend responds before it has read the complete body, and keeps the connection open. It may receive the
-/// rest of that body on it, but no other request, whose head it would take for a part of the body.
+/// The backend responds before it has read the complete body, and keeps the connection open. It may receive
+/// the rest of that body on it, but no other request, whose head it would take for a part of the body.
 #[test]
 fn a_connection_with_a_response_before_the_end_of_the_request_is_not_reused() {
     // More than the system buffers for a connection whose peer does not read.
