--- a/crates/coordinator/tests/golden_operator.rs
+++ b/crates/coordinator/tests/golden_operator.rs
@@ -249,7 +249,7 @@
             &ApiRequest::replace(Some("5"), "generation 7", document(7)),
         )
         .await;
-    compare::hold("interfaces/operator.txt", &operator.transcript);
+    compare::assert_matches_golden("interfaces/operator.txt", &operator.transcript);
 }
 
 /// A document with a route to a service that it does not define.
@@ -270,7 +270,7 @@
     let head = format!("POST {REPLACE} HTTP/1.1\r\nHost: c\r\nTransfer-Encoding: chunked\r\n\r\n");
     let response =
         raw_response(core.machines[0].control, &format!("{head}no number\r\n")).expect("a response");
-    compare::hold("interfaces/operator_unreadable_body.txt", &response);
+    compare::assert_matches_golden("interfaces/operator_unreadable_body.txt", &response);
 }
 
 /// The coordinator runs on the paused clock of the test, so that its time limit for a body passes at once.
@@ -302,7 +302,7 @@
         sender.send(response).expect("the test waits");
     });
     let response = received.await.expect("the client has a response");
-    compare::hold("interfaces/operator_late_body.txt", &response);
+    compare::assert_matches_golden("interfaces/operator_late_body.txt", &response);
 }
 
 /// Sends a text on a new connection and reads the response up to its content length; `None` if there is none.
@@ -460,7 +460,7 @@
 fn a_status_in_json_survives_a_round_trip() {
     for (name, status) in [("full", full_status()), ("least", minimal_status())] {
         let file = format!("interfaces/status_{name}.json");
-        compare::hold(&file, &to_pretty_json(&status));
+        compare::assert_matches_golden(&file, &to_pretty_json(&status));
         let approved = compare::read(&file);
         let read: CoordinatorStatus = serde_json::from_str(&approved).expect("a status");
         assert_eq!(to_pretty_json(&read), approved);
@@ -539,7 +539,7 @@
         states.extend(looked_at.map(|shown| format!("{}: {}\n", shown.instance_id, shown.state)));
         agent.until(|message| (message == ToAgent::Heartbeat).then_some(())).await;
     }
-    compare::hold("interfaces/index_states.txt", &Vec::from_iter(states).concat());
+    compare::assert_matches_golden("interfaces/index_states.txt", &Vec::from_iter(states).concat());
     let (full, found) = (paths_of(&to_pretty_json(&full_status())), paths_of(&status));
     let names = |paths: &BTreeSet<(String, &str)>| -> BTreeSet<String> {
         paths.iter().map(|(path, _)| path.clone()).collect()
--- a/crates/coordinator/tests/golden_platform_list.rs
+++ b/crates/coordinator/tests/golden_platform_list.rs
@@ -20,7 +20,7 @@
     for name in PAGES {
         let text = compare::read(&format!("interfaces/platform/{name}.json"));
         let page = parse_page(text.as_bytes()).expect("a page");
-        compare::hold(&format!("interfaces/platform/{name}.read.txt"), &describe(&page));
+        compare::assert_matches_golden(&format!("interfaces/platform/{name}.read.txt"), &describe(&page));
     }
 }
 
--- a/crates/quota/src/probabilistic_rejection.rs
+++ b/crates/quota/src/probabilistic_rejection.rs
@@ -4,7 +4,7 @@
 //! few requests of the tenant admit all of them, and busy nodes admit few. With it, quota is demanded for
 //! each request with the same probability, whichever node it arrives at.
 
-use range_digest::mixed;
+use range_digest::mix64;
 use std::time::Duration;
 
 /// The time after which a reported pressure expires, as the tenant may have stopped sending.
@@ -36,7 +36,7 @@
             return true;
         }
         self.draws += 1;
-        let drawn = mixed(mixed(now.as_nanos() as u64) ^ cost.to_bits() ^ mixed(self.draws));
+        let drawn = mix64(mix64(now.as_nanos() as u64) ^ cost.to_bits() ^ mix64(self.draws));
         (drawn as f64 / u64::MAX as f64) * pressure < 1.0
     }
 
