--- a/crates/golden-files/src/difference.rs
+++ b/crates/golden-files/src/difference.rs
@@ -1,6 +1,7 @@
-//! The first difference of two texts.
+//! Finds the first difference of two texts.
 
-/// Where two texts differ first, with the lines of both at that place. `None` if they are the same.
+/// Describes the first difference of two texts: its byte offset, line and column, and the line of either
+/// text. `None` if the texts are equal.
 pub fn first_difference(golden: &str, text: &str) -> Option<String> {
     let byte = golden.bytes().zip(text.bytes()).position(|(one, other)| one != other);
     let byte = byte.or((golden.len() != text.len()).then(|| golden.len().min(text.len())))?;
@@ -12,7 +13,7 @@
     Some(format!("byte {byte}, line {line_number}, column {column}\n golden: {golden}\n    now: {text}"))
 }
 
-/// The line of this index, quoted.
+/// The quoted line at an index, or a note that the text has fewer lines.
 fn shown_line(text: &str, index: usize) -> String {
     text.lines().nth(index).map_or("the end of the text".into(), |line| format!("{line:?}"))
 }
--- a/crates/golden-files/src/text.rs
+++ b/crates/golden-files/src/text.rs
@@ -1,7 +1,7 @@
-//! What is done to texts before they are held against golden files.
+//! Helpers that prepare texts for the comparison with golden files.
 
-/// Whether an error text shows the name of a Rust type, as serde's do where a whole table is expected. Such texts are kept
-/// in golden files of their own, so that a rename of a type is seen there and nowhere else.
+/// Whether an error text contains the name of a Rust type, as those of serde do where a struct or enum is
+/// expected. Tests keep such texts in separate golden files, so that renaming a type changes no others.
 pub fn shows_a_type(text: &str) -> bool {
     ["struct ", "enum "].iter().any(|word| {
         let mut rest = text.split(word).skip(1);
@@ -9,8 +9,9 @@
     })
 }
 
-/// With every figure that has a point rounded to twelve digits. Further ones differ with the packages that are built together:
-/// the crate `num-traits` takes mathematical functions from the system with its feature `std` and from `libm` without it.
+/// Rounds every decimal number in a text to twelve significant digits. Further digits depend on which
+/// packages are built together: `num-traits` uses the mathematical functions of the system with its feature
+/// `std`, and those of `libm` without it. Numbers without a decimal point are not changed.
 pub fn to_twelve_digits(text: &str) -> String {
     let mut out = String::new();
     let mut rest = text;
@@ -21,12 +22,12 @@
         if let Some(exponent) = from[end..].strip_prefix("e-").filter(|_| from[..end].contains('.')) {
             end += 2 + exponent.find(|c: char| !c.is_ascii_digit()).unwrap_or(exponent.len());
         }
-        let (word, behind) = from.split_at(end);
-        let rounded = word.parse::<f64>().ok().filter(|_| word.contains('.'));
+        let (number, after) = from.split_at(end);
+        let rounded = number.parse::<f64>().ok().filter(|_| number.contains('.'));
         let rounded = rounded.and_then(|figure| format!("{figure:.11e}").parse::<f64>().ok());
         out += before;
-        out += &rounded.map_or(word.to_string(), |figure| format!("{figure:?}"));
-        rest = behind;
+        out += &rounded.map_or(number.to_string(), |figure| format!("{figure:?}"));
+        rest = after;
     }
     out + rest
 }
