--- a/crates/test-peers/src/closed_port.rs
+++ b/crates/test-peers/src/closed_port.rs
@@ -1,9 +1,10 @@
-//! A port at which nobody listens.
+//! A port that refuses connections.
 
 use socket2::{Domain, Socket, Type};
 use std::net::{SocketAddr, SocketAddrV4};
 
-/// A port of loopback that refuses connections until this is dropped. It stays bound, so that no other test listens at it.
+/// A port of loopback that refuses connections until this is dropped. It is bound without listening, so that
+/// no other test can listen at it.
 pub struct ClosedPort(Socket);
 
 impl Default for ClosedPort {
@@ -18,13 +19,13 @@
         ClosedPort(bound_socket())
     }
 
-    /// Its address.
+    /// The address of the port.
     pub fn address(&self) -> SocketAddrV4 {
         self.0.local_addr().expect("bound").as_socket_ipv4().expect("IPv4")
     }
 }
 
-/// A socket at a free port of loopback that does not listen.
+/// A socket that is bound to a free port of loopback and does not listen.
 pub(crate) fn bound_socket() -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
--- a/crates/test-peers/src/lib.rs
+++ b/crates/test-peers/src/lib.rs
@@ -1,11 +1,12 @@
-//! Peers of a test on loopback, one blocking call at a time: clients, backends and listening sockets that send and expect
-//! exact bytes. What does not come within [`PEER_TIMEOUT`] fails the test; nothing else depends on time.
+//! Blocking test peers on loopback: clients, backends and listening sockets that send and expect exact bytes.
+//! Waiting longer than [`PEER_TIMEOUT`] fails the test; nothing else depends on time.
 //!
 //! # Panics
-//! All functions panic where the system or the other side does not do what the test needs: that is how a test fails.
+//! All functions panic if a system call fails or the other side does not do what the test expects, which
+//! fails the test.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-#![expect(clippy::expect_used, reason = "a test fails by a panic where a peer can't do its part")]
+#![expect(clippy::expect_used, reason = "a panic fails the test that uses the peer")]
 
 mod closed_port;
 mod listener;
@@ -19,5 +20,5 @@
 
 use std::time::Duration;
 
-/// How long a peer waits for what has to come.
+/// How long a peer waits for an expected connection or for expected bytes.
 pub const PEER_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/test-peers/src/listener.rs
+++ b/crates/test-peers/src/listener.rs
@@ -6,11 +6,11 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The time between two looks for a connection or a request.
+/// The interval at which connections and requests are polled for.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// A connect that takes longer finds the backlog full.
+/// A connect that takes longer shows that the backlog is full.
 const FULL_AFTER: Duration = Duration::from_millis(200);
-/// A backlog of 0 is full before so many connections.
+/// The number of connections before which a backlog of 0 is full.
 const MAX_BACKLOG: usize = 8;
 
 /// A listening socket of a backend or of discovery, at a free port of loopback.
@@ -23,13 +23,13 @@
 }
 
 impl Listener {
-    /// Listens at a free port.
+    /// Listens at a free port of loopback.
     pub fn new() -> Self {
         Listener(TcpListener::bind("127.0.0.1:0").expect("a port"))
     }
 
-    /// One whose backlog is full, with the connections that fill it: the system accepts no more until one of them is accepted,
-    /// and retransmits the connects of others a second later.
+    /// A listener with a full backlog, and the connections that fill it. Until one of them is accepted, the
+    /// system leaves other connects pending and retransmits them a second later.
     pub fn full() -> (Self, Vec<TcpStream>) {
         let socket = bound_socket();
         socket.listen(0).expect("a backlog");
@@ -37,11 +37,11 @@
         let full: Vec<_> = (0..MAX_BACKLOG)
             .map_while(|_| TcpStream::connect_timeout(&listener.address(), FULL_AFTER).ok())
             .collect();
-        assert!(full.len() < MAX_BACKLOG, "its backlog is never full");
+        assert!(full.len() < MAX_BACKLOG, "the backlog takes at least {MAX_BACKLOG} connections");
         (listener, full)
     }
 
-    /// Its address.
+    /// The address that it listens at.
     pub fn address(&self) -> SocketAddr {
         self.0.local_addr().expect("an address")
     }
@@ -51,7 +51,8 @@
         Listener::accept_any(&[self]).1
     }
 
-    /// Accepts the node's request for a watch, and sends on it that nothing has changed.
+    /// Accepts a connection, reads the watch request on it, and sends the start of the response with an empty
+    /// line, which means that nothing has changed.
     pub fn open_watch(&self) -> Peer {
         let mut watch = self.accept();
         watch.read();
@@ -60,7 +61,7 @@
         watch
     }
 
-    /// Accepts a connection if one is pending.
+    /// Accepts a connection if one is pending; `None` otherwise.
     pub fn try_accept(&self) -> Option<Peer> {
         self.0.set_nonblocking(true).expect("a socket");
         let (stream, _) = self.0.accept().ok()?;
@@ -68,13 +69,14 @@
         Some(Peer::new(stream))
     }
 
-    /// Accepts a connection, without a time-out.
+    /// Accepts a connection, and waits for it without a time-out.
     pub fn accept_without_timeout(&self) -> Peer {
         self.0.set_nonblocking(false).expect("a socket");
         Peer::new(self.0.accept().expect("a connection").0)
     }
 
-    /// Accepts a connection at any of these listeners within [`PEER_TIMEOUT`]. Returns the index of the listener too.
+    /// Accepts a connection at any of these listeners within [`PEER_TIMEOUT`]. Returns the index of its
+    /// listener, too.
     pub fn accept_any(listeners: &[&Listener]) -> (usize, Peer) {
         let start = Instant::now();
         listeners.iter().for_each(|listener| listener.0.set_nonblocking(true).expect("a socket"));
@@ -85,25 +87,26 @@
                     return (index, Peer::new(stream));
                 }
             }
-            assert!(start.elapsed() < PEER_TIMEOUT, "nobody connects");
+            assert!(start.elapsed() < PEER_TIMEOUT, "no connection within {PEER_TIMEOUT:?}");
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Reads a request from one of these open connections or a new one, within [`PEER_TIMEOUT`]. The connection of the request
-    /// is removed from them and returned; new connections without a request are added.
+    /// Reads a request from one of the open connections in `peers` or from a new connection, within
+    /// [`PEER_TIMEOUT`]. The connection of the request is removed from `peers` and returned; new connections
+    /// without a request are added.
     pub fn next_request(&self, peers: &mut Vec<Peer>) -> Peer {
         self.next_message(peers).1
     }
 
-    /// The same, where the request must have this start line.
+    /// Like [`Listener::next_request`], and checks the start line of the request.
     pub fn next_request_of(&self, peers: &mut Vec<Peer>, start_line: &str) -> Peer {
         let (message, peer) = self.next_message(peers);
         assert_eq!(message.first, start_line);
         peer
     }
 
-    /// The same, with the request.
+    /// Like [`Listener::next_request`], and returns the request, too.
     pub fn next_message(&self, peers: &mut Vec<Peer>) -> (Message, Peer) {
         let start = Instant::now();
         self.0.set_nonblocking(true).expect("a socket");
@@ -116,7 +119,7 @@
                 let mut peer = peers.swap_remove(index);
                 return (peer.read(), peer);
             }
-            assert!(start.elapsed() < PEER_TIMEOUT, "nobody asks");
+            assert!(start.elapsed() < PEER_TIMEOUT, "no request within {PEER_TIMEOUT:?}");
             std::thread::sleep(POLL_INTERVAL);
         }
     }
--- a/crates/test-peers/src/message.rs
+++ b/crates/test-peers/src/message.rs
@@ -7,12 +7,12 @@
     pub first: String,
     /// The header fields as `name: value`, the names in lower case.
     pub headers: Vec<String>,
-    /// The body, without framing.
+    /// The body, without chunked framing.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// The value of a header field, by its name in lower case.
+    /// The value of the first header field with this name, which is given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
--- a/crates/test-peers/src/peer.rs
+++ b/crates/test-peers/src/peer.rs
@@ -1,4 +1,4 @@
-//! One end of a connection: what a client, a backend or discovery sends and reads.
+//! One end of a connection, with the operations of a client, a backend and a discovery server.
 
 use crate::{Message, PEER_TIMEOUT};
 use std::io::{ErrorKind, Read, Write};
@@ -7,7 +7,7 @@
 
 /// One end of a connection.
 pub struct Peer {
-    /// The socket.
+    /// The stream of the connection.
     pub stream: TcpStream,
 }
 
@@ -17,7 +17,7 @@
         Peer::new(TcpStream::connect(address).expect("it accepts"))
     }
 
-    /// Whether bytes have come that are not read yet.
+    /// Whether received bytes are waiting to be read.
     pub fn has_more(&self) -> bool {
         self.stream.set_nonblocking(true).expect("a socket");
         let more = self.stream.peek(&mut [0]).is_ok_and(|count| count > 0);
@@ -36,8 +36,9 @@
         self.stream.write_all(text.as_ref()).expect("written");
     }
 
-    /// Sends a request of a class with a body and further header lines, each with its end. Its id is new, unless there is one
-    /// in `headers`. The class `look` is a `GET` without a body; `submit` has an idempotency key.
+    /// Sends a request of a class with a body. `headers` are additional header lines, each with its line
+    /// break. The request id is unique, unless `headers` contains one. The class `look` is a `GET` without a
+    /// body; `submit` has an idempotency key.
     pub fn request(&mut self, class: &str, headers: &str, body: &str) {
         let method = if class == "look" { "GET" } else { "POST" };
         let key = if class == "submit" { "Idempotency-Key: 5c0f\r\n" } else { "" };
@@ -55,7 +56,8 @@
         ));
     }
 
-    /// Sends a `GET` of a class and reads the response; `None` if the connection was closed meanwhile.
+    /// Sends a `GET` of a class and reads the response; `None` if the connection ends before the end of its
+    /// head.
     pub fn try_request(&mut self, class: &str) -> Option<Message> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let id = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -66,7 +68,8 @@
         self.try_read()
     }
 
-    /// Sends a response with a status (code and reason), further header lines, each with its end, and a body.
+    /// Sends a response with a status (code and reason) and a body. `headers` are additional header lines,
+    /// each with its line break.
     pub fn answer(&mut self, status: &str, headers: &str, body: &str) {
         self.write(format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len()));
     }
@@ -76,7 +79,7 @@
         self.try_read().expect("a message")
     }
 
-    /// The same; `None` if the connection ends before the end of the head.
+    /// Like [`Peer::read`]; `None` if the connection ends before the end of the head.
     pub fn try_read(&mut self) -> Option<Message> {
         let head = String::from_utf8(self.read_head()?).expect("a text");
         let mut lines = head.lines();
@@ -100,15 +103,15 @@
                 Ok(0) => return None,
                 Ok(_) => head.push(byte[0]),
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => return None,
-                // A test that was itself stopped and goes on, as a machine that was suspended does.
+                // The test process was stopped and continued, or the machine was suspended.
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) => panic!("no message: {error}"),
+                Err(error) => panic!("no message could be read: {error}"),
             }
         }
         Some(head)
     }
 
-    /// Reads chunks up to the last one, and appends what they hold.
+    /// Reads chunks up to the last one, and appends their contents to a body.
     fn read_chunks(&mut self, body: &mut Vec<u8>) {
         let mut byte = [0];
         loop {
@@ -128,37 +131,38 @@
         }
     }
 
-    /// Reads until the connection ends. Returns the bytes, and whether it ended with an error.
+    /// Reads until the connection ends. Returns the bytes, and whether the connection ended with an error.
     pub fn read_to_end(&mut self) -> (Vec<u8>, bool) {
         let mut bytes = Vec::new();
         let has_failed = self.stream.read_to_end(&mut bytes).is_err();
         (bytes, has_failed)
     }
 
-    /// Waits until the other side has closed. It may send nothing before.
+    /// Waits until the other side has closed the connection, by an end of stream or a reset. Panics if it
+    /// sends bytes.
     pub fn expect_end(&mut self) {
         loop {
             match self.stream.read(&mut [0]) {
                 Ok(0) => return,
                 Err(error) if error.kind() == ErrorKind::ConnectionReset => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                other => panic!("no end: {other:?}"),
+                other => panic!("the connection was not closed: {other:?}"),
             }
         }
     }
 
-    /// Sends the head of the response to a watch.
+    /// Sends the head of the response to a watch request.
     pub fn begin_watch(&mut self) {
         self.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    /// Sends a line of a watch, as a chunk.
+    /// Sends a line of a watch response, as one chunk.
     pub fn line(&mut self, line: &str) {
         self.write(format!("{:x}\r\n{line}\n\r\n", line.len() + 1));
     }
 }
 
-/// A header line with its name in lower case and one space behind the colon.
+/// Normalizes a header line: its name in lower case, and one space after the colon.
 fn lower_case_name(line: &str) -> String {
     let (name, value) = line.split_once(':').unwrap_or((line, ""));
     format!("{}: {}", name.to_lowercase(), value.trim())
