--- a/crates/fault-injection/src/plan_reader.rs
+++ b/crates/fault-injection/src/plan_reader.rs
@@ -46,7 +46,7 @@
         Ok(table) => read_top_level(table.get_ref(), table.span(), &read_file, &mut report),
         Err(e) => {
             let at = e.span().unwrap_or(0..0);
-            push(&mut report, Code::Syntax, at, e.message().to_string(), "write TOML");
+            push(&mut report, Code::InvalidToml, at, e.message().to_string(), "write TOML");
             None
         }
     };
@@ -63,15 +63,16 @@
     report: &mut Report,
 ) -> Option<Plan> {
     let mut top = Section::new(table, at, "the plan");
-    let name = top.need("name", "\"a-node-killed\"", report).and_then(|v| read::name(v, report));
+    let name = top.required("name", "\"a-node-killed\"", report).and_then(|v| read::name(v, report));
     let about = top.get("about").and_then(|v| read::text(v, report)).map_or(String::new(), |t| t.value);
     let length =
-        top.need("length", "\"8s\"", report).and_then(|v| duration(v, ZeroDuration::Rejected, report));
+        top.required("length", "\"8s\"", report).and_then(|v| duration(v, ZeroDuration::Rejected, report));
     let draw = top.get("draw").and_then(|v| read::count(v, (1, MAX_FAULTS as u64), report));
-    let nodes = top.need("nodes", "{ count = 2 }", report).and_then(|v| read::table(v, "nodes", report));
+    let nodes = top.required("nodes", "{ count = 2 }", report).and_then(|v| read::table(v, "nodes", report));
     let (count, node_kind) =
         nodes.map_or((1, NodeKind::Platform), |section| read_nodes(section, read_file, report));
-    let backends = top.need("boxes", "{ count = 3 }", report).and_then(|v| read::table(v, "boxes", report));
+    let backends =
+        top.required("boxes", "{ count = 3 }", report).and_then(|v| read::table(v, "boxes", report));
     let backends = backends.map(|section| read_backends(section, report));
     let clients = read::tables(top.get("clients"), "clients", report);
     let clients: Vec<_> = clients.into_iter().filter_map(|section| read_clients(section, report)).collect();
@@ -92,7 +93,7 @@
         && draw.value as usize > fault_count
     {
         let what = format!("{} faults are to be drawn, and there are {fault_count}", draw.value);
-        push(report, Code::NumberRange, draw.span.clone(), what, "draw fewer, or add faults");
+        push(report, Code::NumberOutOfRange, draw.span.clone(), what, "draw fewer, or add faults");
     }
     top.finish(report);
     Some(Plan {
@@ -114,7 +115,7 @@
     read_file: &impl Fn(&str) -> Result<String, E>,
     report: &mut Report,
 ) -> (usize, NodeKind) {
-    let count = section.need("count", "2", report).and_then(|v| read::count(v, (1, MAX_NODES), report));
+    let count = section.required("count", "2", report).and_then(|v| read::count(v, (1, MAX_NODES), report));
     let is_platform = or_default(section.get("kind"), false, |v| {
         Some(read::choice(v, &[("file", false), ("platform", true)], report)?.value)
     });
@@ -123,7 +124,7 @@
         (true, Some(file)) => {
             let what = "a node of the platform has no operator's file".to_string();
             let help = "leave `file` out, or write `kind = \"file\"`";
-            push(report, Code::Choice, file.span, what, help);
+            push(report, Code::InvalidChoice, file.span, what, help);
             NodeKind::Platform
         }
         (true, None) => NodeKind::Platform,
@@ -132,7 +133,7 @@
             Ok(text) => NodeKind::File(text),
             Err(error) => {
                 let help = "name a file, as seen from the plan's folder";
-                push(report, Code::NotAFile, file.span, error.to_string(), help);
+                push(report, Code::UnreadableFile, file.span, error.to_string(), help);
                 NodeKind::File(String::new())
             }
         },
@@ -142,7 +143,8 @@
 }
 
 fn read_backends(mut section: Section, report: &mut Report) -> BackendGroup {
-    let count = section.need("count", "3", report).and_then(|v| read::count(v, (1, MAX_BACKENDS), report));
+    let count =
+        section.required("count", "3", report).and_then(|v| read::count(v, (1, MAX_BACKENDS), report));
     let sites = section.get("sites").and_then(|v| read::array(v, "names", report)).unwrap_or_default();
     let sites: Vec<_> = sites.into_iter().filter_map(|v| Some(read::name(v, report)?.value)).collect();
     let cores = or_default(section.get("cores"), 4, |v| Some(read::count(v, (1, MAX_CORES), report)?.value));
@@ -181,24 +183,24 @@
 }
 
 fn read_clients(mut section: Section, report: &mut Report) -> Option<ClientGroup> {
-    let class = section.need("class", "\"look\"", report).and_then(|v| read::name(v, report));
+    let class = section.required("class", "\"look\"", report).and_then(|v| read::name(v, report));
     let words = [("safe", Idempotency::Safe), ("keyed", Idempotency::Keyed), ("unsafe", Idempotency::Unsafe)];
     let idempotency = section
-        .need("repeat", "\"safe\"", report)
+        .required("repeat", "\"safe\"", report)
         .and_then(|v| read::choice(v, &words, report))
         .map(|word| word.value);
     let default_method = if idempotency == Some(Idempotency::Safe) { "GET" } else { "POST" };
     let method =
         or_default(section.get("method"), default_method.into(), |v| Some(read::name(v, report)?.value));
-    let path = section.need("path", "\"/tally/{n}\"", report).and_then(|v| read::text(v, report));
+    let path = section.required("path", "\"/tally/{n}\"", report).and_then(|v| read::text(v, report));
     if let Some(path) = &path
         && (!path.value.starts_with('/') || path.value.contains([' ', '\r', '\n']))
     {
         let what = format!("{:?} is no path", path.value);
-        push(report, Code::PathForm, path.span.clone(), what, "write `/`, and no spaces");
+        push(report, Code::InvalidPath, path.span.clone(), what, "write `/`, and no spaces");
     }
     let headers = read_headers(&mut section, report);
-    let rate = section.need("rate", "\"40/s\"", report).and_then(|v| read::rate(v, report));
+    let rate = section.required("rate", "\"40/s\"", report).and_then(|v| read::rate(v, report));
     let timeout = or_default(section.get("patience"), Duration::from_secs(1), |v| {
         duration(v, ZeroDuration::Rejected, report)
     });
@@ -228,7 +230,7 @@
     for (name, value) in table.iter() {
         let Some(text) = read::text(value, report) else { continue };
         if text.value.contains(['\r', '\n']) {
-            push(report, Code::HeaderForm, text.span, "a header of two lines".into(), "write it in one");
+            push(report, Code::InvalidHeader, text.span, "a header of two lines".into(), "write it in one");
         } else {
             headers.push((name.get_ref().to_string(), text.value));
         }
--- a/crates/fault-injection/src/plan_reader/faults.rs
+++ b/crates/fault-injection/src/plan_reader/faults.rs
@@ -98,7 +98,7 @@
     }
     if let (Some(gradually), false) = (&fields.gradually, matches!(word, FaultWord::Link(_))) {
         let help = "leave it out: it says how links heal";
-        push(report, Code::Choice, gradually.span.clone(), "this fault is of no link".into(), help);
+        push(report, Code::InvalidChoice, gradually.span.clone(), "this fault is of no link".into(), help);
     }
     let recovery_time = fields.gradually.map_or(Duration::ZERO, |time| time.value);
     let targets = participants(fields.targets);
@@ -112,8 +112,8 @@
 impl<'t> FaultFields<'t> {
     fn read(mut section: Section<'t>, names: &Names, fault_count: usize, report: &mut Report) -> Self {
         let span = section.span.clone();
-        let word = section.need("do", "\"kill\"", report).and_then(|v| read::choice(v, &WORDS, report));
-        let targets = section.need("of", "[\"node-1\"]", report).and_then(|v| name_list(v, report));
+        let word = section.required("do", "\"kill\"", report).and_then(|v| read::choice(v, &WORDS, report));
+        let targets = section.required("of", "[\"node-1\"]", report).and_then(|v| name_list(v, report));
         let targets = names.resolve_all(targets.unwrap_or_default(), report);
         let at = section.get("at").and_then(|v| duration_range(v, ZeroDuration::Allowed, report));
         let taken = section.get("taken").and_then(|v| read::count(v, (1, MAX_REQUESTS), report));
@@ -163,7 +163,7 @@
                 }
                 _ => {
                     let what = "only a node takes requests".into();
-                    push(report, Code::Choice, by.span.clone(), what, "name a node");
+                    push(report, Code::InvalidChoice, by.span.clone(), what, "name a node");
                     None
                 }
             },
@@ -186,7 +186,7 @@
         let help =
             if word == FaultWord::Leave { "name a box" } else { "name a node, or `clients` for a link" };
         for target in self.targets.iter().filter(|target| !is_possible(&target.participant)) {
-            push(report, Code::Choice, target.span.clone(), "this can't befall it".into(), help);
+            push(report, Code::InvalidChoice, target.span.clone(), "this can't befall it".into(), help);
         }
     }
 
@@ -216,12 +216,12 @@
         for PlacedParticipant { participant, span } in &to {
             if from_clients != is_node(participant) || *participant == Participant::Clients {
                 let help = "clients connect to nodes; nodes to boxes and to discovery";
-                push(report, Code::Choice, span.clone(), "there is no such link".into(), help);
+                push(report, Code::InvalidChoice, span.clone(), "there is no such link".into(), help);
             }
             if *participant == Participant::Discovery && *node_kind != NodeKind::Platform {
                 let help = "write `kind = \"platform\"` for the nodes";
                 let what = "nodes from a file call no discovery".into();
-                push(report, Code::Choice, span.clone(), what, help);
+                push(report, Code::InvalidChoice, span.clone(), what, help);
             }
         }
         let fault = self.link_fault(word, report)?;
--- a/crates/fault-injection/src/plan_reader/names.rs
+++ b/crates/fault-injection/src/plan_reader/names.rs
@@ -40,7 +40,13 @@
             "there are `node-1` to `node-{}`, `box-1` to `box-{}`, `any-node`, `any-box`, `clients`, `discovery`",
             self.nodes, self.backends
         );
-        push(report, Code::Choice, name.span.clone(), format!("nobody is called {:?}", name.value), &help);
+        push(
+            report,
+            Code::InvalidChoice,
+            name.span.clone(),
+            format!("nobody is called {:?}", name.value),
+            &help,
+        );
         None
     }
 
--- a/crates/fault-injection/src/plan_reader/values.rs
+++ b/crates/fault-injection/src/plan_reader/values.rs
@@ -42,7 +42,7 @@
     let (min, max) = (duration(min, zero, report)?, duration(max, zero, report)?);
     if min > max {
         let what = "the second duration is shorter than the first".to_string();
-        push(report, Code::NumberRange, value.span(), what, "write the shorter one first");
+        push(report, Code::NumberOutOfRange, value.span(), what, "write the shorter one first");
         return None;
     }
     Some(DurationRange { min, max })
--- a/crates/fault-injection/tests/golden_plans.rs
+++ b/crates/fault-injection/tests/golden_plans.rs
@@ -207,10 +207,10 @@
 fn read(text: &str) -> Result<Vec<String>, String> {
     plan(text).map(|plan| lines(&plan)).map_err(|faults| {
         let places = Lines::of(text);
-        let said = faults.iter().map(|Diagnostic { code, message, span, also, help }| {
+        let said = faults.iter().map(|Diagnostic { code, message, span, related, help }| {
             let place = places.position(span.start);
-            let also: Vec<_> = also.iter().map(|(_, what)| what).collect();
-            format!("{code} line {} column {}: {message}; {help} {also:?}\n", place.line, place.column)
+            let related: Vec<_> = related.iter().map(|(_, what)| what).collect();
+            format!("{code} line {} column {}: {message}; {help} {related:?}\n", place.line, place.column)
         });
         said.collect()
     })
--- a/crates/fault-injection/tests/plans.rs
+++ b/crates/fault-injection/tests/plans.rs
@@ -44,15 +44,15 @@
     let found: Vec<_> =
         faults.iter().map(|fault| (lines.position(fault.span.start).line, fault.code)).collect();
     for expected in [
-        (3, Code::DurationUnit),
-        (4, Code::NumberRange),
-        (4, Code::Choice),
+        (3, Code::MissingDurationUnit),
+        (4, Code::NumberOutOfRange),
+        (4, Code::InvalidChoice),
         (5, Code::UnknownKey),
-        (9, Code::PathForm),
-        (10, Code::RateForm),
+        (9, Code::InvalidPath),
+        (10, Code::InvalidRate),
         (11, Code::MissingKey),
-        (13, Code::Choice),
-        (18, Code::NumberRange),
+        (13, Code::InvalidChoice),
+        (18, Code::NumberOutOfRange),
     ] {
         assert!(found.contains(&expected), "{expected:?} in {found:?}");
     }
--- a/crates/marlwinch/tests/golden_cli_checks.rs
+++ b/crates/marlwinch/tests/golden_cli_checks.rs
@@ -208,7 +208,7 @@
     let transcript = check(&["check"]);
     approve("checks/operator-bad.txt", &transcript);
     // These two are of what is no file of an operator at all.
-    let elsewhere = [Code::TooLarge, Code::NotAFile];
+    let elsewhere = [Code::FileTooLarge, Code::UnreadableFile];
     let met = |code: &&Code| elsewhere.contains(code) || transcript.contains(code.as_str());
     let missing: Vec<_> = Code::ALL.iter().filter(|code| !met(code)).collect();
     assert!(missing.is_empty(), "no file with {missing:?}");
@@ -262,7 +262,7 @@
         transcript += &transcripts(words.iter().map(|words| Run::new(words).within(&folder.0)));
     }
     approve("checks/operator-none.txt", &transcript);
-    assert!([Code::TooLarge, Code::NotAFile].iter().all(|code| transcript.contains(code.as_str())));
+    assert!([Code::FileTooLarge, Code::UnreadableFile].iter().all(|code| transcript.contains(code.as_str())));
     let last_transcript = Run::new(&["check", "many-faults.toml"]).within(&folder.0).transcript();
     let last = last_transcript.trim_end().lines().last().expect("a line");
     assert_eq!(last, "many-faults.toml: refused, 200 faults, and 100 more that are not shown");
@@ -274,7 +274,7 @@
     let mut list = String::new();
     for code in Code::ALL {
         let rule = code.rule().map_or("none".to_string(), |rule| rule.to_string());
-        list += &format!("{code} | {rule} | {}\n", code.about());
+        list += &format!("{code} | {rule} | {}\n", code.summary());
     }
     approve("checks/operator-codes.txt", &list);
 }
--- a/crates/route-config/src/check/cluster.rs
+++ b/crates/route-config/src/check/cluster.rs
@@ -20,12 +20,12 @@
         cluster.backends.iter().map(|b| (b.address.value.to_string(), &b.address.span)).collect();
     let addresses = addresses.iter().map(|(text, span)| (text.as_str(), *span));
     let help = "a box that is listed twice gets twice its part; leave one out";
-    duplicates("a box of this cluster at", addresses, Code::SameAddress, help, report);
+    duplicates("a box of this cluster at", addresses, Code::DuplicateAddress, help, report);
     let is_ready = |b: &Backend| b.state.as_ref().is_none_or(|state| state.value == ServerState::Ready);
     if !cluster.backends.iter().any(is_ready) {
         let message = format!("no box of the cluster `{}` is in service", name.value);
         let help = "let one be `state = \"in-service\"`, or leave the cluster out";
-        report.push(Diagnostic::new(Code::NoneInService, name.span.clone(), message, help));
+        report.push(Diagnostic::new(Code::NoBackendInService, name.span.clone(), message, help));
     }
 }
 
@@ -45,7 +45,7 @@
                 message,
                 help,
             );
-            report.push(diagnostic.with(step.threshold.span.clone(), "taken here"));
+            report.push(diagnostic.with_related(step.threshold.span.clone(), "taken here"));
         }
         for name in &step.classes {
             if !file.classes.iter().any(|class| class.name.value == name.value) {
--- a/crates/route-config/src/check/location.rs
+++ b/crates/route-config/src/check/location.rs
@@ -29,7 +29,7 @@
         None => {
             let help = "write a name such as `tally.example`, or `*.tally.example` for all below it";
             let message = format!("{:?} is no host", host.value);
-            report.push(Diagnostic::new(Code::HostForm, host.span.clone(), message, help));
+            report.push(Diagnostic::new(Code::InvalidHost, host.span.clone(), message, help));
             None
         }
     }
@@ -52,7 +52,7 @@
         Err(error) => {
             let message = format!("{:?} is no path of a route: {error}", rule.value.text());
             let help = "write a path such as `/tally/{station}`";
-            report.push(Diagnostic::new(Code::PathForm, rule.span.clone(), message, help));
+            report.push(Diagnostic::new(Code::InvalidPath, rule.span.clone(), message, help));
             None
         }
     }
@@ -67,7 +67,7 @@
     let is_template = matches!(rule.value, PathRule::Template(_));
     if !is_template && text.contains(['{', '}']) {
         let help = format!("write `template = {text:?}` for a path with captures");
-        return diagnostic(Code::PathForm, format!("{text:?} has braces, and is no template"), help);
+        return diagnostic(Code::InvalidPath, format!("{text:?} has braces, and is no template"), help);
     }
     // A capture's segment is never empty, so a template without its braces is as good as with them.
     let plain = if is_template { text.replace(['{', '}'], "") } else { text.to_string() };
@@ -90,7 +90,7 @@
         }
         Err(error) => {
             let help = "write a path such as `/tally/submit`".to_string();
-            diagnostic(Code::PathForm, format!("{text:?} is no path: {error}"), help)
+            diagnostic(Code::InvalidPath, format!("{text:?} is no path: {error}"), help)
         }
     }
 }
@@ -121,7 +121,7 @@
             None => format!("the path captures {}", list(&known)),
         };
         let message = format!("the path of this route captures no `{name}`");
-        report.push(Diagnostic::new(Code::NoSuchCapture, span.clone(), message, help));
+        report.push(Diagnostic::new(Code::UnknownCapture, span.clone(), message, help));
     };
     for capture in [&route.key, &route.subject].into_iter().flatten() {
         missing(&capture.value, &capture.span);
@@ -130,13 +130,13 @@
     let Some(used) = used_captures(&rewrite.value) else {
         let message = format!("the braces of {:?} don't match", rewrite.value);
         let help = "write captures as `{name}`";
-        return report.push(Diagnostic::new(Code::PathForm, rewrite.span.clone(), message, help));
+        return report.push(Diagnostic::new(Code::InvalidPath, rewrite.span.clone(), message, help));
     };
     used.iter().for_each(|name| missing(name, &rewrite.span));
     let plain = rewrite.value.replace(['{', '}'], "");
     if !target::normalize_path(&plain, EncodedSlash::Keep).is_ok_and(|form| form == plain) {
         let message = format!("{:?} is no path in its one form", rewrite.value);
         let help = "write a path such as `/v2/{station}`";
-        report.push(Diagnostic::new(Code::PathForm, rewrite.span.clone(), message, help));
+        report.push(Diagnostic::new(Code::InvalidPath, rewrite.span.clone(), message, help));
     }
 }
--- a/crates/route-config/src/check/mod.rs
+++ b/crates/route-config/src/check/mod.rs
@@ -85,6 +85,6 @@
         let message = "some request takes this route and another one alike";
         let help = "give one of them a host, a header or other methods, or leave one out";
         let diagnostic = Diagnostic::new(Code::AmbiguousRoutes, span(second), message, help);
-        report.push(diagnostic.with(span(first), "the other one"));
+        report.push(diagnostic.with_related(span(first), "the other one"));
     }
 }
--- a/crates/route-config/src/check/names.rs
+++ b/crates/route-config/src/check/names.rs
@@ -18,7 +18,7 @@
         if let Some(first) = seen.get(name) {
             let message = format!("there is {what} `{name}` already");
             let diagnostic = Diagnostic::new(code, span.clone(), message, help);
-            report.push(diagnostic.with((*first).clone(), "here"));
+            report.push(diagnostic.with_related((*first).clone(), "here"));
         } else {
             seen.insert(name, span);
         }
--- a/crates/route-config/src/check/node.rs
+++ b/crates/route-config/src/check/node.rs
@@ -28,13 +28,13 @@
         let span = file.clusters[0].name.span.clone();
         let message = format!("the boxes are in {} zones", zones.len());
         let help = format!("{MAX_ZONES} zones are told apart at most");
-        report.push(Diagnostic::new(Code::NumberRange, span, message, help));
+        report.push(Diagnostic::new(Code::NumberOutOfRange, span, message, help));
     }
     let nodes = file.node_count();
     if let Some(number) = file.node.number.as_ref().filter(|number| number.value >= nodes) {
         let message = format!("there is no node number {} among {nodes}", number.value);
         let help = "`number` counts from 0 and `nodes` is how many there are";
-        report.push(Diagnostic::new(Code::NumberRange, number.span.clone(), message, help));
+        report.push(Diagnostic::new(Code::NumberOutOfRange, number.span.clone(), message, help));
     }
 }
 
@@ -46,6 +46,6 @@
     {
         let message = format!("the tenants' shares add up to {:.1}%", sum * 100.0);
         let help = "make them 100% together, or less";
-        report.push(Diagnostic::new(Code::SharesOverOne, last.span.clone(), message, help));
+        report.push(Diagnostic::new(Code::SharesExceedOne, last.span.clone(), message, help));
     }
 }
--- a/crates/route-config/src/check/request_settings.rs
+++ b/crates/route-config/src/check/request_settings.rs
@@ -52,7 +52,7 @@
     ) {
         let diagnostic = Diagnostic::new(code, span, message, help);
         self.report.push(match also {
-            Some((span, what)) => diagnostic.with(span, what),
+            Some((span, what)) => diagnostic.with_related(span, what),
             None => diagnostic,
         });
     }
@@ -273,7 +273,7 @@
             && settings.retry_budget.value.per_s == 0.0
         {
             self.report_error(
-                Code::NoBudget,
+                Code::RetriesWithoutBudget,
                 self.span_of(&settings.retry_budget),
                 format!(
                     "`{name}` may have {} attempts, and a budget of none beyond the first",
@@ -313,7 +313,7 @@
             let all = rate.per_s * self.file.tenants.len().max(1) as f64;
             if all < settings.retry_budget.value.per_s {
                 self.report_error(
-                    Code::RatesUnderRetryBudget,
+                    Code::TenantRatesBelowRetryBudget,
                     self.span_of(&settings.tenant_rate),
                     format!(
                         "all tenants together may send {all} requests a second, and the budget's floor is {} retries",
@@ -352,7 +352,7 @@
         let name = &self.class.name.value;
         if settings.fallback.value.is_some() && !matches!(class.repeat.value, Repeat::Safe) {
             self.report_error(
-                Code::FallbackOfEffect,
+                Code::FallbackInClassWithEffects,
                 self.span_of(&settings.fallback),
                 format!(
                     "`{name}` has effects, and a client that gets a fallback would think that it had one"
@@ -370,7 +370,7 @@
         let name = &self.class.name.value;
         if settings.upgrade.value.is_some() && !matches!(class.repeat.value, Repeat::Safe) {
             self.report_error(
-                Code::UpgradeOfEffect,
+                Code::UpgradeInClassWithEffects,
                 self.span_of(&settings.upgrade),
                 format!(
                     "`{name}` has effects, and a switch of protocol comes by GET, which it does not take"
--- a/crates/route-config/src/check/route.rs
+++ b/crates/route-config/src/check/route.rs
@@ -73,7 +73,7 @@
         let help =
             "write `key-header = \"idempotency-key\"` in the class, or `key` with a capture in the route";
         let diagnostic = Diagnostic::new(Code::KeyedWithoutKey, class.repeat.span.clone(), message, help);
-        report.push(diagnostic.with(route.class.span.clone(), "a route of this class"));
+        report.push(diagnostic.with_related(route.class.span.clone(), "a route of this class"));
     }
     let (word, is_missing): (_, fn(&Backend) -> bool) = match scope {
         Scope::All => return,
@@ -88,7 +88,7 @@
         );
         let help = format!("add `{word}` to each box of the cluster");
         let diagnostic = Diagnostic::new(Code::MissingScope, without.name.span.clone(), message, help);
-        report.push(diagnostic.with(class.repeat.span.clone(), "keyed"));
+        report.push(diagnostic.with_related(class.repeat.span.clone(), "keyed"));
     }
 }
 
@@ -99,18 +99,18 @@
         let name = &class.name.value;
         let (code, message) = match class.repeat.value {
             Repeat::Safe => (
-                Code::SafeTakesEffect,
+                Code::UnsafeMethodInSafeClass,
                 format!("`{name}` is safe and may be sent twice, and {method} has effects"),
             ),
             _ => (
-                Code::EffectByRepeatableMethod,
+                Code::SafeMethodInClassWithEffects,
                 format!("`{name}` has effects, and anybody on the way may repeat a {method}"),
             ),
         };
         let allowed: Vec<_> = allowed.iter().map(Method::as_str).collect();
         let help = format!("write {} here, or give the route another class", list(&allowed));
         let diagnostic = Diagnostic::new(code, methods.span.clone(), message, help);
-        report.push(diagnostic.with(class.repeat.span.clone(), "the class"));
+        report.push(diagnostic.with_related(class.repeat.span.clone(), "the class"));
     }
     methods.value.clone()
 }
--- a/crates/route-config/src/diagnostic.rs
+++ b/crates/route-config/src/diagnostic.rs
@@ -7,28 +7,29 @@
 
 /// The rules of a node that an error of the file would break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// One final response, in time, for each accepted request.
-    OneAnswerInTime,
-    /// No effect is caused twice.
-    NoEffectTwice,
+    /// Each accepted request gets exactly one final response, before its timeout.
+    #[serde(rename = "one-answer-in-time")]
+    OneResponseInTime,
+    /// No request with side effects is executed twice.
+    #[serde(rename = "no-effect-twice")]
+    NoDuplicateEffects,
 }
 
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Rule::OneAnswerInTime => "one final answer, in time",
-            Rule::NoEffectTwice => "no effect twice",
+            Rule::OneResponseInTime => "one final answer, in time",
+            Rule::NoDuplicateEffects => "no effect twice",
         })
     }
 }
 
 macro_rules! codes {
-    ($($name:ident = $text:literal, $rule:expr, $about:literal;)*) => {
+    ($($name:ident = $text:literal, $rule:expr, $summary:literal;)*) => {
         /// The kind of an error. Its text, such as `MW100`, never changes its meaning.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub enum Code { $(#[doc = $about] $name,)* }
+        pub enum Code { $(#[doc = $summary] $name,)* }
 
         impl Code {
             /// All codes, in order.
@@ -40,8 +41,8 @@
             }
 
             /// What errors of this kind have in common, in a line.
-            pub fn about(self) -> &'static str {
-                match self { $(Code::$name => $about,)* }
+            pub fn summary(self) -> &'static str {
+                match self { $(Code::$name => $summary,)* }
             }
 
             /// The rule that the file would break.
@@ -52,67 +53,67 @@
     };
 }
 
-use Rule::{NoEffectTwice, OneAnswerInTime};
+use Rule::{NoDuplicateEffects, OneResponseInTime};
 
 codes! {
-    NotText = "MW001", None, "The file is not UTF-8 text.";
-    TooLarge = "MW002", None, "The file is larger than any that is read.";
-    NotAFile = "MW003", None, "The path names no ordinary file, or it can't be read.";
-    Syntax = "MW004", None, "The text is not TOML.";
+    NotUtf8 = "MW001", None, "The file is not UTF-8 text.";
+    FileTooLarge = "MW002", None, "The file is larger than any that is read.";
+    UnreadableFile = "MW003", None, "The path names no ordinary file, or it can't be read.";
+    InvalidToml = "MW004", None, "The text is not TOML.";
     UnknownKey = "MW010", None, "A key that means nothing here.";
     WrongType = "MW011", None, "A value of another type than the key takes.";
     MissingKey = "MW012", None, "A key that must be there is not.";
     Duplicate = "MW013", None, "A name or an address that is already taken.";
-    NameForm = "MW014", None, "A name that is empty, too long or holds other than letters, digits, `.`, `_` and `-`.";
-    DurationUnit = "MW020", None, "A duration without its unit.";
-    DurationZero = "MW021", None, "A duration of zero where there must be some time.";
-    DurationLong = "MW022", None, "A duration of more than a day.";
-    DurationForm = "MW023", None, "A text that is no duration.";
-    ShareRange = "MW024", None, "A share outside 0 to 1.";
-    NumberRange = "MW025", None, "A number outside its range, or none at all.";
-    AddressForm = "MW026", None, "A text that is no address with a port.";
-    RateForm = "MW027", None, "A text that is no rate.";
-    HeaderForm = "MW028", None, "A text that is no header name or value, or a header that can't be matched on.";
-    MethodForm = "MW029", None, "A text that is no method.";
-    HostForm = "MW030", None, "A text that is no host.";
-    PathForm = "MW031", None, "A text that is no path or template.";
-    Choice = "MW032", None, "A word that is none of those allowed here.";
+    InvalidName = "MW014", None, "A name that is empty, too long or holds other than letters, digits, `.`, `_` and `-`.";
+    MissingDurationUnit = "MW020", None, "A duration without its unit.";
+    ZeroDuration = "MW021", None, "A duration of zero where there must be some time.";
+    DurationTooLong = "MW022", None, "A duration of more than a day.";
+    InvalidDuration = "MW023", None, "A text that is no duration.";
+    ShareOutOfRange = "MW024", None, "A share outside 0 to 1.";
+    NumberOutOfRange = "MW025", None, "A number outside its range, or none at all.";
+    InvalidAddress = "MW026", None, "A text that is no address with a port.";
+    InvalidRate = "MW027", None, "A text that is no rate.";
+    InvalidHeader = "MW028", None, "A text that is no header name or value, or a header that can't be matched on.";
+    InvalidMethod = "MW029", None, "A text that is no method.";
+    InvalidHost = "MW030", None, "A text that is no host.";
+    InvalidPath = "MW031", None, "A text that is no path or template.";
+    InvalidChoice = "MW032", None, "A word that is none of those allowed here.";
     UnknownClass = "MW040", None, "A route names a class that the file does not have.";
     UnknownCluster = "MW041", None, "A route names a cluster that the file does not have.";
     UnknownZone = "MW042", None, "A zone that no box is in.";
-    NoSuchCapture = "MW043", None, "A template uses a capture that the path does not have.";
+    UnknownCapture = "MW043", None, "A template uses a capture that the path does not have.";
     NoBackends = "MW050", None, "A cluster without boxes.";
-    SameAddress = "MW051", None, "Two boxes of a cluster at one address.";
-    NoneInService = "MW052", None, "A cluster none of whose boxes takes requests.";
-    MissingScope = "MW053", Some(NoEffectTwice), "A class is keyed by zone or cell, and a box does not say its own.";
-    UnsafeRetried = "MW100", Some(NoEffectTwice), "An unsafe class has further attempts after it may have run.";
-    UnsafeHedged = "MW101", Some(NoEffectTwice), "An unsafe class has second copies.";
-    RetryAfterKeyWindow = "MW102", Some(NoEffectTwice), "A keyed class may be sent again after the boxes have forgotten its key.";
-    KeyedWithoutKey = "MW103", Some(NoEffectTwice), "A keyed class names no place where its key is found.";
-    SafeTakesEffect = "MW104", Some(NoEffectTwice), "A safe class is reached by a method that has effects.";
-    EffectByRepeatableMethod = "MW105", Some(NoEffectTwice), "A class with effects is reached by a method that anybody may repeat.";
-    AttemptsExceedTimeout = "MW106", Some(OneAnswerInTime), "Attempts and back-offs together outlast the request's time.";
-    ExceedsClientTimeout = "MW107", Some(OneAnswerInTime), "The request's time outlasts the clients' patience.";
+    DuplicateAddress = "MW051", None, "Two boxes of a cluster at one address.";
+    NoBackendInService = "MW052", None, "A cluster none of whose boxes takes requests.";
+    MissingScope = "MW053", Some(NoDuplicateEffects), "A class is keyed by zone or cell, and a box does not say its own.";
+    UnsafeRetried = "MW100", Some(NoDuplicateEffects), "An unsafe class has further attempts after it may have run.";
+    UnsafeHedged = "MW101", Some(NoDuplicateEffects), "An unsafe class has second copies.";
+    RetryAfterKeyWindow = "MW102", Some(NoDuplicateEffects), "A keyed class may be sent again after the boxes have forgotten its key.";
+    KeyedWithoutKey = "MW103", Some(NoDuplicateEffects), "A keyed class names no place where its key is found.";
+    UnsafeMethodInSafeClass = "MW104", Some(NoDuplicateEffects), "A safe class is reached by a method that has effects.";
+    SafeMethodInClassWithEffects = "MW105", Some(NoDuplicateEffects), "A class with effects is reached by a method that anybody may repeat.";
+    AttemptsExceedTimeout = "MW106", Some(OneResponseInTime), "Attempts and back-offs together outlast the request's time.";
+    ExceedsClientTimeout = "MW107", Some(OneResponseInTime), "The request's time outlasts the clients' patience.";
     HedgeTooLate = "MW108", None, "A second copy would go out when its first attempt is over.";
-    AttemptTooLong = "MW109", Some(OneAnswerInTime), "An attempt may take longer than its request.";
+    AttemptTooLong = "MW109", Some(OneResponseInTime), "An attempt may take longer than its request.";
     ConnectTooLong = "MW110", None, "A connect may take as long as the whole attempt.";
     HedgesWithoutAttempts = "MW111", None, "More copies than there are attempts for them.";
-    NoBudget = "MW112", None, "Further attempts are allowed, and their budget is nothing.";
+    RetriesWithoutBudget = "MW112", None, "Further attempts are allowed, and their budget is nothing.";
     LatencyTargetTooLong = "MW113", None, "The aim is longer than the request's time.";
-    RatesUnderRetryBudget = "MW114", None, "All tenants together may send less than the retry budget's floor.";
-    QueueTooLong = "MW115", Some(OneAnswerInTime), "A request may wait in the queue for all of its time.";
-    SharesOverOne = "MW116", None, "Tenants' shares add up to more than the whole.";
+    TenantRatesBelowRetryBudget = "MW114", None, "All tenants together may send less than the retry budget's floor.";
+    QueueTooLong = "MW115", Some(OneResponseInTime), "A request may wait in the queue for all of its time.";
+    SharesExceedOne = "MW116", None, "Tenants' shares add up to more than the whole.";
     QueueWithoutLimit = "MW117", None, "A queue without a limit to wait for.";
     ReleaseAboveThreshold = "MW118", None, "A step whose way back is not below its way in.";
-    LimitBounds = "MW119", None, "A limit that starts outside of its bounds.";
-    FallbackOfEffect = "MW120", Some(NoEffectTwice), "A class with effects has a fallback, which its clients would take for their effect.";
+    InvalidLimitBounds = "MW119", None, "A limit that starts outside of its bounds.";
+    FallbackInClassWithEffects = "MW120", Some(NoDuplicateEffects), "A class with effects has a fallback, which its clients would take for their effect.";
     FallbackUnused = "MW121", None, "A fallback that no step of its cluster answers with.";
-    ClassesOfStep = "MW122", None, "A step that names classes and sheds none, or sheds and names none.";
-    UpgradeOfEffect = "MW123", Some(NoEffectTwice), "A class with effects passes switches of protocol on, which only a safe one can ask for.";
+    StepClassesMismatch = "MW122", None, "A step that names classes and sheds none, or sheds and names none.";
+    UpgradeInClassWithEffects = "MW123", Some(NoDuplicateEffects), "A class with effects passes switches of protocol on, which only a safe one can ask for.";
     StreamShorterThanGap = "MW124", None, "A stream that would end sooner than the pause it may make.";
     AmbiguousRoutes = "MW130", None, "Two routes that some request can't tell apart.";
     RouteNeverMatches = "MW131", None, "A route that no request can match.";
-    RoutePath = "MW132", None, "A route without a path, or with more than one.";
+    RoutePathCount = "MW132", None, "A route without a path, or with more than one.";
     NoRoutes = "MW133", None, "No routes, so that every request would be answered 404.";
     NoListener = "MW140", None, "Nothing to listen on.";
 }
@@ -133,7 +134,7 @@
     /// The bytes of the text that are wrong.
     pub span: Range<usize>,
     /// Related positions, and what they are.
-    pub also: Vec<(Range<usize>, String)>,
+    pub related: Vec<(Range<usize>, String)>,
     /// What to write instead.
     pub help: String,
 }
@@ -141,12 +142,12 @@
 impl Diagnostic {
     /// An error at a position, and what to write instead.
     pub fn new(code: Code, span: Range<usize>, message: impl Into<String>, help: impl Into<String>) -> Self {
-        Diagnostic { code, message: message.into(), span, also: Vec::new(), help: help.into() }
+        Diagnostic { code, message: message.into(), span, related: Vec::new(), help: help.into() }
     }
 
     /// Adds a related position.
-    pub fn with(mut self, span: Range<usize>, what: impl Into<String>) -> Self {
-        self.also.push((span, what.into()));
+    pub fn with_related(mut self, span: Range<usize>, what: impl Into<String>) -> Self {
+        self.related.push((span, what.into()));
         self
     }
 }
--- a/crates/route-config/src/explain.rs
+++ b/crates/route-config/src/explain.rs
@@ -84,7 +84,7 @@
     let _ = writeln!(out, "class    {}: {}", class.name.value, describe_repeat(class.repeat.value));
     let cluster = &plan.clusters[route.cluster];
     let _ = writeln!(out, "cluster  {}: {} boxes", cluster.name, cluster.backends.len());
-    let sent = route.sent_path(&path, &captures).unwrap_or_else(|| path.to_string());
+    let sent = route.forwarded_path(&path, &captures).unwrap_or_else(|| path.to_string());
     let query = if query.is_empty() { String::new() } else { format!("?{query}") };
     let _ = writeln!(out, "sent as  {} {sent}{query}", example.method);
     out.push_str(&describe_key(route, example, |number| captures.get(&path, number).unwrap_or_default()));
--- a/crates/route-config/src/model.rs
+++ b/crates/route-config/src/model.rs
@@ -168,7 +168,7 @@
     /// How long a backend keeps an idle connection.
     pub idle_close: Option<Located<Duration>>,
     /// Whether its backends report their load.
-    pub reports: Option<Located<Reports>>,
+    pub reports: Option<Located<LoadReports>>,
     /// `cold`: the capacity of its backends after their start.
     pub warm_up: Option<Located<WarmUp>>,
     /// The limit of requests in flight at a backend; `None` inside for none.
@@ -231,16 +231,16 @@
     /// The status, from 200 to 599.
     pub status: u16,
     /// The media type.
-    pub media: HeaderValue,
+    pub media_type: HeaderValue,
     /// The body.
     pub body: String,
 }
 
 /// `load-reports`: whether responses carry load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reports {
+pub enum LoadReports {
     /// In `X-Backend-Load`, as `concurrent=7,depth=2`.
-    Answers,
+    ResponseHeader,
     /// They carry none.
     None,
 }
--- a/crates/route-config/src/parse/class.rs
+++ b/crates/route-config/src/parse/class.rs
@@ -9,7 +9,7 @@
 
 /// Parses a `[[tenant]]`.
 pub(super) fn tenant(mut s: Section, report: &mut Report) -> Option<Tenant> {
-    let name = s.need("name", "\"semarang\"", report).and_then(|v| read::name(v, report));
+    let name = s.required("name", "\"semarang\"", report).and_then(|v| read::name(v, report));
     let share = s.get("share").and_then(|v| read::share(v, report));
     let allowance = s.get("allowance").and_then(|v| read::rate(v, report));
     s.finish(report);
@@ -26,8 +26,8 @@
     }
     let words = [("safe", Word::Safe), ("keyed", Word::Keyed), ("unsafe", Word::Unsafe)];
     let scopes = [("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Cell)];
-    let name = s.need("name", "\"tally-submit\"", report).and_then(|v| read::name(v, report));
-    let word = s.need("repeat", "\"unsafe\"", report).and_then(|v| read::choice(v, &words, report));
+    let name = s.required("name", "\"tally-submit\"", report).and_then(|v| read::name(v, report));
+    let word = s.required("repeat", "\"unsafe\"", report).and_then(|v| read::choice(v, &words, report));
     let is_keyed = word.as_ref().is_some_and(|word| word.value == Word::Keyed);
     let scope = keyed_only(is_keyed, &mut s, "scope", "\"zone\"", report);
     let scope = scope.and_then(|v| read::choice(v, &scopes, report));
@@ -54,7 +54,7 @@
     report: &mut Report,
 ) -> Option<Value<'t>> {
     if is_keyed {
-        return s.need(key, example, report);
+        return s.required(key, example, report);
     }
     let value = s.get(key)?;
     let message = format!("`{key}` means nothing in a class that is not keyed");
--- a/crates/route-config/src/parse/cluster.rs
+++ b/crates/route-config/src/parse/cluster.rs
@@ -10,9 +10,9 @@
 
 /// Parses a `[[cluster]]` with its backends and brownout rules.
 pub(super) fn cluster(mut s: Section, report: &mut Report) -> Option<Cluster> {
-    let name = s.need("name", "\"tally\"", report).and_then(|v| read::name(v, report));
+    let name = s.required("name", "\"tally\"", report).and_then(|v| read::name(v, report));
     let idle_close = s.get("idle-close").and_then(|v| read::positive_duration(v, report));
-    let words = [("answers", Reports::Answers), ("none", Reports::None)];
+    let words = [("answers", LoadReports::ResponseHeader), ("none", LoadReports::None)];
     let reports = s.get("load-reports").and_then(|v| read::choice(v, &words, report));
     let warm_up = s.get("cold").and_then(|v| {
         let section = read::table(v, "cold", report)?;
@@ -40,7 +40,7 @@
         if given.iter().any(Option::is_some) {
             let message = "a fixed limit has no bounds";
             let help = "write `limit = { fixed = 50 }`, or bounds without `fixed`";
-            report.push(Diagnostic::new(Code::LimitBounds, value.span(), message, help));
+            report.push(Diagnostic::new(Code::InvalidLimitBounds, value.span(), message, help));
             return None;
         }
         return Some(LimitRule::Fixed(fixed?.value));
@@ -55,7 +55,7 @@
     if !(min..=max).contains(&initial) {
         let message = format!("the limit starts at {initial}, and may be from {min} to {max}");
         let help = "let `least` be at most `start`, and `start` at most `most`";
-        report.push(Diagnostic::new(Code::LimitBounds, value.span(), message, help));
+        report.push(Diagnostic::new(Code::InvalidLimitBounds, value.span(), message, help));
         return None;
     }
     Some(LimitRule::Adaptive { initial, min, max })
@@ -71,10 +71,10 @@
         ("shed", BrownoutRuleAction::ShedClasses),
         ("fallback", BrownoutRuleAction::ServeFallback),
     ];
-    let at = s.need("at", "\"10%\"", report).and_then(|v| read::share(v, report));
-    let back = s.need("back", "\"2%\"", report).and_then(|v| read::share(v, report));
+    let at = s.required("at", "\"10%\"", report).and_then(|v| read::share(v, report));
+    let back = s.required("back", "\"2%\"", report).and_then(|v| read::share(v, report));
     let after = s.get("after").map(|v| read::positive_duration(v, report));
-    let action = s.need("does", "\"no-copies\"", report).and_then(|v| read::choice(v, &words, report));
+    let action = s.required("does", "\"no-copies\"", report).and_then(|v| read::choice(v, &words, report));
     let classes = s.get("classes").map(|v| (v.span(), read::array(v, "names of classes", report)));
     let span = s.span.clone();
     s.finish(report);
@@ -88,7 +88,7 @@
         let message = "a step that sheds says which classes, and no other step does";
         let help = "add `classes = [\"look\"]` to a step that sheds, or leave them out";
         let blame = named.map_or(span, |(span, _)| span);
-        report.push(Diagnostic::new(Code::ClassesOfStep, blame, message, help));
+        report.push(Diagnostic::new(Code::StepClassesMismatch, blame, message, help));
         return None;
     }
     let after = after.map_or(Some(DEFAULT_HOLD_TIME), |after| Some(after?.value))?;
@@ -102,10 +102,12 @@
 }
 
 fn warm_up(mut s: Section, report: &mut Report) -> Option<WarmUp> {
-    let share = s.need("share", "0.3", report).and_then(|v| read::share(v, report));
-    let duration = s.need("warm-after", "\"8s\"", report).and_then(|v| read::positive_duration(v, report));
-    let factor = s.need("factor", "4", report).and_then(|v| read::number(v, (1.0, 100.0), report));
-    let time = s.need("overload-time", "\"1.5s\"", report).and_then(|v| read::positive_duration(v, report));
+    let share = s.required("share", "0.3", report).and_then(|v| read::share(v, report));
+    let duration =
+        s.required("warm-after", "\"8s\"", report).and_then(|v| read::positive_duration(v, report));
+    let factor = s.required("factor", "4", report).and_then(|v| read::number(v, (1.0, 100.0), report));
+    let time =
+        s.required("overload-time", "\"1.5s\"", report).and_then(|v| read::positive_duration(v, report));
     s.finish(report);
     Some(WarmUp {
         initial_capacity: share?.value,
@@ -120,8 +122,8 @@
 
 fn backend(mut s: Section, report: &mut Report) -> Option<Backend> {
     let states = [("in-service", ServerState::Ready), ("draining", ServerState::Draining)];
-    let name = s.need("name", "\"box-1\"", report).and_then(|v| read::name(v, report));
-    let address = s.need("address", "\"127.0.0.1:9001\"", report).and_then(|v| read::address(v, report));
+    let name = s.required("name", "\"box-1\"", report).and_then(|v| read::name(v, report));
+    let address = s.required("address", "\"127.0.0.1:9001\"", report).and_then(|v| read::address(v, report));
     let zone = s.get("zone").and_then(|v| read::name(v, report));
     let kind = s.get("kind").and_then(|v| read::name(v, report));
     let cell = s.get("cell").and_then(|v| count(v, (0, u64::from(u16::MAX)), report));
--- a/crates/route-config/src/parse/header.rs
+++ b/crates/route-config/src/parse/header.rs
@@ -26,7 +26,7 @@
 
 fn named_header(text: &str, span: Span, report: &mut Report) -> Option<Located<HeaderName>> {
     let diagnostic =
-        |message: String, help: &str| Diagnostic::new(Code::HeaderForm, span.clone(), message, help);
+        |message: String, help: &str| Diagnostic::new(Code::InvalidHeader, span.clone(), message, help);
     let Ok(name) = HeaderName::from_bytes(text.as_bytes()) else {
         let help = "write a name such as `x-account`: letters, digits and `-`";
         report.push(diagnostic(format!("{text:?} is no header name"), help));
@@ -63,7 +63,7 @@
                     None => {
                         let message = "no header can have this value";
                         let help = "write it without line ends and without blanks around it";
-                        report.push(Diagnostic::new(Code::HeaderForm, value.span(), message, help));
+                        report.push(Diagnostic::new(Code::InvalidHeader, value.span(), message, help));
                         continue;
                     }
                 }
--- a/crates/route-config/src/parse/mod.rs
+++ b/crates/route-config/src/parse/mod.rs
@@ -22,12 +22,12 @@
     if bytes.len() > MAX_FILE_SIZE {
         let message = format!("the file has {} bytes, {MAX_FILE_SIZE} at most are read", bytes.len());
         let help = "split it: one file for each node, or fewer routes by using templates and prefixes";
-        return Err(Diagnostic::new(Code::TooLarge, 0..0, message, help));
+        return Err(Diagnostic::new(Code::FileTooLarge, 0..0, message, help));
     }
     std::str::from_utf8(bytes).map_err(|e| {
         let at = e.valid_up_to();
         let help = "save the file as UTF-8";
-        Diagnostic::new(Code::NotText, at..at + 1, format!("byte {at} of the file is not UTF-8 text"), help)
+        Diagnostic::new(Code::NotUtf8, at..at + 1, format!("byte {at} of the file is not UTF-8 text"), help)
     })
 }
 
@@ -36,7 +36,7 @@
     let (document, errors) = DeTable::parse_recoverable(text);
     for e in &errors {
         let span = shown_span(text, e.span().unwrap_or(0..0));
-        report.push(Diagnostic::new(Code::Syntax, span, e.message().to_string(), "mend the TOML here"));
+        report.push(Diagnostic::new(Code::InvalidToml, span, e.message().to_string(), "mend the TOML here"));
     }
     if !errors.is_empty() {
         // Values of a text with syntax errors would be reported as missing.
--- a/crates/route-config/src/parse/node.rs
+++ b/crates/route-config/src/parse/node.rs
@@ -55,7 +55,7 @@
 
 /// Parses `[admin]`: the address where metrics are served.
 pub(super) fn admin(mut s: Section, report: &mut Report) -> Option<Located<SocketAddr>> {
-    let address = s.need("address", "\"127.0.0.1:9100\"", report).and_then(|v| read::address(v, report));
+    let address = s.required("address", "\"127.0.0.1:9100\"", report).and_then(|v| read::address(v, report));
     s.finish(report);
     address
 }
@@ -89,7 +89,7 @@
         None => {
             let message = format!("{:?} is no address and no net", text.value);
             let help = "write `10.1.2.3`, `10.0.0.0/8` or `fd00::/8`";
-            report.push(Diagnostic::new(Code::AddressForm, text.span, message, help));
+            report.push(Diagnostic::new(Code::InvalidAddress, text.span, message, help));
             None
         }
     }
@@ -102,7 +102,7 @@
 
 /// Parses `[trace]`; `None` without a file to write to.
 pub(super) fn trace(mut s: Section, report: &mut Report) -> Option<Trace> {
-    let file = s.need("file", "\"/var/tmp/trace.jsonl\"", report).and_then(|v| read::text(v, report));
+    let file = s.required("file", "\"/var/tmp/trace.jsonl\"", report).and_then(|v| read::text(v, report));
     let queue = s.get("queue").and_then(|v| count::<u32>(v, (1, 10_000_000), report));
     let max_size = s.get("most").and_then(|v| read::bytes(v, (1 << 10, 1 << 40), report));
     s.finish(report);
@@ -115,7 +115,7 @@
 
 /// Parses a `[[listener]]`.
 pub(super) fn listener(mut s: Section, report: &mut Report) -> Option<Listener> {
-    let address = s.need("address", "\"127.0.0.1:8080\"", report).and_then(|v| read::address(v, report));
+    let address = s.required("address", "\"127.0.0.1:8080\"", report).and_then(|v| read::address(v, report));
     s.finish(report);
     Some(Listener { address: address? })
 }
--- a/crates/route-config/src/parse/request_settings.rs
+++ b/crates/route-config/src/parse/request_settings.rs
@@ -54,7 +54,7 @@
 
 fn upgrade(value: Value, report: &mut Report) -> Option<UpgradeRule> {
     let mut s = read::table(value, "upgrade", report)?;
-    let to = s.need("to", "[\"websocket\"]", report).and_then(|v| read::array(v, "protocols", report));
+    let to = s.required("to", "[\"websocket\"]", report).and_then(|v| read::array(v, "protocols", report));
     let idle = s.get("idle").map(|v| read::positive_duration(v, report));
     s.finish(report);
     let mut protocols = Vec::new();
@@ -64,7 +64,7 @@
         if Method::from_bytes(name.value.as_bytes()).is_err() {
             let message = format!("{:?} is no protocol", name.value);
             report.push(Diagnostic::new(
-                Code::HeaderForm,
+                Code::InvalidHeader,
                 name.span,
                 message,
                 "write one such as `websocket`",
@@ -86,31 +86,31 @@
 fn fallback(value: Value, report: &mut Report) -> Option<Fallback> {
     let mut s = read::table(value, "fallback", report)?;
     let status = s.get("status").map(|v| count::<u16>(v, (200, 599), report));
-    let media = s.get("type").map(|v| read::text(v, report));
-    let body = s.need("body", "\"closed for now\"", report).and_then(|v| read::text(v, report));
+    let media_type = s.get("type").map(|v| read::text(v, report));
+    let body = s.required("body", "\"closed for now\"", report).and_then(|v| read::text(v, report));
     s.finish(report);
     let status = status.map_or(Some(200), |status| Some(status?.value))?;
-    let media = match media {
+    let media_type = match media_type {
         None => HeaderValue::from_static("text/plain; charset=utf-8"),
         Some(text) => {
             let text = text?;
-            let Ok(media) = HeaderValue::from_str(&text.value) else {
+            let Ok(media_type) = HeaderValue::from_str(&text.value) else {
                 let message = format!("{:?} is no media type", text.value);
                 let help = "write one such as `application/json`";
-                report.push(Diagnostic::new(Code::HeaderForm, text.span, message, help));
+                report.push(Diagnostic::new(Code::InvalidHeader, text.span, message, help));
                 return None;
             };
-            media
+            media_type
         }
     };
     let body = body?;
     if body.value.len() > MAX_FALLBACK_BODY {
         let message =
             format!("this body has {} bytes, {MAX_FALLBACK_BODY} at most are kept", body.value.len());
-        report.push(Diagnostic::new(Code::NumberRange, body.span, message, "write a shorter one"));
+        report.push(Diagnostic::new(Code::NumberOutOfRange, body.span, message, "write a shorter one"));
         return None;
     }
-    Some(Fallback { status, media, body: body.value })
+    Some(Fallback { status, media_type, body: body.value })
 }
 
 fn retry_on(value: Value, report: &mut Report) -> Option<Located<RetryOn>> {
@@ -126,7 +126,7 @@
 
 fn backoff(value: Value, report: &mut Report) -> Option<Backoff> {
     let mut s = read::table(value, "back-off", report)?;
-    let first = s.need("first", "\"20ms\"", report).and_then(|v| read::positive_duration(v, report));
+    let first = s.required("first", "\"20ms\"", report).and_then(|v| read::positive_duration(v, report));
     let longest = s.get("longest").map(|v| read::positive_duration(v, report));
     let jitter = s.get("jitter").map(|v| read::share(v, report));
     s.finish(report);
@@ -140,7 +140,7 @@
 
 fn hedging(value: Value, report: &mut Report) -> Option<HedgingRule> {
     let mut s = read::table(value, "copies", report)?;
-    let delay = s.need("after", "\"150ms\"", report).and_then(|v| read::positive_duration(v, report));
+    let delay = s.required("after", "\"150ms\"", report).and_then(|v| read::positive_duration(v, report));
     let max_per_request = s.get("most").map(|v| count::<u32>(v, (1, MAX_ATTEMPTS - 1), report));
     let max_fraction = s.get("share").map(|v| read::share(v, report));
     s.finish(report);
@@ -155,7 +155,7 @@
 /// Parses a retry budget: a fraction of first attempts, and a floor per second.
 pub(super) fn budget(value: Value, key: &str, report: &mut Report) -> Option<Located<RetryBudget>> {
     let mut s = read::table(value, key, report)?;
-    let share = s.need("share", "0.2", report).and_then(|v| read::share(v, report));
+    let share = s.required("share", "0.2", report).and_then(|v| read::share(v, report));
     let floor = s.get("floor").map(|v| read::rate(v, report));
     s.finish(report);
     let floor = floor.map_or(Some(0.0), |floor| Some(floor?.value))?;
@@ -164,21 +164,26 @@
 
 fn queue(value: Value, report: &mut Report) -> Option<Queue> {
     let mut s = read::table(value, "queue", report)?;
-    let length = s.need("length", "100", report).and_then(|v| count::<u32>(v, (1, 1_000_000), report));
-    let time = s.need("time", "\"100ms\"", report).and_then(|v| read::positive_duration(v, report));
+    let length = s.required("length", "100", report).and_then(|v| count::<u32>(v, (1, 1_000_000), report));
+    let time = s.required("time", "\"100ms\"", report).and_then(|v| read::positive_duration(v, report));
     s.finish(report);
     Some(Queue { max_length: length?.value, max_time: time?.value })
 }
 
 fn tenant_rate(value: Value, report: &mut Report) -> Option<TenantRate> {
     let mut s = read::table(value, "tenant-rate", report)?;
-    let rate = s.need("rate", "\"50/s\"", report).and_then(|v| read::rate(v, report));
+    let rate = s.required("rate", "\"50/s\"", report).and_then(|v| read::rate(v, report));
     let burst = s.get("burst").map(|v| read::number(v, (1.0, 1e9), report));
     s.finish(report);
     let rate = rate?;
     if rate.value == 0.0 {
         let message = "a rate of nothing refuses every request";
-        report.push(Diagnostic::new(Code::NumberRange, rate.span, message, "leave the route out instead"));
+        report.push(Diagnostic::new(
+            Code::NumberOutOfRange,
+            rate.span,
+            message,
+            "leave the route out instead",
+        ));
         return None;
     }
     // The requests of a second, and at least one.
--- a/crates/route-config/src/parse/route.rs
+++ b/crates/route-config/src/parse/route.rs
@@ -14,8 +14,8 @@
     let methods = s.get("methods").and_then(|v| methods(v, report));
     let path = path_rule(&mut s, report);
     let headers = s.get("headers").map(|v| headers(v, report)).unwrap_or_default();
-    let class = s.need("class", "\"look\"", report).and_then(|v| read::text(v, report));
-    let cluster = s.need("cluster", "\"tally\"", report).and_then(|v| read::text(v, report));
+    let class = s.required("class", "\"look\"", report).and_then(|v| read::text(v, report));
+    let cluster = s.required("cluster", "\"tally\"", report).and_then(|v| read::text(v, report));
     let rewrite = s.get("rewrite").and_then(|v| read::text(v, report));
     let key = s.get("key").and_then(|v| read::text(v, report));
     let subject = s.get("subject").and_then(|v| read::text(v, report));
@@ -45,7 +45,7 @@
         [] => {
             let help = "add `path = \"/a\"`, `prefix = \"/a\"` or `template = \"/a/{b}\"`";
             report.push(Diagnostic::new(
-                Code::RoutePath,
+                Code::RoutePathCount,
                 section.span.clone(),
                 "this route has no path",
                 help,
@@ -53,8 +53,8 @@
         }
         [(first, at), (key, span), ..] => {
             let message = format!("this route has both `{first}` and `{key}`");
-            let diagnostic = Diagnostic::new(Code::RoutePath, span.clone(), message, "keep one of them");
-            report.push(diagnostic.with(at.clone(), "the other is here"));
+            let diagnostic = Diagnostic::new(Code::RoutePathCount, span.clone(), message, "keep one of them");
+            report.push(diagnostic.with_related(at.clone(), "the other is here"));
         }
     }
     path
@@ -65,7 +65,7 @@
     let help = "write `GET`, `HEAD`, `POST`, `PUT`, `PATCH`, `DELETE` or `OPTIONS`";
     if items.is_empty() {
         let message = "this route is for no method";
-        report.push(Diagnostic::new(Code::MethodForm, value.span(), message, help));
+        report.push(Diagnostic::new(Code::InvalidMethod, value.span(), message, help));
         return None;
     }
     let mut methods = Vec::new();
@@ -90,7 +90,7 @@
                     None => help.to_string(),
                 };
                 let message = format!("{:?} is no method that is passed on", text.value);
-                report.push(Diagnostic::new(Code::MethodForm, text.span, message, help));
+                report.push(Diagnostic::new(Code::InvalidMethod, text.span, message, help));
                 return None;
             }
         }
--- a/crates/route-config/src/plan/clusters.rs
+++ b/crates/route-config/src/plan/clusters.rs
@@ -3,7 +3,7 @@
 use super::gate::gate_settings;
 use super::routes::ClusterClass;
 use super::{BackendPlan, ClusterPlan};
-use crate::model::{Backend, Cluster, File, Located, Reports};
+use crate::model::{Backend, Cluster, File, LoadReports, Located};
 use crate::resolve::built_in;
 use join_up_to::{
     CapacitySource, Goal, Limits, Prices, ReportSource, Rules, ServerEntry, ServerId, ServerState, Settings,
@@ -79,10 +79,11 @@
 
     fn balancer_settings(&self, cluster: &Cluster, classes: Vec<join_up_to::Class>) -> Settings {
         let (file, defaults) = (self.file, &self.defaults);
-        let reports = match cluster.reports.as_ref().map_or(Reports::Answers, |reports| reports.value) {
-            Reports::Answers => ReportSource::Answers,
-            Reports::None => ReportSource::None,
-        };
+        let reports =
+            match cluster.reports.as_ref().map_or(LoadReports::ResponseHeader, |reports| reports.value) {
+                LoadReports::ResponseHeader => ReportSource::Answers,
+                LoadReports::None => ReportSource::None,
+            };
         let tenants = file.tenants.iter().map(|tenant| Tenant {
             allowance_per_s: tenant.allowance.as_ref().map_or(0.0, |allowance| allowance.value),
             share: tenant.share.as_ref().map_or(0.0, |share| share.value),
--- a/crates/route-config/src/plan/mod.rs
+++ b/crates/route-config/src/plan/mod.rs
@@ -140,7 +140,7 @@
 
 impl RoutePlan {
     /// The path that is forwarded for a normalized one; `None` if that is the same.
-    pub fn sent_path(&self, path: &str, captures: &Captures) -> Option<String> {
+    pub fn forwarded_path(&self, path: &str, captures: &Captures) -> Option<String> {
         let pieces = self.rewrite.as_ref()?;
         let text = |piece: &PathPiece| match piece {
             PathPiece::Text(text) => text.clone(),
--- a/crates/route-config/src/read.rs
+++ b/crates/route-config/src/read.rs
@@ -57,7 +57,7 @@
     }
 
     /// The value of a required key.
-    pub fn need(&mut self, key: &'static str, example: &str, report: &mut Report) -> Option<Value<'t>> {
+    pub fn required(&mut self, key: &'static str, example: &str, report: &mut Report) -> Option<Value<'t>> {
         let value = self.get(key);
         if value.is_none() {
             let message = format!("{} has no `{key}`", self.name);
@@ -131,7 +131,7 @@
     if text.value.is_empty() || text.value.len() > MAX_NAME_LENGTH || !text.value.chars().all(good) {
         let message = format!("{:?} is not a name", text.value);
         let help = format!("1 to {MAX_NAME_LENGTH} letters, digits, `.`, `_` or `-`");
-        report.push(Diagnostic::new(Code::NameForm, text.span, message, help));
+        report.push(Diagnostic::new(Code::InvalidName, text.span, message, help));
         return None;
     }
     Some(text)
@@ -156,7 +156,7 @@
         DeValue::Integer(number) => {
             let help = format!("write \"{number}ms\" or \"{number}s\"");
             let message = format!("the duration {number} has no unit");
-            report.push(diagnostic(Code::DurationUnit, message, &help));
+            report.push(diagnostic(Code::MissingDurationUnit, message, &help));
             return None;
         }
         _ => return wrong_type(value, "a duration in quotes, such as \"250ms\"", report),
@@ -164,7 +164,7 @@
     match units::parse_duration(text) {
         Ok(time) if time.is_zero() && !zero => {
             report.push(diagnostic(
-                Code::DurationZero,
+                Code::ZeroDuration,
                 "this duration is zero".into(),
                 "write how long it is to be",
             ));
@@ -172,16 +172,20 @@
         }
         Ok(time) => Some(Located::new(time, value.span())),
         Err(DurationError::MissingUnit) => {
-            report.push(diagnostic(Code::DurationUnit, format!("the duration {text:?} has no unit"), units));
+            report.push(diagnostic(
+                Code::MissingDurationUnit,
+                format!("the duration {text:?} has no unit"),
+                units,
+            ));
             None
         }
         Err(DurationError::TooLong) => {
             let message = format!("{text:?} is longer than a day");
-            report.push(diagnostic(Code::DurationLong, message, "a day (`24h`) is the longest"));
+            report.push(diagnostic(Code::DurationTooLong, message, "a day (`24h`) is the longest"));
             None
         }
         Err(DurationError::Malformed) => {
-            report.push(diagnostic(Code::DurationForm, format!("{text:?} is no duration"), units));
+            report.push(diagnostic(Code::InvalidDuration, format!("{text:?} is no duration"), units));
             None
         }
     }
@@ -207,7 +211,7 @@
         None => {
             let message = "this number is outside its range";
             let help = format!("write a number from {min} to {max}");
-            report.push(Diagnostic::new(Code::NumberRange, value.span(), message, help));
+            report.push(Diagnostic::new(Code::NumberOutOfRange, value.span(), message, help));
             None
         }
     }
@@ -224,7 +228,7 @@
         None => {
             let message = format!("{digits} is outside its range");
             let help = format!("write a whole number from {min} to {max}");
-            report.push(Diagnostic::new(Code::NumberRange, value.span(), message, help));
+            report.push(Diagnostic::new(Code::NumberOutOfRange, value.span(), message, help));
             None
         }
     }
@@ -241,7 +245,12 @@
         Some(share) => Some(Located::new(share, value.span())),
         None => {
             let help = "write a number from 0 to 1, or a text from \"0%\" to \"100%\"";
-            report.push(Diagnostic::new(Code::ShareRange, value.span(), "this is no share of a whole", help));
+            report.push(Diagnostic::new(
+                Code::ShareOutOfRange,
+                value.span(),
+                "this is no share of a whole",
+                help,
+            ));
             None
         }
     }
@@ -257,7 +266,7 @@
         None => {
             let message = format!("{text:?} is no rate");
             let help = "write a number and what it is for: `50/s`, `300/m`, `10/h`";
-            report.push(Diagnostic::new(Code::RateForm, value.span(), message, help));
+            report.push(Diagnostic::new(Code::InvalidRate, value.span(), message, help));
             None
         }
     }
@@ -273,7 +282,7 @@
         None => {
             let message = format!("{text:?} is no size from {min}B to {max}B");
             let help = "write a whole number and `B`, `KiB`, `MiB` or `GiB`";
-            report.push(Diagnostic::new(Code::NumberRange, value.span(), message, help));
+            report.push(Diagnostic::new(Code::NumberOutOfRange, value.span(), message, help));
             None
         }
     }
@@ -287,7 +296,7 @@
         Err(_) => {
             let message = format!("{:?} is no address with a port", text.value);
             let help = "write `127.0.0.1:8080` or `[::1]:8080`; names are not looked up";
-            report.push(Diagnostic::new(Code::AddressForm, text.span, message, help));
+            report.push(Diagnostic::new(Code::InvalidAddress, text.span, message, help));
             None
         }
     }
@@ -305,7 +314,7 @@
                 None => format!("write one of {}", list(&known)),
             };
             let message = format!("`{}` is none of {}", text.value, list(&known));
-            report.push(Diagnostic::new(Code::Choice, text.span, message, help));
+            report.push(Diagnostic::new(Code::InvalidChoice, text.span, message, help));
             None
         }
     }
--- a/crates/route-config/tests/corpus.rs
+++ b/crates/route-config/tests/corpus.rs
@@ -93,7 +93,7 @@
         );
     }
     // A file that is too large is made by a test of its own, and a folder in place of one is none that can be read.
-    let elsewhere = [Code::TooLarge, Code::NotAFile];
+    let elsewhere = [Code::FileTooLarge, Code::UnreadableFile];
     let missing: Vec<_> = Code::ALL
         .iter()
         .filter(|code| !elsewhere.contains(code) && !covered.contains(code.as_str()))
@@ -108,7 +108,7 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/operators/file.md");
     let page = std::fs::read_to_string(&path).expect("the page");
     for code in Code::ALL {
-        let row = format!("| `{code}` | {} |", code.about());
+        let row = format!("| `{code}` | {} |", code.summary());
         assert!(page.contains(&row), "{} has no row: {row}", path.display());
     }
 }
@@ -130,7 +130,7 @@
     let line = b"# a line of remarks\n";
     let bytes: Vec<u8> = line.iter().copied().cycle().take(10 << 20).collect();
     let refused = route_config::load(&bytes).expect_err("too large");
-    assert_eq!(refused.diagnostics[0].code, Code::TooLarge);
+    assert_eq!(refused.diagnostics[0].code, Code::FileTooLarge);
 }
 
 /// Many errors are counted, and the first are returned.
--- a/crates/standalone-proxy/src/file_node/diagnostics.rs
+++ b/crates/standalone-proxy/src/file_node/diagnostics.rs
@@ -77,7 +77,7 @@
             None => "here".into(),
         };
         let main = LabeledSpan::new_primary_with_span(Some(label), self.fault.span.clone());
-        let related = self.fault.also.iter();
+        let related = self.fault.related.iter();
         let related =
             related.map(|(span, text)| LabeledSpan::new_with_span(Some(text.clone()), span.clone()));
         Some(Box::new(std::iter::once(main).chain(related)))
@@ -177,7 +177,11 @@
         message: &fault.message,
         help: &fault.help,
         span: json_span(&fault.span),
-        related: fault.also.iter().map(|(span, text)| JsonRelated { text, span: json_span(span) }).collect(),
+        related: fault
+            .related
+            .iter()
+            .map(|(span, text)| JsonRelated { text, span: json_span(span) })
+            .collect(),
     });
     let report = JsonReport {
         file: path.display().to_string(),
--- a/crates/standalone-proxy/src/file_node/router.rs
+++ b/crates/standalone-proxy/src/file_node/router.rs
@@ -218,7 +218,7 @@
         let fallback = self.plan.routes[route?].settings.fallback.value.as_ref()?;
         let mut response = Response::new(Full::from(fallback.body.clone()).into());
         *response.status_mut() = StatusCode::from_u16(fallback.status).ok()?;
-        response.headers_mut().insert(header::CONTENT_TYPE, fallback.media.clone());
+        response.headers_mut().insert(header::CONTENT_TYPE, fallback.media_type.clone());
         // What replaces a response for now must not be cached as one.
         response.headers_mut().insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
         Some(response)
@@ -276,7 +276,7 @@
         let correlation_id = self.correlation_id(head, &mut headers)?;
         let settings = &route.settings;
         let remaining = remaining_time(head, settings.timeout.value)?;
-        let target = forwarded_target(head, &path, route.sent_path(&path, &captures));
+        let target = forwarded_target(head, &path, route.forwarded_path(&path, &captures));
         let subject = route.subject.map(captured).filter(|subject| !subject.is_empty());
         let request = NewRequest {
             id: RequestId(0),
--- a/crates/standalone-proxy/src/file_node/source.rs
+++ b/crates/standalone-proxy/src/file_node/source.rs
@@ -36,13 +36,13 @@
 pub fn load(path: &Path) -> Result<Source, InvalidSource> {
     let failed = |e: io::Error| {
         let help = "name a file that this user may read";
-        InvalidSource::unreadable(Code::NotAFile, format!("{}: {e}", path.display()), help)
+        InvalidSource::unreadable(Code::UnreadableFile, format!("{}: {e}", path.display()), help)
     };
     let metadata = std::fs::metadata(path).map_err(failed)?;
     if !metadata.is_file() {
         let kind = if metadata.is_dir() { "a folder" } else { "no ordinary file" };
         let message = format!("{} is {kind}", path.display());
-        return Err(InvalidSource::unreadable(Code::NotAFile, message, "name an ordinary file"));
+        return Err(InvalidSource::unreadable(Code::UnreadableFile, message, "name an ordinary file"));
     }
     let mut bytes = Vec::new();
     // One byte more than is accepted shows that there is more; the file may grow while it is read.
