--- a/crates/load-generator/src/diff.rs
+++ b/crates/load-generator/src/diff.rs
@@ -1,42 +1,45 @@
-//! The comparison of two reports: the difference of each figure, and its confidence interval from repeated runs.
+//! Compares two reports: the difference of each metric, with a confidence interval if both plans were run
+//! repeatedly.
 
 use crate::report::{Report, Run};
 use std::fmt::Write;
 
-/// An interval of differences.
+/// A confidence interval of a difference, in the unit of its metric.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Interval {
-    /// Its lower end.
+    /// The lower bound.
     pub from: f64,
-    /// Its upper end.
+    /// The upper bound.
     pub to: f64,
 }
 
-/// A figure of two reports.
+/// A metric that is compared between two reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// Its name.
+    /// The name of the metric, with its unit.
     pub name: &'static str,
-    /// Its mean over the runs of the first report.
+    /// The mean over the runs of the first report.
     pub first_mean: f64,
-    /// Its mean over the runs of the second report.
+    /// The mean over the runs of the second report.
     pub second_mean: f64,
-    /// The second mean less the first.
+    /// The second mean minus the first.
     pub difference: f64,
-    /// The 95% confidence interval of the difference, where runs were repeated.
+    /// The 95% confidence interval of the difference; `None` if a report has fewer than two runs with this
+    /// metric.
     pub interval: Option<Interval>,
 }
 
 impl Row {
-    /// Whether the interval excludes that there is no difference.
+    /// Whether the interval excludes a difference of 0. Always `false` without an interval.
     pub fn is_significant(&self) -> bool {
         self.interval.is_some_and(|Interval { from, to }| from > 0.0 || to < 0.0)
     }
 }
 
-type Figure = (&'static str, fn(&Run) -> Option<f64>);
+/// The name of a metric, and how it is read from a run; `None` if the run has no value.
+type Metric = (&'static str, fn(&Run) -> Option<f64>);
 
-const FIGURES: [Figure; 8] = [
+const METRICS: [Metric; 8] = [
     ("p50 ms", |run| Some(run.all.latency?.p50)),
     ("p90 ms", |run| Some(run.all.latency?.p90)),
     ("p99 ms", |run| Some(run.all.latency?.p99)),
@@ -50,7 +53,7 @@
     ("reached /s", |run| Some(run.verdict.sent_per_s)),
 ];
 
-/// The 97.5% quantile of Student's distribution, for so many degrees of freedom.
+/// The 97.5% quantile of Student's t-distribution with this many degrees of freedom.
 fn student_quantile(freedom: f64) -> f64 {
     const TABLE: [f64; 30] = [
         12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
@@ -68,10 +71,11 @@
     (mean, if values.len() > 1 { squares / (n - 1.0) } else { 0.0 })
 }
 
-/// Compares two reports, figure by figure (Welch's interval: the variances of the two may differ).
+/// Compares two reports, metric by metric. Intervals are Welch's: the variances of the two reports may
+/// differ.
 pub fn compare(first: &Report, second: &Report) -> Vec<Row> {
-    let row = |(name, figure): Figure| {
-        let values = |report: &Report| report.runs.iter().filter_map(figure).collect::<Vec<_>>();
+    let row = |(name, value_of): Metric| {
+        let values = |report: &Report| report.runs.iter().filter_map(value_of).collect::<Vec<_>>();
         let (a, b) = (values(first), values(second));
         if a.is_empty() || b.is_empty() {
             return None;
@@ -87,23 +91,23 @@
         });
         Some(Row { name, first_mean: mean_a, second_mean: mean_b, difference, interval })
     };
-    FIGURES.into_iter().filter_map(row).collect()
+    METRICS.into_iter().filter_map(row).collect()
 }
 
-/// The comparison as a table.
+/// The comparison as a table for the terminal, followed by the reasons why runs are invalid.
 pub fn text(first: &Report, second: &Report) -> String {
     let mut out = String::new();
     let _ = writeln!(
         out,
-        "{:<12}{:>12}{:>12}{:>12}   95% interval of the difference",
+        "{:<12}{:>12}{:>12}{:>12}   95% confidence interval of the difference",
         "", "first", "second", "diff"
     );
     for row in compare(first, second) {
         let interval = match row.interval {
-            None => "none: one run alone says nothing of chance".into(),
+            None => "none: each report needs at least two runs".into(),
             Some(Interval { from, to }) => {
-                let doubt = if row.is_significant() { "" } else { "  (may be chance)" };
-                format!("{from:.3} to {to:.3}{doubt}")
+                let note = if row.is_significant() { "" } else { "  (not significant)" };
+                format!("{from:.3} to {to:.3}{note}")
             }
         };
         let (a, b) = (row.first_mean, row.second_mean);
--- a/crates/load-generator/src/diff/tests.rs
+++ b/crates/load-generator/src/diff/tests.rs
@@ -31,9 +31,10 @@
     report
 }
 
-/// Worked out by hand: means 10 and 12, variances 1 and 4, five runs each: the error is 1, Welch's freedom 5.88.
+/// Calculated by hand: with means 10 and 12, variances 1 and 4 and five runs each, the standard error is 1
+/// and Welch's degrees of freedom are 5.88.
 #[test]
-fn an_interval_is_welchs() {
+fn the_interval_is_that_of_welchs_test() {
     let a = report(&[9.0, 9.0, 10.0, 11.0, 11.0]);
     let b = report(&[10.0, 10.0, 12.0, 14.0, 14.0]);
     let rows = compare(&a, &b);
@@ -42,15 +43,15 @@
         ("p50 ms", 10.0, 12.0, 2.0)
     );
     let Interval { from, to } = rows[0].interval.expect("an interval");
-    // 2.571 for 5 degrees of freedom.
+    // The quantile for 5 degrees of freedom is 2.571.
     assert!((from - (2.0 - 2.571)).abs() < 1e-9 && (to - (2.0 + 2.571)).abs() < 1e-9, "{from} {to}");
     assert!(!rows[0].is_significant());
     assert!(compare(&report(&[1.0, 1.1]), &report(&[9.0, 9.1]))[0].is_significant());
 }
 
 #[test]
-fn one_run_has_no_interval_and_none_no_row() {
+fn a_single_run_has_no_interval_and_a_report_without_runs_no_rows() {
     assert_eq!(compare(&report(&[1.0]), &report(&[2.0, 3.0]))[0].interval, None);
     assert!(compare(&report(&[]), &report(&[2.0])).is_empty());
-    assert!(text(&report(&[1.0]), &report(&[2.0])).contains("one run alone"));
+    assert!(text(&report(&[1.0]), &report(&[2.0])).contains("none: each report needs at least two runs"));
 }
--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -1,5 +1,5 @@
-//! The plan of a run: what is sent, when, by which clients. From a TOML file, or the options of the command line; checked as a
-//! whole.
+//! The plan of a run: which requests are sent, when, and how clients behave. Built from a TOML file, from
+//! options of the command line or from a trace, and validated as a whole.
 
 use crate::mix::{DrawnRequest, KeyDistribution, RequestClass, RequestMix};
 use crate::schedule::{Schedule, Shape, Spacing};
@@ -10,119 +10,119 @@
 use std::time::Duration;
 use units::{DurationSetting, FractionSetting};
 
-/// A plan.
+/// A validated plan.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// When requests are due.
     pub schedule: Schedule,
-    /// Their classes.
+    /// The classes of requests.
     pub classes: Vec<RequestClass>,
-    /// The tenants.
+    /// The tenants; empty for requests without a tenant.
     pub tenants: Vec<TenantWeight>,
-    /// The keys of requests.
+    /// The distribution of request keys.
     pub keys: KeyDistribution,
-    /// How clients behave.
+    /// How clients time out and retry.
     pub clients: ClientBehaviour,
-    /// Recorded traffic in place of schedule and classes.
+    /// Recorded requests that replace the schedule and the request mix; `None` to generate them.
     pub trace: Option<Arc<Trace>>,
-    /// The largest number of connections.
+    /// The maximum number of connections over all threads.
     pub connections: usize,
-    /// Threads that send.
+    /// The number of sending threads, 1 to 64.
     pub threads: usize,
-    /// How far behind its schedule the generator may be (99th percentile).
+    /// The 99th percentile of the send lag above which a run is invalid.
     pub max_lag: Duration,
 }
 
-/// A tenant, and its weight among the tenants.
+/// A tenant and its relative frequency.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantWeight {
-    /// Its name.
+    /// The name, sent as `X-Account`.
     pub name: String,
-    /// Its weight.
+    /// The relative frequency of the tenant's requests.
     pub weight: f64,
 }
 
-/// How clients behave.
+/// How clients react to rejections and failures.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientBehaviour {
-    /// The share of clients that retry when they are rejected, fail or get no response; 0 to 1.
+    /// The share of requests, 0 to 1, that are retried after a rejection, a failure or no response.
     pub retry_share: f64,
-    /// How often they do at most.
+    /// The maximum number of retries of a request.
     pub max_retries: u32,
-    /// How long they wait before that.
+    /// The delay before a retry.
     pub retry_delay: Duration,
-    /// The share of them, 0 to 1, that wait as long as `Retry-After` says instead.
+    /// The share of requests, 0 to 1, whose clients wait as long as `Retry-After` says instead.
     pub honour_share: f64,
 }
 
-/// A request that is due at a time.
+/// A request with its due time.
 #[derive(Clone, Debug)]
 pub struct ScheduledRequest {
-    /// Its number, from 0.
+    /// The number of the request in the plan, from 0.
     pub number: u64,
-    /// When it is due, from the start of the run.
+    /// When it is due, since the start of the run.
     pub at: Duration,
-    /// The request.
+    /// The class, tenant, key and random bits.
     pub drawn: DrawnRequest,
 }
 
 quick_error! {
-    /// Why a plan is rejected. The texts are shown to whoever wrote it, so they have the words of the file.
+    /// Why a plan is rejected. The messages use the keys of the file, since its author reads them.
     #[derive(Debug)]
     pub enum PlanError {
-        /// It is no TOML, or has a key or value that there is not; with the line.
+        /// The file is not TOML, or has an unknown key or an invalid value. The error shows the line.
         Syntax(source: toml::de::Error) {
             from()
             display("{source}")
             source(source)
         }
-        /// It has no duration.
+        /// `for` is missing.
         MissingDuration {
-            display("the plan has no `for`, such as \"30s\"")
+            display("the plan has no `for`, the duration of the run, such as \"30s\"")
         }
-        /// The trace has no requests.
+        /// The trace has no valid lines.
         EmptyTrace {
-            display("the trace has no request that can be read")
+            display("the trace contains no valid request")
         }
-        /// A rate is no number, or larger than [`MAX_RATE`].
+        /// A rate or the count of a burst is not a finite number, or larger than [`MAX_RATE`].
         InvalidRate {
-            display("a rate is no number, or beyond ten million a second")
+            display("a rate or count must be a number of at most {MAX_RATE}")
         }
-        /// It has no shape or a duration of zero.
+        /// There is no shape, or the duration is zero.
         NothingToSend {
-            display("nothing would be sent: a plan has a `for` above 0 and at least one `[[shape]]`")
+            display("the plan sends nothing: it needs a `for` above 0 and at least one `[[shape]]`")
         }
-        /// It has no class.
+        /// There is no class.
         NoClass {
             display("the plan has no `[[class]]`")
         }
-        /// A weight is negative or no number.
+        /// A weight is negative or not a finite number.
         InvalidWeight {
-            display("a weight is below 0, or no number")
+            display("a weight is negative or not a number")
         }
-        /// No class has a weight.
+        /// All classes have a weight of 0.
         NoWeight {
             display("no class has a weight above 0")
         }
-        /// The path of a class: the class and the path.
+        /// A class has an invalid path: the class and the path.
         InvalidPath(class: String, path: String) {
-            display("class {class}: {path:?} is no path")
+            display("class {class}: {path:?} is not a valid path")
         }
-        /// The method of a class: the class and the method.
+        /// A class has an invalid method: the class and the method.
         InvalidMethod(class: String, method: String) {
-            display("class {class}: {method:?} is no method")
+            display("class {class}: {method:?} is not a valid method")
         }
-        /// The time-out or the body of a class.
+        /// A class has a time-out of 0 or a body larger than [`MAX_BODY`].
         InvalidClass(class: String) {
-            display("class {class}: no patience, or too large a body")
+            display("class {class}: `patience` must be above 0, and `body` at most {MAX_BODY} bytes")
         }
-        /// The numbers of connections and threads.
+        /// The number of connections or of threads is out of range.
         InvalidCapacity {
-            display("there must be a connection and 1 to 64 threads")
+            display("`connections` must be at least 1, and `threads` 1 to {MAX_THREADS}")
         }
-        /// The distribution of keys.
+        /// The count or the exponent of the key distribution is out of range.
         InvalidKeys {
-            display("keys: a count above 0 and an exponent of 0 or more")
+            display("`keys` needs a `count` above 0 and a `zipf` of 0 or more")
         }
     }
 }
@@ -218,19 +218,21 @@
     1.0
 }
 
-/// How long clients wait for a response, where a class does not say.
+/// The time-out of a class that sets none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
-/// As many connections as a process usually has descriptors for, less some.
+/// Leaves some of the usual limit of 1024 file descriptors per process.
 const DEFAULT_CONNECTIONS: usize = 900;
-/// One request in a hundred may be so far behind; more would show in the percentiles that are reported.
+/// The default limit of the 99th percentile of the send lag. A larger lag would distort the reported
+/// percentiles.
 const DEFAULT_MAX_LAG: Duration = Duration::from_millis(10);
-/// More requests a second than one machine sends, by far.
+/// The largest rate in requests per second, far above what one machine can send; also the largest count of a
+/// burst.
 const MAX_RATE: f64 = 1e7;
-/// The largest body that is sent, in bytes.
+/// The largest request body, in bytes.
 const MAX_BODY: usize = 16 << 20;
-/// The largest number of threads.
+/// The largest number of sending threads.
 const MAX_THREADS: usize = 64;
-/// The keys of a plan that does not say.
+/// The key distribution of a plan that sets none.
 const DEFAULT_KEYS: KeyDistribution = KeyDistribution { count: 10_000, exponent: 0.9 };
 
 impl RawShape {
@@ -296,7 +298,7 @@
 }
 
 impl Plan {
-    /// The plan of a steady rate of requests to one path.
+    /// A plan with a constant rate of requests without a body to one path.
     ///
     /// # Errors
     /// The rate, the duration, the method or the path is invalid.
@@ -332,19 +334,20 @@
         .checked()
     }
 
-    /// Reads a plan from TOML.
+    /// Parses and validates a plan in TOML.
     ///
     /// # Errors
-    /// The line that can't be read, or what does not fit together.
+    /// The text is not a plan in TOML, or its values are invalid or don't fit together.
     pub fn read(text: &str) -> Result<Self, PlanError> {
         let raw: RawPlan = toml::from_str(text)?;
         raw.into_plan()?.checked()
     }
 
-    /// The plan of a recorded trace, with its classes and tenants; all else is as in `base`.
+    /// A plan that replays a trace. Its classes, tenants and duration are those of the trace, all else is as
+    /// in `base`.
     ///
     /// # Errors
-    /// The trace has no request, or does not make a valid plan.
+    /// The trace has no request, or the resulting plan is invalid.
     pub fn of_trace(trace: Trace, base: &Plan) -> Result<Self, PlanError> {
         let Some(last) = trace.requests.last() else { return Err(PlanError::EmptyTrace) };
         let mut plan = base.clone();
@@ -373,6 +376,7 @@
         plan.checked()
     }
 
+    /// Returns the plan if it is valid.
     fn checked(self) -> Result<Self, PlanError> {
         self.check_schedule()?;
         self.check_weights()?;
@@ -419,7 +423,7 @@
         Ok(())
     }
 
-    /// All requests of the plan, by time.
+    /// All requests of the plan, in the order of their due times.
     pub fn requests(&self) -> Box<dyn Iterator<Item = ScheduledRequest> + Send + '_> {
         let tenants: Vec<_> = self.tenants.iter().map(|tenant| tenant.weight).collect();
         let mut mix = RequestMix::new(&self.classes, &tenants, self.keys, self.schedule.seed);
--- a/crates/load-generator/src/plan/tests.rs
+++ b/crates/load-generator/src/plan/tests.rs
@@ -16,30 +16,30 @@
 }
 
 #[test]
-fn invalid_plans_are_rejected_for_what_is_wrong() {
-    for (good, bad, says) in [
+fn invalid_plans_are_rejected_with_an_error_that_names_the_cause() {
+    for (valid, invalid, expected) in [
         ("rate = 100", "rate = nan", "rate"),
         ("rate = 100", "rate = 1e9", "rate"),
         ("for = \"10s\"", "", "for"),
-        ("for = \"10s\"", "for = \"0s\"", "nothing would be sent"),
+        ("for = \"10s\"", "for = \"0s\"", "the plan sends nothing"),
         ("\"10s\"", "10", "string"),
         ("weight = 68", "weight = -1", "weight"),
-        ("\"/tally/{key}\"", "\"/tally/{keys}\"", "no path"),
-        ("\"/tally/{key}\"", "\"tally\"", "no path"),
-        ("method = \"GET\"", "method = \"get\"", "no method"),
+        ("\"/tally/{key}\"", "\"/tally/{keys}\"", "not a valid path"),
+        ("\"/tally/{key}\"", "\"tally\"", "not a valid path"),
+        ("method = \"GET\"", "method = \"get\"", "not a valid method"),
         ("connections = 64", "connections = 0", "connection"),
         ("seed = 3", "sed = 3", "sed"),
         ("\"50%\"", "\"150%\"", "share"),
         ("kind = \"burst\"", "kind = \"bust\"", "bust"),
     ] {
-        assert!(VALID.contains(good), "{good}");
-        let error = Plan::read(&VALID.replace(good, bad)).expect_err(bad).to_string();
-        assert!(error.contains(says), "{bad}: {error}");
+        assert!(VALID.contains(valid), "{valid}");
+        let error = Plan::read(&VALID.replace(valid, invalid)).expect_err(invalid).to_string();
+        assert!(error.contains(expected), "{invalid}: {error}");
     }
 }
 
 #[test]
-fn a_trace_is_a_plan() {
+fn a_plan_of_a_trace_has_its_times_classes_and_tenants() {
     let text = b"{\"t\":1,\"method\":\"GET\",\"target\":\"/a\",\"class\":\"x\",\"tenant\":\"p\"}\n\
             {\"t\":3,\"method\":\"POST\",\"target\":\"/b\",\"class\":\"y\"}\n";
     let from = Plan::steady(1.0, Duration::from_secs(1), "GET", "/").expect("a plan");
--- a/crates/load-generator/src/report.rs
+++ b/crates/load-generator/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a plan: the figures of its runs as JSON, and as a table for the terminal.
+//! The report of a plan: the results of its runs, as JSON and as a table for the terminal.
 
 use crate::engine::RunOutput;
 use crate::plan::Plan;
@@ -10,57 +10,59 @@
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
-// Reports are kept in files: `rename` keeps the names that fields have there, and `expecting` the words of errors.
+// Reports are stored in files: `rename` keeps the names of their fields, and `expecting` the messages of
+// serde errors.
 
-/// The version of the form of a report.
+/// The version of the report format.
 const FORM: u32 = 1;
 
-/// A report of one plan, run once or several times.
+/// The report of a plan that was run once or repeatedly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The form of this text.
+    /// The version of the report format.
     pub form: u32,
-    /// Where requests went.
+    /// The target of the requests, as the caller names it.
     pub target: String,
-    /// The plan's seed.
+    /// The seed of the plan.
     pub seed: u64,
-    /// How long a run was to take, in seconds.
+    /// The planned duration of a run, in seconds.
     pub seconds: f64,
-    /// What was wrong with a trace.
+    /// Problems of the replayed trace; empty without one.
     #[serde(default)]
     pub notes: Vec<String>,
-    /// The runs.
+    /// The results of each run.
     pub runs: Vec<Run>,
 }
 
-/// A run.
+/// The results of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// Whether its figures can be trusted.
+    /// Whether the results are valid, and if not, why.
     pub verdict: Verdict,
-    /// Requests that were due.
+    /// The number of requests that the plan scheduled.
     pub due: u64,
-    /// Attempts, first ones and retries.
+    /// The number of attempts, including retries.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// All requests.
+    /// The figures of all requests.
     pub all: RequestFigures,
-    /// By class.
+    /// The figures by class, in the order of the plan.
     pub classes: Vec<RequestFigures>,
-    /// By the backend that responded.
+    /// The figures by the backend that responded last.
     #[serde(rename = "boxes")]
     pub backends: Vec<RequestFigures>,
-    /// By the second in which they were due.
+    /// The figures by the second in which requests were due.
     pub by_second: Vec<RequestFigures>,
-    /// From sending to response: what a closed loop would show as latency.
+    /// The times from sending to response, which a closed loop would show as latency; `None` if no request
+    /// was served.
     #[serde(rename = "service")]
     pub service_time: Option<TimeQuantiles>,
-    /// How late the generator sent.
+    /// How late the generator sent first attempts; `None` if it sent none.
     pub lag: Option<TimeQuantiles>,
-    /// The busiest thread's share of a core.
+    /// The busiest thread's share of a core, 0 to 1; `None` if the system does not report it.
     #[serde(rename = "cpu")]
     pub cpu_share: Option<f64>,
-    /// Quantiles, and the latency at each in milliseconds.
+    /// Pairs of a quantile, 0 to 1, and the latency there in milliseconds; empty if no request was served.
     pub curve: Vec<(f64, f64)>,
 }
 
@@ -68,15 +70,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Part")]
 pub struct RequestFigures {
-    /// What they have in common.
+    /// The class, backend or second that the requests have in common; `all` for all.
     pub name: String,
-    /// How many had each outcome: served, refused, failed, lost, unsent.
+    /// The number of requests by outcome, in the order of [`outcome_names`].
     pub outcomes: [u64; 5],
-    /// Latency of those that were served, from their intended times.
+    /// The latencies of served requests from their due times; `None` if none was served.
     pub latency: Option<TimeQuantiles>,
 }
 
-/// The distribution of times, in milliseconds.
+/// The quantiles of a distribution of times, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Times")]
 pub struct TimeQuantiles {
@@ -90,7 +92,7 @@
     pub p99: f64,
     /// The 99.9th percentile.
     pub p999: f64,
-    /// The largest.
+    /// The maximum.
     pub max: f64,
 }
 
@@ -117,7 +119,7 @@
     }
 }
 
-/// The latencies at quantiles up to one in a hundred thousand, closer together towards the end.
+/// The latencies at 51 quantiles up to 0.99999, evenly spaced in the logarithm of 1 - quantile.
 fn quantile_curve(histogram: &Histogram<u64>) -> Vec<(f64, f64)> {
     if histogram.is_empty() {
         return Vec::new();
@@ -127,7 +129,7 @@
 }
 
 impl Run {
-    /// The figures of a run.
+    /// Computes the figures of a run.
     pub fn of(plan: &Plan, output: &RunOutput) -> Self {
         let record = &output.record;
         let classes = plan.classes.iter().zip(&record.classes);
@@ -156,21 +158,21 @@
     /// Why a report can't be read.
     #[derive(Debug)]
     pub enum ReportError {
-        /// It is no report.
+        /// The text is not a report in JSON.
         Parse(source: serde_json::Error) {
             from()
             display("not a report: {source}")
             source(source)
         }
-        /// It is of another form.
+        /// The report has another version of the format.
         OtherForm(form: u32) {
-            display("a report of form {form}, and this program reads form {FORM}")
+            display("unsupported report form {form}: this program reads form {FORM}")
         }
     }
 }
 
 impl Report {
-    /// A report without runs.
+    /// A report without runs, with notes on the plan's trace.
     pub fn new(plan: &Plan, target: impl Into<String>) -> Self {
         let mut notes = Vec::new();
         if let Some(trace) = &plan.trace {
@@ -196,10 +198,10 @@
         }
     }
 
-    /// Reads a report from JSON.
+    /// Parses a report in JSON.
     ///
     /// # Errors
-    /// The text is no report, or one of another form.
+    /// The text is not a report, or has another version of the format.
     pub fn read(text: &[u8]) -> Result<Self, ReportError> {
         let report: Report = serde_json::from_slice(text)?;
         if report.form != FORM {
@@ -208,18 +210,18 @@
         Ok(report)
     }
 
-    /// The report as JSON.
+    /// The report as JSON, in one line.
     pub fn json(&self) -> String {
-        // Serialization to a string fails for no value of these types.
+        // Serializing these types to a string can't fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Whether the figures of all runs can be trusted.
+    /// Whether all runs are valid.
     pub fn is_valid(&self) -> bool {
         self.runs.iter().all(|run| run.verdict.is_valid())
     }
 
-    /// The report as a table.
+    /// The report as a table for the terminal, with the reasons of invalid runs and the notes.
     pub fn text(&self) -> String {
         let mut out = String::new();
         // Writing to a string can't fail.
@@ -280,7 +282,7 @@
     times(out, &run.lag);
 }
 
-/// The names of outcomes, in the order in which reports have them.
+/// The names of outcomes in the order of the counts in reports.
 pub fn outcome_names() -> [&'static str; 5] {
     Outcome::ALL.map(Outcome::name)
 }
--- a/crates/load-generator/src/trace.rs
+++ b/crates/load-generator/src/trace.rs
@@ -1,11 +1,12 @@
-//! Recorded traffic: one JSON object a line, read with an account of what is wrong with it.
+//! Recorded traffic: one JSON object per line. Invalid lines are skipped and counted.
 //!
 //! ```text
 //! {"t":0.016,"method":"POST","target":"/tally-submit/7f3a","class":"tally-submit","tenant":"pati","key":true,"body":212}
 //! ```
 //!
-//! `t` is the time in seconds from any moment at all; the earliest counts as 0. `tenant`, `key` (whether an
-//! `Idempotency-Key` came with it) and `body` (its bytes) may be missing. Other fields are ignored.
+//! `t` is the time in seconds from an arbitrary origin; the earliest counts as 0. `tenant`, `key` (whether
+//! the request had an `Idempotency-Key`) and `body` (its size in bytes) are optional. Other fields are
+//! ignored.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
@@ -13,20 +14,20 @@
 
 /// A line of a trace. Its fields are the keys of the JSON object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(expecting = "struct Line")] // as it is in errors that users see
+#[serde(expecting = "struct Line")] // the name in error messages
 pub struct TraceEntry {
-    /// When, in seconds from any moment.
+    /// When the request was sent, in seconds from an arbitrary origin.
     pub t: f64,
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// Path and query.
+    /// The path and query.
     pub target: String,
-    /// The class, for reports.
+    /// The name of the class in reports.
     pub class: String,
-    /// The tenant.
+    /// The tenant; `None` for a request without one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<String>,
-    /// Whether it had an idempotency key.
+    /// Whether the request had an idempotency key.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub key: bool,
     /// The size of the body, in bytes.
@@ -38,72 +39,74 @@
     *n == 0
 }
 
-/// A request of a trace, and when it is due.
+/// A request of a trace with its due time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceRequest {
-    /// The time since the first request.
+    /// When it is due, since the first request and scaled by the speed.
     pub at: Duration,
-    /// The request.
+    /// The recorded line.
     pub entry: TraceEntry,
 }
 
-/// A line that can't be read.
+/// An invalid line of a trace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidLine {
-    /// Its number, from 1.
+    /// The line number, from 1.
     pub number: usize,
-    /// What is wrong with it.
+    /// Why the line is invalid.
     pub reason: String,
 }
 
-/// A trace, ready to be sent.
+/// A trace that can be replayed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Trace {
-    /// Its requests by time.
+    /// The valid requests by due time.
     pub requests: Vec<TraceRequest>,
-    /// How many lines can't be read.
+    /// The number of invalid lines.
     pub invalid_lines: usize,
-    /// The first of them.
+    /// The first invalid line; `None` if all are valid.
     pub first_invalid: Option<InvalidLine>,
-    /// Lines after one of a later time. They are sent at their own times.
+    /// The number of lines whose time is before that of the previous valid line. They are sent at their own
+    /// times.
     pub out_of_order: usize,
-    /// Whether the last line is incomplete. It is not sent.
+    /// Whether the last line is incomplete, in which case it is not sent.
     pub is_truncated: bool,
 }
 
 quick_error! {
-    /// Why a line of a trace can't be used.
+    /// Why a line of a trace is invalid.
     #[derive(Debug)]
     enum EntryError {
-        /// It is no entry.
+        /// The line is not an entry in JSON.
         Parse(source: serde_json::Error) {
             from()
             display("{source}")
             source(source)
         }
-        /// Its time is no number.
+        /// The time is not a finite number.
         InvalidTime {
             display("t: not a time")
         }
-        /// Its target is no path.
+        /// The target does not begin with a slash, or has a space or a control character.
         InvalidTarget {
             display("target: not a path")
         }
-        /// Its method is not in capitals.
+        /// The method is not in capital letters.
         InvalidMethod {
             display("method: not a method")
         }
-        /// Its body is larger than [`MAX_BODY`].
+        /// The body is larger than [`MAX_BODY`].
         BodyTooLarge {
             display("body: {MAX_BODY} bytes at most")
         }
     }
 }
 
-/// The largest body that is sent, in bytes.
+/// The largest request body, in bytes.
 const MAX_BODY: usize = 16 << 20;
 
-/// Reads a trace. With a `speed` of 2 it is sent twice as fast as it was recorded; a speed that is not above 0 counts as 1.
+/// Parses a trace. A `speed` of 2 replays it twice as fast as it was recorded; a speed that is not above 0
+/// counts as 1.
 pub fn read(text: &[u8], speed: f64) -> Trace {
     let mut trace = Trace::default();
     let mut entries: Vec<TraceEntry> = Vec::new();
@@ -120,7 +123,7 @@
                 trace.out_of_order += usize::from(is_out_of_order);
                 entries.push(entry);
             }
-            // A trace that was truncated ends in the middle of a line, which makes the line incomplete, not invalid.
+            // A truncated trace ends in the middle of a line: that line counts as incomplete, not as invalid.
             Err(_) if number == count && !is_complete => trace.is_truncated = true,
             Err(error) => {
                 trace.invalid_lines += 1;
--- a/crates/marlwinch/tests/demo.rs
+++ b/crates/marlwinch/tests/demo.rs
@@ -120,7 +120,7 @@
         "it needs nothing"
     );
     let (_, output, _) = load(&["diff", &json, &json]);
-    assert!(output.contains("p99 ms") && output.contains("(may be chance)"), "{output}");
+    assert!(output.contains("p99 ms") && output.contains("(not significant)"), "{output}");
 }
 
 #[test]
