--- a/crates/test-servers/src/backend_model.rs
+++ b/crates/test-servers/src/backend_model.rs
@@ -1,5 +1,5 @@
-//! The model of a backend, without sockets and without a clock: events and their times go in, what starts and when it
-//! completes comes out. The same seed and the same events give the same results.
+//! A deterministic model of a backend without sockets or a clock. Callers pass events with their times, and
+//! get the requests that start with their completion times. The same seed and events give the same results.
 
 use rand::Rng;
 use rand_distr::{Distribution, Exp, LogNormal};
@@ -7,28 +7,29 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// How long a request takes on a core of speed 1.
+/// The distribution of the time that a request takes on a core of speed 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServiceTime {
-    /// Always the same.
+    /// A constant time.
     Fixed(Duration),
     /// Uniform between two times.
     Uniform(Duration, Duration),
-    /// Exponential with this mean.
+    /// Exponentially distributed with this mean.
     Exponential(Duration),
-    /// Log-normal by its median and the standard deviation of its logarithm.
+    /// Log-normally distributed with this median and standard deviation of the logarithm.
     LogNormal(Duration, f64),
 }
 
 impl ServiceTime {
-    /// Draws a time, of one day at most.
+    /// Draws a time of at most one day.
     pub fn draw(&self, rng: &mut impl Rng) -> Duration {
         let seconds = match *self {
             ServiceTime::Fixed(time) => time.as_secs_f64(),
             ServiceTime::Uniform(min, max) => {
                 rng.random_range(min.as_secs_f64()..=max.max(min).as_secs_f64())
             }
-            // Neither fails for a mean above 0 and a finite spread; otherwise the mean is taken.
+            // These distributions are valid for a mean above 0 and a finite spread; otherwise the mean or
+            // median is used.
             ServiceTime::Exponential(mean) => {
                 Exp::new(1.0 / mean.as_secs_f64().max(1e-9)).map_or(mean.as_secs_f64(), |exp| exp.sample(rng))
             }
@@ -41,88 +42,90 @@
     }
 }
 
-/// The slow start of a backend, and what makes it crash meanwhile.
+/// The slow start of a backend, and the overload that makes it crash before it is warm.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// The share of its capacity, 0 to 1, that it has at its start.
+    /// The share of its capacity, 0 to 1, at its start.
     pub initial_share: f64,
-    /// The time until it has all of its capacity; the share rises linearly.
+    /// The time from the start to full capacity; the share rises linearly.
     pub warm_up_time: Duration,
-    /// It crashes when it is sent more than this multiple of its present capacity ...
+    /// It crashes if the work that it receives within `overload_time` exceeds its current capacity by this
+    /// factor.
     pub overload_factor: f64,
-    /// ... for this long.
+    /// The length of the window over which received work is compared with capacity.
     pub overload_time: Duration,
 }
 
-/// How a backend with a long queue slows down.
+/// How a backend slows down under overload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Degradation {
-    /// Queued requests for each core beyond which the backend is overloaded.
+    /// The number of queued requests per core above which it is overloaded.
     pub queued_per_core: f64,
-    /// It slows down once it has been overloaded for this long ...
+    /// How long it must be overloaded before it slows down.
     pub onset: Duration,
-    /// ... by this factor ...
+    /// The factor by which requests that start while it is degraded take longer.
     pub factor: f64,
-    /// ... and recovers once its queue has been empty for this long.
+    /// How long its queue must be empty before it recovers.
     pub recovery_time: Duration,
 }
 
 /// The fixed properties of a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendSpec {
-    /// The largest number of requests that run at once.
+    /// The number of cores, each of which runs one request at a time.
     pub cores: u32,
-    /// The speed of its cores relative to that of [`ServiceTime`].
+    /// The speed of its cores; [`ServiceTime`] refers to a speed of 1.
     pub speed: f64,
     /// The largest number of queued requests.
     pub queue: u32,
-    /// How long a request takes.
+    /// The distribution of service times.
     pub service_time: ServiceTime,
-    /// Its slow start; `None` for a backend that has all of its capacity at once.
+    /// The slow start; `None` for full capacity from the start.
     pub cold_start: Option<ColdStart>,
-    /// How it slows down when overloaded; `None` for a backend that does not.
+    /// The degradation under overload; `None` for none.
     pub degradation: Option<Degradation>,
-    /// For how long it recognizes an idempotency key.
+    /// How long an idempotency key is remembered; zero for no deduplication.
     pub deduplication_window: Duration,
 }
 
-/// The number of a request at one backend, by which the model and its driver name it.
+/// Identifies a request at one backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestToken(pub u64);
 
-/// What a backend does with a request that has arrived.
+/// What a backend does with a request on its arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs.
+    /// It runs at once.
     Runs {
-        /// When it will complete.
+        /// When it will complete, on the caller's clock.
         completes_at: Duration,
     },
     /// It waits for a core.
     Queued,
-    /// It is rejected unprocessed: the queue is full, or the backend drains or has crashed.
+    /// It is rejected without execution: the queue is full, or the backend drains or has crashed.
     Rejected,
 }
 
-/// A request that leaves the queue and runs.
+/// A queued request that starts to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartedRequest {
-    /// Which request.
+    /// The request.
     pub token: RequestToken,
-    /// When it will complete.
+    /// When it will complete, on the caller's clock.
     pub completes_at: Duration,
 }
 
-/// The requests at a backend.
+/// The number of requests at a backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ModelLoad {
     /// Running and queued requests.
     pub in_flight: u32,
-    /// The queued ones of them.
+    /// Queued requests.
     pub queued: u32,
 }
 
-/// The idempotency keys that the backends of a site have received, with the times. All backends of the site share it.
+/// The idempotency keys that the backends of a site have received, with their times. The backends of a site
+/// share one.
 #[derive(Debug, Default)]
 pub struct IdempotencyKeys {
     received: HashMap<String, Duration>,
@@ -130,7 +133,8 @@
 }
 
 impl IdempotencyKeys {
-    /// Records a key that is new within the window. Returns `false` for one that is not new; its time stays as it was.
+    /// Records a key unless it was recorded within the window before `now`. Returns whether it was recorded;
+    /// the time of a known key does not change.
     pub fn insert_if_new(&mut self, key: &str, now: Duration, window: Duration) -> bool {
         while self.by_time.front().is_some_and(|(at, _)| *at + window <= now) {
             if let Some((at, key)) = self.by_time.pop_front()
@@ -153,23 +157,24 @@
 pub struct BackendModel {
     spec: BackendSpec,
     rng: Pcg64Mcg,
-    /// When it last started; `None` for so long ago that it is warm.
+    /// When it last started; `None` if it has been warm from the beginning.
     started_at: Option<Duration>,
     running: u32,
     queue: VecDeque<RequestToken>,
     draining: bool,
     crashed: bool,
-    /// The factor by which a script makes it slower.
+    /// The factor by which a script slows it down.
     slowdown: f64,
     overloaded_since: Option<Duration>,
     degraded: bool,
     queue_empty_since: Option<Duration>,
-    /// Work sent while it warms up, in seconds of a core of speed 1, with the times.
+    /// The work that it has received while it warms up, in seconds of a core of speed 1, with the arrival
+    /// times.
     work_while_cold: VecDeque<(Duration, f64)>,
 }
 
 impl BackendModel {
-    /// A backend without requests. `started_at` is when it last started; `None` for so long ago that it is warm.
+    /// A backend without requests. `started_at` is the time of its last start; `None` for a warm backend.
     pub fn new(spec: BackendSpec, seed: u64, started_at: Option<Duration>) -> Self {
         BackendModel {
             spec,
@@ -187,7 +192,7 @@
         }
     }
 
-    /// The share of its capacity that it has, 0 to 1.
+    /// The share of its full capacity at a time, 0 to 1.
     pub fn capacity_share(&self, now: Duration) -> f64 {
         let (Some(cold), Some(started_at)) = (self.spec.cold_start, self.started_at) else { return 1.0 };
         let progress =
@@ -195,33 +200,33 @@
         (cold.initial_share + (1.0 - cold.initial_share) * progress).min(1.0)
     }
 
-    /// Its requests.
+    /// The running and queued requests.
     pub fn load(&self) -> ModelLoad {
         let queued = self.queue.len() as u32;
         ModelLoad { in_flight: self.running + queued, queued }
     }
 
-    /// Whether it has been overloaded for so long that it is slower.
+    /// Whether overload slows it down.
     pub fn is_degraded(&self) -> bool {
         self.degraded
     }
 
-    /// Whether it has crashed of overload while it warmed up.
+    /// Whether overload has crashed it while it warmed up. It rejects all requests until it restarts.
     pub fn has_crashed(&self) -> bool {
         self.crashed
     }
 
-    /// From now on it rejects new requests, until it restarts.
+    /// Rejects new requests from now on, until it restarts.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
 
-    /// Makes it slower by a factor; 1 for its usual speed.
+    /// Slows it down by a factor; 1 restores its normal speed.
     pub fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = factor.max(1e-3);
     }
 
-    /// It restarts, cold and empty. Its requests are lost.
+    /// Restarts it, cold and without requests: all present ones are lost. A slowdown stays.
     pub fn restart(&mut self, now: Duration) {
         let slowdown = self.slowdown;
         let seed = self.rng.random();
@@ -229,7 +234,7 @@
         self.slowdown = slowdown;
     }
 
-    /// A request has arrived to its last byte.
+    /// Handles the arrival of a request, whose last byte was received at `now`.
     pub fn arrive(&mut self, now: Duration, token: RequestToken) -> Admission {
         self.update_degradation(now);
         if self.crashed || self.draining {
@@ -248,7 +253,8 @@
         Admission::Queued
     }
 
-    /// A running request has completed, or was abandoned with its connection. Returns the requests that start now.
+    /// Frees the core of a request that has completed, or that was abandoned. Returns the queued requests
+    /// that start now.
     pub fn complete(&mut self, now: Duration) -> Vec<StartedRequest> {
         self.running = self.running.saturating_sub(1);
         let mut started = Vec::new();
@@ -261,7 +267,7 @@
         started
     }
 
-    /// Removes a queued request whose connection has ended. Returns `false` if it isn't queued any more.
+    /// Removes a queued request. Returns `false` if it isn't queued (any more).
     pub fn cancel_queued(&mut self, now: Duration, token: RequestToken) -> bool {
         let position = self.queue.iter().position(|queued| *queued == token);
         position.map(|position| self.queue.remove(position));
@@ -269,7 +275,7 @@
         position.is_some()
     }
 
-    /// Occupies a core and draws the time at which the request completes.
+    /// Occupies a core, and draws the time at which its request completes.
     fn start_request(&mut self, now: Duration) -> Duration {
         self.running += 1;
         let work = self.spec.service_time.draw(&mut self.rng).as_secs_f64();
@@ -278,7 +284,8 @@
         now + Duration::from_secs_f64((work / speed).min(86_400.0))
     }
 
-    /// Records the work of a request sent to a backend that warms up, which may make it crash.
+    /// Records the work of a request that is received during warm-up, and crashes the backend if that is too
+    /// much.
     fn record_cold_work(&mut self, now: Duration) {
         let Some(cold) = self.spec.cold_start else { return };
         let capacity_share = self.capacity_share(now);
@@ -298,11 +305,12 @@
         let sent: f64 = self.work_while_cold.iter().map(|(_, work)| work).sum();
         let span = cold.overload_time.as_secs_f64();
         let capacity = f64::from(self.spec.cores) * self.spec.speed * capacity_share * span;
-        // A few requests at once are chance, not overload.
+        // A few simultaneous requests don't count as overload.
         self.crashed |= sent > cold.overload_factor * capacity
             && self.work_while_cold.len() as f64 > 2.0 * f64::from(self.spec.cores);
     }
 
+    /// Starts or ends the degradation, by the length of the queue over time.
     fn update_degradation(&mut self, now: Duration) {
         let Some(degradation) = self.spec.degradation else { return };
         let is_overloaded =
--- a/crates/test-servers/src/backend_model/tests.rs
+++ b/crates/test-servers/src/backend_model/tests.rs
@@ -55,7 +55,7 @@
     assert_eq!(model.capacity_share(ms(500)), 0.625);
     let mut late = BackendModel::new(spec, 1, Some(ms(0)));
     assert_eq!(late.arrive(ms(1000), RequestToken(0)), Admission::Runs { completes_at: ms(1100) });
-    // 4 times a quarter of 2 cores for half a second is 10 requests of 100 ms.
+    // The limit is 4 times a quarter of the work of 2 cores in 0.5 s: 10 requests of 100 ms.
     for token in 1..10 {
         model.arrive(ms(token), RequestToken(token));
         assert!(!model.has_crashed(), "{token}");
@@ -63,7 +63,7 @@
     model.arrive(ms(10), RequestToken(10));
     model.arrive(ms(11), RequestToken(11));
     assert!(model.has_crashed());
-    assert_eq!(model.arrive(ms(5000), RequestToken(12)), Admission::Rejected, "and stays crashed");
+    assert_eq!(model.arrive(ms(5000), RequestToken(12)), Admission::Rejected, "it stays crashed");
     model.restart(ms(6000));
     assert!(matches!(model.arrive(ms(6000), RequestToken(13)), Admission::Runs { .. }));
 }
@@ -83,7 +83,7 @@
     let started = model.complete(ms(300));
     model.arrive(ms(301), RequestToken(99));
     assert!(model.is_degraded(), "{started:?}");
-    assert_eq!(model.complete(ms(400))[0].completes_at, ms(700), "three times slower");
+    assert_eq!(model.complete(ms(400))[0].completes_at, ms(700), "three times the normal time");
     while model.load().queued > 0 {
         model.complete(ms(1000));
     }
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_key_is_known_for_its_window_from_the_first_request() {
+fn a_key_is_remembered_for_the_window_after_its_first_request() {
     let mut keys = IdempotencyKeys::default();
     assert!(keys.insert_if_new("a", ms(0), ms(600)));
     assert!(!keys.insert_if_new("a", ms(599), ms(600)));
@@ -103,7 +103,7 @@
     assert!(!keys.insert_if_new("b", ms(1198), ms(600)));
     assert!(
         (keys.insert_if_new("c", ms(9000), ms(600)), keys.received.len()) == (true, 1),
-        "the others are forgotten"
+        "expired keys are removed"
     );
 }
 
@@ -116,14 +116,15 @@
     assert_eq!(mean(ServiceTime::Fixed(ms(10))).round(), 10.0);
     assert!((mean(ServiceTime::Uniform(ms(10), ms(30))) - 20.0).abs() < 0.2);
     assert!((mean(ServiceTime::Exponential(ms(20))) - 20.0).abs() < 0.6);
-    // The mean of a log-normal is its median times e to half the square of its spread.
+    // The mean of a log-normal distribution is the median times exp(spread^2 / 2).
     assert!((mean(ServiceTime::LogNormal(ms(20), 0.5)) - 20.0 * (0.125f64).exp()).abs() < 0.6);
 }
 
 proptest! {
-    /// No request runs beyond the cores, none is queued beside a free core, each starts or is cancelled.
+    /// No more requests run than there are cores, none is queued while a core is free, and each starts in
+    /// order or is cancelled.
     #[test]
-    fn limits_of_cores_and_queue_hold(
+    fn the_limits_of_cores_and_queue_are_never_exceeded(
         seed: u64,
         steps in prop::collection::vec((0u8..3, 0u64..60), 1..200),
     ) {
--- a/crates/test-servers/src/backend_server.rs
+++ b/crates/test-servers/src/backend_server.rs
@@ -1,5 +1,5 @@
-//! A backend on a socket: accepts connections while the backend is up and no fault refuses them, and passes its requests to
-//! the request handler.
+//! Serves a backend on a socket: accepts connections while the backend is up and no fault refuses them, and
+//! passes their requests to the request handler.
 
 use crate::backend_model::{IdempotencyKeys, ModelLoad};
 use crate::clock::Clock;
@@ -17,35 +17,35 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// How soon a port that could not be bound is tried again: another socket may have it for a moment.
+/// The delay before a failed bind is retried. The port may be in use by another socket for a short time.
 const BIND_RETRY: Duration = Duration::from_millis(10);
 
-/// The load and the condition of a backend.
+/// The load and the health of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendLoad {
-    /// Its requests.
+    /// The running and queued requests.
     pub requests: ModelLoad,
-    /// Whether it is slower after overload.
+    /// Whether it is slowed down by overload.
     pub is_degraded: bool,
-    /// Whether it has crashed while it warmed up.
+    /// Whether overload has crashed it while it warmed up.
     pub has_crashed: bool,
 }
 
-/// A backend that serves. Dropping it stops it and closes its connections.
+/// A running backend. Dropping it stops it and closes its connections.
 pub struct BackendServer {
     backend: Arc<Backend>,
-    /// The address where it listens; the same after a restart.
+    /// The listening address, which stays the same after a restart.
     pub address: SocketAddr,
     is_up: watch::Sender<bool>,
     _task: JoinSet<()>,
 }
 
 impl BackendServer {
-    /// Starts a backend at a free port. One that starts later refuses connections until then. `keys` are the idempotency
-    /// keys of its site.
+    /// Starts a backend on a free port. With `starts_later` it refuses connections until
+    /// [`restart`](Self::restart). `keys` are the idempotency keys that its site shares.
     ///
     /// # Errors
-    /// There is no port to listen on.
+    /// The socket can't be bound.
     pub async fn start(
         config: ScriptedBackend,
         faults: Vec<FaultRule>,
@@ -63,38 +63,39 @@
         Ok(BackendServer { backend, address, is_up, _task: task })
     }
 
-    /// The backend as its script has it.
+    /// The backend's entry of the script.
     pub fn config(&self) -> &ScriptedBackend {
         &self.backend.config
     }
 
-    /// Discovery has published that the backend drains or is removed. Requests that arrive from now on are logged.
+    /// Records that discovery has published the drain or removal of the backend: requests that arrive from
+    /// now on are logged as observations.
     pub fn mark_drain_published(&self) {
         self.backend.mark_drain_published();
     }
 
-    /// It rejects new requests from now on.
+    /// Rejects new requests from now on.
     pub fn start_draining(&self) {
         self.backend.start_draining();
     }
 
-    /// It stops: its connections are closed, new ones are refused.
+    /// Stops the backend: closes its connections, and refuses new ones.
     pub fn stop(&self) {
         self.is_up.send_replace(false);
     }
 
-    /// It starts, or starts again, empty and cold.
+    /// Starts the backend, again or for the first time, cold and without requests.
     pub fn restart(&self) {
         self.backend.restart();
         self.is_up.send_replace(true);
     }
 
-    /// It gets slower by a factor; 1 for its usual speed.
+    /// Slows the backend down by a factor; 1 restores its normal speed.
     pub fn set_slowdown(&self, factor: f64) {
         self.backend.set_slowdown(factor);
     }
 
-    /// Its load and condition.
+    /// The current load and health.
     pub fn load(&self) -> BackendLoad {
         self.backend.inspect_model(|model| BackendLoad {
             requests: model.load(),
@@ -104,7 +105,8 @@
     }
 }
 
-/// Accepts connections while the backend is up and no fault refuses them: without a listener the system refuses them.
+/// Accepts connections while the backend is up and no fault refuses them. To refuse them it closes the
+/// listener, so that the system refuses new connections.
 async fn accept_connections(
     backend: Arc<Backend>,
     listener: TcpListener,
@@ -149,7 +151,7 @@
 
 async fn serve_connection(backend: Arc<Backend>, mut stream: TcpStream) {
     let mut buffer = Vec::new();
-    // A request that can't be read ends the connection, as at a real backend.
+    // An invalid request ends the connection.
     while let Ok(Some(request)) = http1::read_request(&mut stream, &mut buffer).await {
         if backend.handle(&mut stream, &request).await == ConnectionUse::Close {
             return;
--- a/crates/test-servers/src/clock.rs
+++ b/crates/test-servers/src/clock.rs
@@ -1,4 +1,4 @@
-//! The time of a test environment.
+//! The clock of a test environment.
 
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
@@ -18,7 +18,7 @@
         self.0.elapsed()
     }
 
-    /// Waits until a time since the start.
+    /// Waits until this time since the start; returns at once if it has passed.
     pub async fn sleep_until(&self, time: Duration) {
         sleep_until(self.0 + time).await;
     }
--- a/crates/test-servers/src/discovery.rs
+++ b/crates/test-servers/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery as the platform has it: the whole list at `/v1/endpoints`, and a watch that sends changes line by line.
+//! A discovery service with the platform's API: the full list at `/v1/endpoints`, and a watch that streams
+//! changes as lines of JSON.
 
 use crate::http1;
 use serde::Serialize;
@@ -13,49 +14,49 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// While nothing changes, a watch sends an empty line at this interval.
+/// The interval at which a watch sends an empty line while nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A backend's state, as listed.
+/// The lifecycle state of a listed backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lifecycle {
     /// It accepts requests.
     InService,
-    /// It completes its requests and gets no new ones.
+    /// It completes its requests and must get no new ones.
     Terminating,
-    /// It is removed.
+    /// It has been removed.
     Terminated,
 }
 
-/// A backend's entry on the list. Its fields are the keys of the platform's JSON.
+/// The list entry of a backend. The fields are the keys of the platform's JSON.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Endpoint {
-    /// The backend's name.
+    /// The name of the backend.
     pub instance_id: String,
-    /// Where it listens.
+    /// The listening address.
     pub host_port: SocketAddr,
-    /// Its zone.
+    /// The zone: the site of the backend.
     pub zone: String,
-    /// Its machine type.
+    /// The machine type; may be empty.
     pub machine_type: String,
-    /// Its cell.
+    /// The number of the cell.
     pub cell: u16,
-    /// Its lifecycle state.
+    /// The lifecycle state.
     pub lifecycle: Lifecycle,
-    /// Its weight.
+    /// The relative weight for load balancing; 1 by default.
     pub weight: f64,
-    /// When it last started, Unix time in milliseconds; 0 for a start long ago.
+    /// The time of the last start, as Unix time in milliseconds; 0 for a start long ago.
     pub started_at_ms: u64,
 }
 
-/// The number of a change of the list; 0 before any.
+/// The version of the list, incremented by each change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 struct Generation(u32);
 
 impl Generation {
-    /// Stands for nothing received yet: a watch from here begins with the whole list.
+    /// A client without a list. A watch from here begins with the full list.
     const NONE: Generation = Generation(0);
 }
 
@@ -63,7 +64,7 @@
 #[derive(Serialize)]
 struct EndpointUpdate<'a> {
     generation: Generation,
-    /// Whether `instances` is the whole list; otherwise it is the changed entries.
+    /// Whether `instances` is the full list instead of the changed entries.
     reset: bool,
     instances: Vec<&'a Endpoint>,
 }
@@ -76,12 +77,12 @@
 #[derive(Default)]
 struct State {
     generation: Generation,
-    /// By name.
+    /// The entries by name.
     endpoints: BTreeMap<String, ListedEndpoint>,
 }
 
 impl State {
-    /// The changes after a generation, as a line of JSON; the whole list for [`Generation::NONE`].
+    /// The changes after a generation as a line of JSON; the full list for [`Generation::NONE`].
     fn update_since(&self, from: Generation) -> String {
         let reset = from == Generation::NONE;
         let changed = self.endpoints.values().filter(|listed| listed.changed_in > from);
@@ -90,7 +91,7 @@
             .filter(|endpoint| !reset || endpoint.lifecycle != Lifecycle::Terminated)
             .collect();
         let update = EndpointUpdate { generation: self.generation, reset, instances };
-        // Serialization to a string fails for no value of these types.
+        // Serializing these types to a string can't fail.
         serde_json::to_string(&update).unwrap_or_default() + "\n"
     }
 }
@@ -100,7 +101,7 @@
 pub enum Availability {
     /// It responds.
     Up,
-    /// Watches end, and requests are rejected with status 503.
+    /// It ends its watches, and rejects requests with status 503.
     Down,
 }
 
@@ -119,16 +120,16 @@
 /// A discovery service on a socket. Dropping it stops it.
 pub struct Discovery {
     shared: Arc<Shared>,
-    /// The address where it listens.
+    /// The listening address.
     pub address: SocketAddr,
     _task: JoinSet<()>,
 }
 
 impl Discovery {
-    /// Starts with an empty list.
+    /// Starts the service on a free port, with an empty list.
     ///
     /// # Errors
-    /// There is no port to listen on.
+    /// The socket can't be bound.
     pub async fn start() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -154,7 +155,8 @@
         Ok(Discovery { shared, address, _task: task })
     }
 
-    /// Publishes these endpoints as one change. Watches get a terminated one once; it is not on the whole list.
+    /// Adds or replaces these endpoints in one change. Watches receive a terminated endpoint once; the full
+    /// list omits it.
     pub fn publish(&self, endpoints: impl IntoIterator<Item = Endpoint>) {
         let mut state = self.shared.lock();
         state.generation.0 += 1;
@@ -167,12 +169,12 @@
         self.shared.generation.send_replace(generation);
     }
 
-    /// Makes it respond, or not.
+    /// Makes the service available or unavailable.
     pub fn set_availability(&self, availability: Availability) {
         self.shared.availability.send_replace(availability);
     }
 
-    /// The whole list as JSON, as a node's configuration has it.
+    /// The full list as a line of JSON, in the form that a node's configuration can contain.
     pub fn snapshot(&self) -> String {
         self.shared.lock().update_since(Generation::NONE)
     }
@@ -198,7 +200,7 @@
     }
 }
 
-/// The generation from which a request target asks for a watch; `None` if it asks for none.
+/// The generation after which a request target requests changes; `None` if it does not request a watch.
 fn watched_from(target: &str) -> Option<Generation> {
     let (_, query) = target.split_once('?')?;
     let value = |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
@@ -206,7 +208,7 @@
     Some(value("from").and_then(|from| from.parse().ok()).map_or(Generation::NONE, Generation))
 }
 
-/// Sends a line for each change after a generation, until discovery goes down or the client has closed the connection.
+/// Streams the changes after a generation, until the service goes down or a write fails.
 async fn send_changes(shared: &Shared, stream: &mut TcpStream, mut from: Generation) -> io::Result<()> {
     let (mut changes, mut availability) = (shared.generation.subscribe(), shared.availability.subscribe());
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
@@ -215,7 +217,7 @@
         changes.mark_unchanged();
         let (line, generation) = {
             let state = shared.lock();
-            // A generation that was not reached yet is of an earlier discovery.
+            // The client's generation is of an earlier instance of the service, so it gets the full list.
             let known = if from > state.generation { Generation::NONE } else { from };
             (state.update_since(known), state.generation)
         };
--- a/crates/test-servers/src/discovery/tests.rs
+++ b/crates/test-servers/src/discovery/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_update_has_the_changes_since_a_generation_or_the_whole_list() {
+fn an_update_has_the_changes_since_a_generation_or_the_full_list() {
     let mut state = State { generation: Generation(3), ..State::default() };
     state.endpoints.insert(
         "x".into(),
@@ -35,7 +35,7 @@
     assert_eq!(
         names(&state.update_since(Generation::NONE)),
         (true, vec!["x".into()]),
-        "a terminated one is not on a whole list"
+        "a full list has no terminated endpoint"
     );
     assert_eq!(names(&state.update_since(Generation(2))), (false, vec!["y".into()]));
     assert_eq!(names(&state.update_since(Generation(3))), (false, vec![]));
--- a/crates/test-servers/src/environment.rs
+++ b/crates/test-servers/src/environment.rs
@@ -1,4 +1,5 @@
-//! The environment of a script: starts its backends and discovery, and carries out its events in the course of time.
+//! The environment that a script describes: starts its backends and discovery, and runs its events when they
+//! are due.
 
 use crate::backend_model::IdempotencyKeys;
 use crate::backend_server::BackendServer;
@@ -14,24 +15,25 @@
 
 /// A running environment. Dropping it stops everything in it.
 pub struct Environment {
-    /// The backends, by their indexes in the script.
+    /// The backends, in the order of the script.
     pub backends: Arc<Vec<BackendServer>>,
-    /// Publishes them.
+    /// The service that publishes the backends.
     pub discovery: Arc<Discovery>,
-    /// What they have run.
+    /// The executions of all backends.
     pub execution_log: Arc<ExecutionLog>,
-    /// Time since the start.
+    /// The time since the start, which all components share.
     pub clock: Clock,
-    /// The sites, in the order in which the script names them first.
+    /// The names of the sites, in the order of their first use in the script.
     pub sites: Vec<String>,
-    /// The machine types, likewise.
+    /// The machine types, in the order of their first use in the script.
     pub machine_types: Vec<String>,
     _task: JoinSet<()>,
 }
 
-/// For how long after discovery has published a drain the backend still accepts requests.
+/// How long a backend still accepts requests after discovery has published its drain.
 const DRAIN_GRACE: Duration = Duration::from_millis(2000);
 
+/// The distinct names, in the order of their first occurrence.
 fn distinct<'a>(names: impl Iterator<Item = &'a str>) -> Vec<String> {
     let mut distinct: Vec<String> = Vec::new();
     for name in names {
@@ -43,10 +45,10 @@
 }
 
 impl Environment {
-    /// Starts everything. The times of events count from now.
+    /// Starts the backends, discovery and the events, whose times count from now.
     ///
     /// # Errors
-    /// There is no port for a backend or for discovery.
+    /// A socket can't be bound.
     pub async fn start(script: &Script) -> io::Result<Environment> {
         let (execution_log, clock) = (Arc::new(ExecutionLog::default()), Clock::start());
         let discovery = Arc::new(Discovery::start().await?);
@@ -90,7 +92,7 @@
     }
 }
 
-/// Carries out events at their times, and then waits for the drains to end.
+/// Runs events at their times, and then waits for the grace periods of drains.
 async fn run_events(
     events: Vec<Event>,
     backends: Arc<Vec<BackendServer>>,
--- a/crates/test-servers/src/execution_log.rs
+++ b/crates/test-servers/src/execution_log.rs
@@ -1,76 +1,78 @@
-//! The log of what backends have run, by request id, and the rules that it shows to be broken. All backends of an
-//! environment share it.
+//! The log of the executions of all backends of an environment, by request id, and the check of the execution
+//! rules against it.
 
 use serde::Serialize;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-// Reports and golden files hold the log as JSON: `rename` keeps the names that they have there.
+// The log is stored as JSON in reports and golden files: `rename` keeps the names that they have there.
 
-/// One execution of a request by a backend. A request that a backend recognized by its key and did not run again is none.
+/// An execution of a request by a backend. A request that is deduplicated by its idempotency key is not
+/// executed.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Execution {
-    /// The backend's name.
+    /// The name of the backend.
     #[serde(rename = "by")]
     pub backend: String,
-    /// Its site.
+    /// The site of the backend.
     pub site: String,
-    /// The request's path.
+    /// The path of the request, without its query.
     pub path: String,
-    /// Its idempotency key.
+    /// The idempotency key of the request; `None` without one.
     pub key: Option<String>,
-    /// When its last byte had arrived, since the start of the environment.
+    /// When the last byte of the request was received, since the start of the environment.
     #[serde(rename = "came")]
     pub received_at: Duration,
-    /// When it had completed; `None` while it runs, or if the backend stopped before.
+    /// When the execution completed, since the start of the environment; `None` while it runs, or if the
+    /// backend stopped before.
     #[serde(rename = "ended")]
     pub completed_at: Option<Duration>,
 }
 
-/// The position of an execution among those of the same request id.
+/// The index of an execution among those of the same request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExecutionIndex(usize);
 
-/// What a backend has observed beside executions.
+/// An event at a backend other than an execution.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Observation {
     /// A request arrived after discovery had published that the backend drains or is removed.
     #[serde(rename = "AfterDrain")]
     RequestAfterDrain {
-        /// The backend's name.
+        /// The name of the backend.
         #[serde(rename = "by")]
         backend: String,
-        /// The request.
+        /// The id of the request.
         #[serde(rename = "id")]
         request_id: String,
-        /// The time since discovery had published it.
+        /// The time from the publication to the arrival.
         #[serde(rename = "after")]
         delay: Duration,
     },
-    /// A backend that was warming up was overloaded for long enough, and crashed.
+    /// A backend crashed because it was overloaded while it warmed up.
     #[serde(rename = "FellOver")]
     Crash {
-        /// The backend's name.
+        /// The name of the backend.
         #[serde(rename = "by")]
         backend: String,
-        /// When, since the start of the environment.
+        /// When it crashed, since the start of the environment.
         at: Duration,
     },
 }
 
-/// How many requests backends have run, rejected and recognized.
+/// The number of requests that backends have executed, rejected and deduplicated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExecutionCounts {
-    /// Executions.
+    /// Executions, of which a request may have several.
     pub executions: usize,
-    /// Requests that were rejected unprocessed.
+    /// Requests that were rejected without execution.
     pub rejected: u64,
-    /// Requests that were not run again, by their idempotency keys.
+    /// Requests that were not executed because their idempotency keys were known.
     pub deduplicated: u64,
 }
 
-/// The log of an environment.
+/// The executions, observations and counts of an environment.
 #[derive(Debug, Default)]
 pub struct ExecutionLog {
     entries: Mutex<Entries>,
@@ -84,40 +86,42 @@
     deduplicated: u64,
 }
 
-/// The response to a client, as far as the rules are concerned.
+/// The outcome of a request for its client, as far as the rules depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ClientOutcome {
-    /// 200.
+    /// A response with status 200.
     Served,
-    /// 429 or 503: a retry is safe.
+    /// A response with status 429 or 503, after which a retry is safe.
     #[serde(rename = "Refused")]
     Rejected,
-    /// Another status.
+    /// A response with another status.
     Failed,
-    /// No response, or no complete one.
+    /// No response, or an incomplete one.
     Lost,
 }
 
-/// How often a request may run.
+/// How often a request may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionLimit {
-    /// As often as it is sent.
+    /// Any number of times.
     Unlimited,
-    /// Once for an idempotency key: only the backends of one site recognize it.
+    /// Once per idempotency key. Only backends of one site share the keys that they know.
     OncePerKey,
-    /// Once.
+    /// At most once.
     Once,
 }
 
-/// A rule that was broken.
+/// A violation of an execution rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RuleViolation {
-    /// The number of the rule, 1 to 4.
+    /// The number of the rule. 1: each request gets a complete response, and is executed if it is served. 2:
+    /// a rejected request is not executed, and none more often than its limit allows. 3: no request goes to a
+    /// backend after the grace period of its drain. 4: no backend crashes while it warms up.
     pub rule: u8,
-    /// The request; empty where there is none.
+    /// The id of the request; empty if the violation is not about a request.
     #[serde(rename = "id")]
     pub request_id: String,
-    /// What happened.
+    /// A description for people.
     #[serde(rename = "what")]
     pub description: String,
 }
@@ -130,11 +134,11 @@
 
 impl ExecutionLog {
     fn lock(&self) -> MutexGuard<'_, Entries> {
-        // The entries are complete after every change, also when a task has panicked.
+        // No change leaves the entries inconsistent, so they are valid even if a task has panicked.
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A backend starts a request. Returns the index by which its completion is recorded.
+    /// Records the start of an execution. Returns the index by which its completion is recorded.
     pub fn record_start(&self, request_id: &str, execution: Execution) -> ExecutionIndex {
         let mut entries = self.lock();
         let executions = entries.executions.entry(request_id.to_string()).or_default();
@@ -142,7 +146,7 @@
         ExecutionIndex(executions.len() - 1)
     }
 
-    /// A backend has completed a request.
+    /// Records the completion of an execution at a time since the start of the environment.
     pub fn record_completion(&self, request_id: &str, index: ExecutionIndex, at: Duration) {
         let mut entries = self.lock();
         let executions = entries.executions.get_mut(request_id);
@@ -151,32 +155,32 @@
         }
     }
 
-    /// A backend has observed something else.
+    /// Records an event other than an execution.
     pub fn record_observation(&self, observation: Observation) {
         self.lock().observations.push(observation);
     }
 
-    /// A backend has rejected a request unprocessed.
+    /// Counts a request that was rejected without execution.
     pub fn record_rejection(&self) {
         self.lock().rejected += 1;
     }
 
-    /// A backend has recognized a request by its idempotency key and not run it again.
+    /// Counts a request that was not executed because its idempotency key was known.
     pub fn record_deduplication(&self) {
         self.lock().deduplicated += 1;
     }
 
-    /// The executions of a request id, in the order in which they started.
+    /// The executions of a request id in the order of their starts; empty for an unknown id.
     pub fn executions_of(&self, request_id: &str) -> Vec<Execution> {
         self.lock().executions.get(request_id).cloned().unwrap_or_default()
     }
 
-    /// All executions by request id.
+    /// A copy of all executions by request id.
     pub fn all_executions(&self) -> HashMap<String, Vec<Execution>> {
         self.lock().executions.clone()
     }
 
-    /// The observations in their order.
+    /// A copy of all observations, in the order in which they were recorded.
     pub fn observations(&self) -> Vec<Observation> {
         self.lock().observations.clone()
     }
@@ -191,9 +195,9 @@
         }
     }
 
-    /// Compares the executions with the responses that clients got, by request id. `limit_of` is the execution limit of a
-    /// path; `grace` is for how long after a drain was published a node may still send requests to the backend.
-    /// Returns the violations by rule and request.
+    /// Checks the rules. `outcomes` are the outcomes for clients by request id, `limit_of` returns the
+    /// execution limit of a path, and `grace` is the time after the publication of a drain in which requests
+    /// may still arrive at the backend. Returns the violations, sorted by rule and request id.
     pub fn check_rules<'a>(
         &self,
         outcomes: impl IntoIterator<Item = (&'a str, ClientOutcome)>,
@@ -210,7 +214,7 @@
 }
 
 impl Entries {
-    /// Rules 1 and 2: responses that do not agree with what has run.
+    /// Rules 1 and 2: responses that contradict the executions.
     fn outcome_violations<'a>(
         &self,
         outcomes: impl IntoIterator<Item = (&'a str, ClientOutcome)>,
@@ -238,7 +242,7 @@
         violations
     }
 
-    /// Rule 2: requests that ran more often than they may.
+    /// Rule 2: requests that were executed more often than allowed.
     fn limit_violations(&self, limit_of: &impl Fn(&str) -> ExecutionLimit) -> Vec<RuleViolation> {
         let mut violations = Vec::new();
         for (id, executions) in self.executions.iter().filter(|(_, executions)| executions.len() > 1) {
@@ -248,7 +252,8 @@
                     let description = format!("must never run twice, and ran at {}", backends.join(" and "));
                     violations.push(RuleViolation::new(2, id, description));
                 }
-                // The backends of a site recognize a key, so two executions are of two sites, or after the window.
+                // Backends of one site share their keys: a second execution is at another site, or after the
+                // deduplication window.
                 ExecutionLimit::OncePerKey => {
                     let sites: Vec<_> = executions.iter().map(|run| run.site.as_str()).collect();
                     let description =
@@ -261,7 +266,7 @@
         violations
     }
 
-    /// Rules 3 and 4: what backends have observed themselves.
+    /// Rules 3 and 4: violations that backends have observed.
     fn observed_violations(&self, grace: Duration) -> Vec<RuleViolation> {
         let mut violations = Vec::new();
         for observation in &self.observations {
--- a/crates/test-servers/src/execution_log/tests.rs
+++ b/crates/test-servers/src/execution_log/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn each_broken_rule_is_found() {
+fn violations_of_each_rule_are_found() {
     let log = ExecutionLog::default();
     for (id, site, path) in [
         ("once", "a", "/correct"),
@@ -54,7 +54,8 @@
         ("lost", ClientOutcome::Lost),
     ];
     let violations = log.check_rules(outcomes, limit_of, Duration::from_secs(2));
-    let found: Vec<_> = violations.iter().map(|b| (b.rule, b.request_id.as_str())).collect();
+    let found: Vec<_> =
+        violations.iter().map(|violation| (violation.rule, violation.request_id.as_str())).collect();
     assert_eq!(
         found,
         [(1, "lost"), (1, "nobody"), (2, "refused"), (2, "spilt"), (2, "twice"), (3, "late"), (4, "")]
--- a/crates/test-servers/src/fault_schedule.rs
+++ b/crates/test-servers/src/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Which fault of a script applies to a backend at a time, or to a request.
+//! Selects the fault of a script that applies to a backend at a time, or to a request.
 
 use crate::script::{Fault, FaultRule};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,7 +6,7 @@
 
 struct ScheduledRule {
     rule: FaultRule,
-    /// To how many requests it was applied.
+    /// The number of requests to which it was applied.
     applied: u64,
 }
 
@@ -19,25 +19,26 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<ScheduledRule>> {
-        // The counts are correct after every change, also when a task has panicked.
+        // No change leaves the counts inconsistent, so they are valid even if a task has panicked.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Until when connections are refused, if they are now.
+    /// When the refusal of connections ends; `None` if they are accepted now.
     pub(crate) fn refused_until(&self, now: Duration) -> Option<Duration> {
         let rules = self.lock();
         let refusals = rules.iter().map(|scheduled| &scheduled.rule).filter(|rule| is_refusal(rule));
         refusals.filter(|rule| rule.from <= now && now < rule.until).map(|rule| rule.until).max()
     }
 
-    /// When connections will be refused next.
+    /// When the next refusal of connections begins; `None` if none is scheduled.
     pub(crate) fn next_refusal(&self, now: Duration) -> Option<Duration> {
         let rules = self.lock();
         let refusals = rules.iter().map(|scheduled| &scheduled.rule).filter(|rule| is_refusal(rule));
         refusals.map(|rule| rule.from).filter(|from| *from > now).min()
     }
 
-    /// The fault that applies to a request, by the request's number at the backend, if any; counts it.
+    /// The first fault that applies to the request with this number at the backend, which counts against the
+    /// rule's limit; `None` if none applies. Refusals of connections apply to no request.
     pub(crate) fn apply(&self, now: Duration, request_number: u64) -> Option<Fault> {
         let mut rules = self.lock();
         let scheduled = rules.iter_mut().find(|ScheduledRule { rule, applied }| {
--- a/crates/test-servers/src/http1.rs
+++ b/crates/test-servers/src/http1.rs
@@ -1,28 +1,28 @@
-//! As much of HTTP/1.1 as a stand-in needs that must also be able to violate it: requests are read whole, responses are
-//! written as bytes.
+//! A minimal HTTP/1.1 request reader. Responses are written as plain bytes, so that faults can violate the
+//! protocol.
 
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 /// The largest request head that is read, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// The largest number of header lines of a request.
+/// The largest number of headers of a request.
 const MAX_HEADERS: usize = 100;
 
-/// A request that was read to its last byte.
+/// A request whose body was read and dropped.
 #[derive(Debug, Default)]
 pub struct Request {
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// The request target.
+    /// The request target: path and query.
     pub target: String,
     headers: Vec<(String, String)>,
-    /// The length of its body, in bytes.
+    /// The length of the body, in bytes.
     pub body_length: usize,
 }
 
 impl Request {
-    /// The value of a header, by its name in lower case.
+    /// The first value of a header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
@@ -37,7 +37,8 @@
     io::Error::new(io::ErrorKind::InvalidData, message)
 }
 
-/// Reads the next request to its last byte; `None` at the end of the connection. Bytes after it stay in `buffer`.
+/// Reads the next request with its body; `None` if the connection ends before. Bytes of later requests stay
+/// in `buffer`.
 pub async fn read_request(
     stream: &mut (impl AsyncRead + Unpin),
     buffer: &mut Vec<u8>,
@@ -54,7 +55,7 @@
             return Ok(Some(request));
         }
         if buffer.len() > MAX_HEAD_BYTES {
-            return Err(invalid("a head without end"));
+            return Err(invalid(&format!("request head exceeds {MAX_HEAD_BYTES} bytes")));
         }
         if stream.read_buf(buffer).await? == 0 {
             return Ok(None);
@@ -62,7 +63,8 @@
     }
 }
 
-/// Parses the head at the start of these bytes: the request and the length of its head, if that is complete.
+/// Parses a request head at the start of these bytes. Returns the request and the length of its head; `None`
+/// if the head is incomplete.
 fn parse_head(bytes: &[u8]) -> io::Result<Option<(Request, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -78,10 +80,11 @@
         body_length: 0,
     };
     if request.header("transfer-encoding").is_some() {
-        return Err(invalid("chunks are not read here: a node knows the length of what it sends"));
+        return Err(invalid("transfer-encoding is not supported: nodes send requests with content-length"));
     }
     if let Some(length) = request.header("content-length") {
-        request.body_length = length.parse().map_err(|_| invalid("a length that is no number"))?;
+        request.body_length =
+            length.parse().map_err(|_| invalid(&format!("content-length is not a number: {length:?}")))?;
     }
     Ok(Some((request, length)))
 }
--- a/crates/test-servers/src/http1/tests.rs
+++ b/crates/test-servers/src/http1/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[tokio::test]
-async fn requests_are_read_whatever_the_chunks() {
+async fn requests_are_parsed_from_reads_of_any_size() {
     let text = b"POST /a?b HTTP/1.1\r\nX-Id: 7\r\nContent-Length: 3\r\n\r\nabcGET /b HTTP/1.1\r\n\r\n";
     for chunk_length in 1..text.len() {
         let mut stream = in_chunks(text, chunk_length);
@@ -19,7 +19,7 @@
     }
 }
 
-/// A stream that gives so many bytes at a time.
+/// A stream that returns at most this number of bytes per read.
 fn in_chunks(text: &'static [u8], chunk_length: usize) -> impl AsyncRead + Unpin {
     let mut all: Box<dyn AsyncRead + Unpin> = Box::new(tokio::io::empty());
     for chunk in text.chunks(chunk_length).rev() {
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,9 +1,10 @@
-//! Stand-ins on loopback for what a node meets: backends, discovery, and the log of what the backends have run.
+//! Simulated backends and a discovery service on loopback sockets, for tests and demos of a node.
 //!
-//! [`backend_model`] is a backend without sockets or clock: cores, a queue, slow start, degradation under overload,
-//! idempotency keys. [`script`] is the file with the backends, their events and their faults. [`backend_server`] puts a
-//! model on a socket and injects the faults; [`discovery`] publishes the backends as the platform does; [`environment`]
-//! starts all of it. [`execution_log`] has every execution by request id, for tests and reports to check the rules by.
+//! [`backend_model`] models a backend without sockets or clock: cores, a queue, slow start, degradation under
+//! overload, idempotency keys. [`script`] reads the file that describes backends, events and faults.
+//! [`backend_server`] serves a model on a socket and injects the faults; [`discovery`] publishes the backends
+//! as the platform does; [`environment`] starts all of them. [`execution_log`] records each execution by
+//! request id, so that tests and reports can check the rules of request execution.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/test-servers/src/request_handler.rs
+++ b/crates/test-servers/src/request_handler.rs
@@ -1,5 +1,5 @@
-//! What a backend does with a request that it has read: the model decides when it runs, the fault that applies is injected,
-//! and the execution is logged.
+//! Handles the requests of a backend: the model decides when a request runs, the applicable fault is
+//! injected, and the execution is logged.
 
 use crate::backend_model::{
     Admission, BackendModel, IdempotencyKeys, ModelLoad, RequestToken, StartedRequest,
@@ -17,25 +17,26 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
-/// The response header with the name of the backend, for reports by backend.
+/// The response header with the name of the backend, by which the load generator attributes requests to
+/// backends.
 const SERVED_BY: &str = "X-Served-By";
-/// How often a slow response sends its next bytes.
+/// The interval between the chunks of a slow response.
 const SLOW_RESPONSE_INTERVAL: Duration = Duration::from_millis(20);
-/// How often it is checked whether a client that has sent a second request has left.
+/// How often the connection of a client that has sent a second request is checked for a disconnect.
 const DISCONNECT_POLL: Duration = Duration::from_millis(5);
 
-/// What becomes of a connection after a request.
+/// Whether a connection stays open after a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionUse {
     KeepOpen,
     Close,
 }
 
-/// How often a backend has started. Requests of an earlier incarnation are lost.
+/// Counts the restarts of a backend. Requests of an earlier incarnation are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Incarnation(u64);
 
-/// A backend: its model, its faults, and what it shares with the environment.
+/// A backend: its model and faults, and the log, clock and idempotency keys that it shares with others.
 pub(crate) struct Backend {
     pub(crate) config: ScriptedBackend,
     pub(crate) clock: Clock,
@@ -47,9 +48,10 @@
 
 struct State {
     model: BackendModel,
-    /// The queued requests, each with what tells it when it will complete.
+    /// The queued requests, each with the channel that receives its completion time when it starts.
     queued: HashMap<RequestToken, oneshot::Sender<Duration>>,
     last_token: RequestToken,
+    /// The number of requests received.
     requests: u64,
     /// When discovery published that the backend drains or is removed.
     drain_published_at: Option<Duration>,
@@ -70,16 +72,16 @@
     Queued { started: oneshot::Receiver<Duration> },
 }
 
-/// How the processing of a request ended.
+/// The result of processing a request.
 enum ProcessingEnd {
     Completed,
     Rejected,
-    /// The client has left, or the backend has restarted.
+    /// The client has disconnected, or the backend has restarted.
     Abandoned,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // The counts are correct after every change, also when a task has panicked.
+    // No change leaves the state inconsistent, so it is valid even if a task has panicked.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -105,7 +107,7 @@
         Backend { config, clock, faults, log, keys, state: Mutex::new(state) }
     }
 
-    /// Discovery has published that the backend drains or is removed; the first time counts.
+    /// Records that discovery has published the drain or removal of the backend. Only the first call counts.
     pub(crate) fn mark_drain_published(&self) {
         let now = self.clock.now();
         lock(&self.state).drain_published_at.get_or_insert(now);
@@ -115,7 +117,7 @@
         lock(&self.state).model.start_draining();
     }
 
-    /// Starts again, cold and empty.
+    /// Restarts the backend, cold and without requests.
     pub(crate) fn restart(&self) {
         let mut state = lock(&self.state);
         state.model.restart(self.clock.now());
@@ -128,12 +130,12 @@
         lock(&self.state).model.set_slowdown(factor);
     }
 
-    /// Reads something of the model.
+    /// Calls a function with the model.
     pub(crate) fn inspect_model<T>(&self, read: impl FnOnce(&BackendModel) -> T) -> T {
         read(&lock(&self.state).model)
     }
 
-    /// Processes a request and responds to it, subject to the fault that applies.
+    /// Processes a request and responds to it, with the fault that applies.
     pub(crate) async fn handle(&self, stream: &mut TcpStream, request: &Request) -> ConnectionUse {
         let id = request.header("x-correlation-id").unwrap_or_default().to_string();
         let number = self.count_request(&id);
@@ -141,7 +143,7 @@
         match fault {
             Some(Fault::ResetBeforeRequest) => return reset(stream),
             Some(Fault::NoResponse) => {
-                // Until the client has closed the connection.
+                // Waits until the client closes the connection.
                 while stream.read(&mut [0; 64]).await.is_ok_and(|n| n > 0) {}
                 return ConnectionUse::Close;
             }
@@ -162,7 +164,8 @@
         self.respond(stream, request, &id, fault).await
     }
 
-    /// Counts a request, and logs one that comes after the drain was published. Returns its number, from 1.
+    /// Counts a request, and logs it if it arrives after the publication of a drain. Returns its number, from
+    /// 1.
     fn count_request(&self, id: &str) -> u64 {
         let mut state = lock(&self.state);
         state.requests += 1;
@@ -177,7 +180,8 @@
         state.requests
     }
 
-    /// The header line of the load report, as it was refreshed last; empty for a backend without reports.
+    /// The header line with the last load report, refreshed if it is due; empty for a backend without
+    /// reports.
     fn load_report(&self, state: &mut State) -> String {
         let Some(interval) = self.config.load_report_interval else { return String::new() };
         let now = self.clock.now();
@@ -188,7 +192,7 @@
         format!("X-Backend-Load: concurrent={in_flight},depth={queued}\r\n")
     }
 
-    /// Sends the response to a completed request, as the fault makes it.
+    /// Sends the response to a completed request, changed by the fault.
     async fn respond(
         &self,
         stream: &mut TcpStream,
@@ -210,7 +214,7 @@
                 ConnectionUse::Close
             }
             Some(Fault::TruncateResponse(0)) => reset(stream),
-            // What was written is to arrive, so the connection is closed and not reset.
+            // A close instead of a reset, so that the bytes that were written arrive.
             Some(Fault::TruncateResponse(bytes)) => {
                 write(stream, &response.as_bytes()[..bytes.min(response.len())]).await;
                 ConnectionUse::Close
@@ -222,7 +226,7 @@
         }
     }
 
-    /// Responds that the request was rejected unprocessed.
+    /// Responds that the request was rejected without execution.
     async fn reject(&self, stream: &mut TcpStream) -> ConnectionUse {
         self.log.record_rejection();
         let report = self.load_report(&mut lock(&self.state));
@@ -232,7 +236,8 @@
         write(stream, response.as_bytes()).await
     }
 
-    /// Runs a request, after the wait for a core. A client that leaves cancels a queued request; a running one completes.
+    /// Waits for a core and runs a request. A disconnect of the client cancels a queued request, but not a
+    /// running one.
     async fn process(&self, stream: &mut TcpStream, request: &Request, id: &str) -> ProcessingEnd {
         let received_at = self.clock.now();
         let Some(admitted) = self.admit(received_at) else { return ProcessingEnd::Rejected };
@@ -275,7 +280,7 @@
         ProcessingEnd::Completed
     }
 
-    /// Lets the model decide on a request; `None` if it is rejected.
+    /// Offers a request to the model; `None` if it is rejected.
     fn admit(&self, received_at: Duration) -> Option<AdmittedRequest> {
         let mut state = lock(&self.state);
         let had_crashed = state.model.has_crashed();
@@ -298,8 +303,8 @@
         Some(AdmittedRequest { token, incarnation: state.incarnation, start })
     }
 
-    /// Waits until a queued request starts. Returns when it will complete; `None` if the client leaves before, or the
-    /// backend restarts.
+    /// Waits until a queued request starts. Returns when it will complete; `None` if the client disconnects
+    /// or the backend restarts before.
     async fn wait_for_core(
         &self,
         stream: &TcpStream,
@@ -316,7 +321,7 @@
                 state.queued.remove(&token);
                 let now = self.clock.now();
                 if state.incarnation == incarnation && !state.model.cancel_queued(now, token) {
-                    // It has started at this very moment.
+                    // It started in the meantime: its core is free again.
                     state.release_core(now);
                 }
                 None
@@ -324,7 +329,7 @@
         }
     }
 
-    /// Whether the request of this key has been received before, within the window. Records the key.
+    /// Whether a request with this idempotency key was received within the window before. Records the key.
     fn is_duplicate(&self, key: Option<&str>) -> bool {
         let window = self.config.spec.deduplication_window;
         let is_new = key.is_none_or(|key| lock(&self.keys).insert_if_new(key, self.clock.now(), window));
@@ -333,7 +338,7 @@
 }
 
 impl State {
-    /// A core is free: starts queued requests.
+    /// Frees a core, and starts queued requests.
     fn release_core(&mut self, now: Duration) {
         let mut free = 1;
         while free > 0 {
@@ -341,7 +346,7 @@
             for StartedRequest { token, completes_at } in self.model.complete(now) {
                 let is_waiting =
                     self.queued.remove(&token).is_some_and(|sender| sender.send(completes_at).is_ok());
-                // A request whose client has left passes its core on.
+                // The client of this request has disconnected: its core is free for the next one.
                 free += usize::from(!is_waiting);
             }
         }
@@ -363,13 +368,13 @@
     ConnectionUse::KeepOpen
 }
 
-/// Makes the close of a connection a reset.
+/// Makes the following close of the connection a reset.
 fn reset(stream: &TcpStream) -> ConnectionUse {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
     ConnectionUse::Close
 }
 
-/// Waits until the client has closed the connection. It sends nothing while it waits for a response.
+/// Waits until the client closes the connection. Clients usually send nothing while they wait for a response.
 async fn wait_for_disconnect(stream: &TcpStream) {
     loop {
         if stream.readable().await.is_err() {
@@ -377,7 +382,7 @@
         }
         match stream.peek(&mut [0]).await {
             Ok(0) | Err(_) => return,
-            // A second request before the response to the first is not read until then.
+            // A pipelined request, which is read after the response to the current one.
             Ok(_) => sleep(DISCONNECT_POLL).await,
         }
     }
--- a/crates/test-servers/src/script.rs
+++ b/crates/test-servers/src/script.rs
@@ -1,5 +1,5 @@
-//! The file that describes an environment: its backends, their events and their faults. TOML, read as a whole, with one
-//! clear error.
+//! The TOML file that describes an environment: its backends, their events and their faults. Reading stops at
+//! the first error.
 
 use crate::backend_model::{BackendSpec, ColdStart, Degradation, ServiceTime};
 use quick_error::quick_error;
@@ -14,131 +14,133 @@
     pub seed: u64,
     /// The backends.
     pub backends: Vec<ScriptedBackend>,
-    /// The events by time.
+    /// The events, sorted by time.
     pub events: Vec<Event>,
-    /// The faults.
+    /// The faults, in the order of the file: the first that applies to a request is injected.
     pub faults: Vec<FaultRule>,
 }
 
 /// A backend of an environment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScriptedBackend {
-    /// Its name.
+    /// The unique name.
     pub name: String,
-    /// Its site.
+    /// The site, which discovery publishes as its zone. Backends of one site share idempotency keys.
     pub site: String,
-    /// Its machine type.
+    /// The machine type that discovery publishes; may be empty.
     pub machine_type: String,
-    /// Whether it is absent until an event starts it.
+    /// Whether it is unlisted and down until an event starts it.
     pub starts_later: bool,
-    /// How often the load report in its responses is refreshed; `None` for responses without one.
+    /// The interval at which the load report in its responses is refreshed; `None` for responses without one.
     pub load_report_interval: Option<Duration>,
-    /// Its properties.
+    /// The properties of its model.
     pub spec: BackendSpec,
 }
 
-/// Something that happens to a backend.
+/// A scheduled change of a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// When, since the start of the environment.
+    /// When it happens, since the start of the environment.
     pub at: Duration,
     /// The backend's index in the script.
     pub backend: usize,
-    /// What happens.
+    /// The change.
     pub kind: EventKind,
 }
 
-/// What happens to a backend.
+/// The kinds of scheduled changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EventKind {
-    /// Discovery publishes that it drains. It completes its requests, and rejects those that arrive after a grace period.
+    /// Discovery publishes the drain of the backend, which rejects new requests after a grace period and
+    /// completes others.
     Drain,
-    /// It stops, and discovery publishes its removal.
+    /// The backend stops, and discovery publishes its removal.
     Stop,
-    /// It starts, or starts again, cold.
+    /// The backend starts or restarts, cold, and discovery publishes it.
     Start,
-    /// It gets slower by a factor; 1 for its usual speed.
+    /// The backend slows down by this factor; 1 restores its normal speed.
     SlowDown(f64),
 }
 
 /// A kind of failure of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// It refuses connections.
+    /// Refuses connections.
     RefuseConnections,
-    /// It resets the connection before it has run the request.
+    /// Resets the connection without executing the request.
     ResetBeforeRequest,
-    /// It runs the request, and closes the connection after so many bytes of the response; resets it for 0.
+    /// Executes the request, and closes the connection after this number of bytes of the response. With 0 it
+    /// resets it.
     TruncateResponse(usize),
-    /// It runs the request, and waits for so long before it responds.
+    /// Executes the request, and delays the response by this time.
     Stall(Duration),
-    /// It runs the request, and responds with status 500.
+    /// Executes the request, and responds with status 500.
     ServerError,
-    /// It rejects the request unprocessed.
+    /// Rejects the request with status 503 without executing it.
     Reject,
-    /// It runs the request, and responds with bytes that are no HTTP.
+    /// Executes the request, and responds with bytes that are not HTTP.
     InvalidResponse,
-    /// It runs the request, and sends so many bytes of the response a second.
+    /// Executes the request, and sends the response at this rate in bytes per second.
     SlowResponse(u32),
-    /// It sends nothing, on a connection that stays open.
+    /// Sends nothing, and leaves the connection open. The request is not executed.
     NoResponse,
 }
 
-/// A fault, and when it applies.
+/// A fault with the conditions under which it applies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultRule {
     /// The backend's index in the script.
     pub backend: usize,
-    /// The fault.
+    /// The kind of fault.
     pub fault: Fault,
-    /// From when it applies, since the start of the environment.
+    /// The start of the time in which it applies, since the start of the environment.
     pub from: Duration,
-    /// Until when it applies.
+    /// The end of that time, exclusive.
     pub until: Duration,
-    /// It applies to each request whose number at the backend is a multiple of this; 1 for all.
+    /// It applies to requests whose number at the backend is a multiple of this; 1 for all.
     pub every: u64,
-    /// To how many requests it applies at most.
+    /// The maximum number of requests to which it applies.
     pub limit: u64,
 }
 
 quick_error! {
-    /// Why a script is rejected. The texts are shown to whoever wrote it, so they have the words of the file.
+    /// Why a script is rejected. The messages use the keys of the file, since its author reads them.
     #[derive(Debug)]
     pub enum ScriptError {
-        /// It is no TOML, or has a key or value that there is not; with the line.
+        /// The file is not TOML, or has an unknown key or an invalid value. The error shows the line.
         Syntax(source: toml::de::Error) {
             from()
             display("{source}")
             source(source)
         }
-        /// A backend without a site, a core or a speed above 0.
+        /// A backend has no site, no core, or a speed that is not above 0.
         InvalidBackend(name: String) {
-            display("box {name}: it needs a site, a core and a speed above 0")
+            display("box {name}: needs at least one site, at least one core and a speed above 0")
         }
         /// Two backends have the same name.
         DuplicateBackend(name: String) {
-            display("box {name}: there are two of this name")
+            display("box {name}: duplicate name")
         }
-        /// An event or a fault names a backend that there is not.
+        /// An event or a fault refers to an unknown backend.
         UnknownBackend(name: String) {
-            display("box {name}: there is none of this name")
+            display("box {name}: no box has this name")
         }
-        /// More backends than run on one machine, or none.
+        /// There are no backends, or more than [`MAX_BACKENDS`].
         BackendCount(count: usize) {
-            display("{count} boxes: 1 to {MAX_BACKENDS} can be started")
+            display("{count} boxes: the number must be 1 to {MAX_BACKENDS}")
         }
-        /// A fault lacks a key that its kind needs.
+        /// A fault lacks a key that its kind requires.
         MissingKey(backend: String, key: &'static str) {
-            display("fault of {backend}: it needs `{key}`")
+            display("fault of {backend}: requires `{key}`")
         }
-        /// A fault that applies to every 0th request.
+        /// A fault has an `every` of 0.
         InvalidEvery(backend: String) {
-            display("fault of {backend}: `every` counts from 1")
+            display("fault of {backend}: `every` must be at least 1")
         }
     }
 }
 
-// Serde's errors show the names of types: `expecting` on a type keeps the words that the error had.
+// Error messages of serde contain the names of types: `expecting` keeps the messages when a type is renamed.
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -284,14 +286,15 @@
     vec!["here".into()]
 }
 
-/// The number of backends that run on one machine.
+/// The largest number of backends, which one machine can run.
 const MAX_BACKENDS: usize = 2000;
 
 impl Script {
-    /// Reads a script. A `[[box]]` with a `count` stands for so many, named `name-1` and on, dealt out over its `sites`.
+    /// Parses and validates a script. A `[[box]]` with a `count` stands for that many backends, named
+    /// `name-1`, `name-2` etc. and assigned to its `sites` round-robin.
     ///
     /// # Errors
-    /// The first fault of the script.
+    /// The first error of the script.
     pub fn read(text: &str) -> Result<Self, ScriptError> {
         let raw: RawScript = toml::from_str(text)?;
         let mut backends: Vec<ScriptedBackend> = Vec::new();
@@ -310,7 +313,7 @@
     }
 }
 
-/// Adds the backends that one table of a script stands for.
+/// Adds the backends of one `[[box]]` table.
 fn add_backends(raw: RawBackend, backends: &mut Vec<ScriptedBackend>) -> Result<(), ScriptError> {
     let is_valid_speed = raw.speed.is_finite() && raw.speed > 0.0;
     if raw.sites.is_empty() || raw.cores == 0 || !is_valid_speed {
--- a/crates/test-servers/src/script/tests.rs
+++ b/crates/test-servers/src/script/tests.rs
@@ -5,7 +5,7 @@
 const VALID: &str = include_str!("valid.toml");
 
 #[test]
-fn a_script_is_read_whole() {
+fn a_script_is_parsed_with_counts_sites_events_and_faults() {
     let script = Script::read(VALID).expect("a good script");
     let sites: Vec<_> = script.backends.iter().map(|b| (b.name.as_str(), b.site.as_str())).collect();
     assert_eq!(sites, [("std-1", "a"), ("std-2", "b"), ("std-3", "a"), ("lite", "here")]);
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn an_invalid_script_is_rejected_with_the_place() {
-    for (good, bad, says) in [
+fn invalid_scripts_are_rejected_with_an_error_that_names_the_cause() {
+    for (valid, invalid, expected) in [
         ("cores = 4", "cores = 0", "std"),
         ("cores = 4", "cors = 4", "cors"),
         ("\"60ms\"", "\"60\"", "unit"),
@@ -29,20 +29,20 @@
         ("count = 3", "count = 3000", "2000"),
         ("do = \"drain\"", "do = \"dance\"", "dance"),
     ] {
-        assert!(VALID.contains(good));
-        let error = Script::read(&VALID.replace(good, bad)).expect_err(bad).to_string();
-        assert!(error.contains(says), "{bad}: {error}");
+        assert!(VALID.contains(valid));
+        let error = Script::read(&VALID.replace(valid, invalid)).expect_err(invalid).to_string();
+        assert!(error.contains(expected), "{invalid}: {error}");
     }
 }
 
-/// Whoever writes a script sees these words: they do not follow the names of types.
+/// The error messages of serde are visible to users, so renaming a type must not change them.
 #[test]
-fn a_value_of_another_type_is_reported_in_the_same_words() {
-    for (text, words) in [
+fn errors_about_invalid_types_do_not_depend_on_the_names_of_rust_types() {
+    for (text, message) in [
         ("box = [3]", "invalid type: integer `3`, expected struct RawBox"),
         ("box = [{ name = \"a\", choke = 3 }]", "invalid type: integer `3`, expected struct RawChoke"),
     ] {
         let error = Script::read(text).expect_err(text).to_string();
-        assert!(error.contains(words), "{text}: {error}");
+        assert!(error.contains(message), "{text}: {error}");
     }
 }
--- a/crates/test-servers/tests/golden.rs
+++ b/crates/test-servers/tests/golden.rs
@@ -1,11 +1,10 @@
-//! The stand-ins' files and words, held against golden files: what a script is read as and what its errors say, what backends
-//! draw from a seed, the execution log as JSON and the rules that it shows to be broken, and the responses of backends and
-//! discovery as bytes.
-//! `GOLDEN=write cargo test -p test-servers --test golden` writes the files below `tests/golden` anew, except
+//! Golden tests: how a script is parsed and its error messages, the random draws of backends, the execution
+//! log and the violations of rules as JSON, and the bytes of the responses of backends and discovery.
+//! `GOLDEN=write cargo test -p test-servers --test golden` rewrites the files in `tests/golden`, except
 //! `scripts/full.toml`, which is written by hand.
 //!
-//! What was read is shown in fixed words: a rename of a type or field changes this file and no golden one. Ports are replaced
-//! by `<port>` before a text is written or compared.
+//! Parsed values are written with fixed names, so that renaming a type or field does not change golden files.
+//! Ports are replaced by `<port>` before a text is written or compared.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,21 +22,21 @@
 use tokio::time::timeout;
 
 const FULL: &str = include_str!("golden/scripts/full.toml");
-/// The time-out of each step; nothing else depends on time.
-const LONG: Duration = Duration::from_secs(30);
+/// The time-out of each step.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn ns(time: Duration) -> String {
     if time == Duration::MAX { "ever".into() } else { format!("{} ns", time.as_nanos()) }
 }
 
-fn maybe(time: Option<Duration>) -> String {
+fn optional_ns(time: Option<Duration>) -> String {
     time.map_or("none".into(), ns)
 }
 
 fn service(service: &ServiceTime) -> String {
     match service {
         ServiceTime::Fixed(time) => format!("fixed {}", ns(*time)),
-        ServiceTime::Uniform(least, most) => format!("uniform {} to {}", ns(*least), ns(*most)),
+        ServiceTime::Uniform(min, max) => format!("uniform {} to {}", ns(*min), ns(*max)),
         ServiceTime::Exponential(mean) => format!("exponential {}", ns(*mean)),
         ServiceTime::LogNormal(median, spread) => format!("log-normal {} spread {spread:?}", ns(*median)),
     }
@@ -88,7 +87,7 @@
     for ScriptedBackend { name, site, machine_type, starts_later, load_report_interval, spec: properties } in
         backends
     {
-        let (every, properties) = (maybe(*load_report_interval), spec(properties));
+        let (every, properties) = (optional_ns(*load_report_interval), spec(properties));
         lines
             .push(format!("box {name} site {site} kind {machine_type:?} later {starts_later} report every {every}: {properties}"));
     }
@@ -114,11 +113,12 @@
 }
 
 #[test]
-fn a_script_is_read_as_it_was() {
+fn a_parsed_script_matches_the_golden_file() {
     golden_files::check("scripts/full.txt", &(read(FULL).expect("a script").join("\n") + "\n"));
 }
 
-fn beside(text: &str, full: &[String]) -> String {
+/// The difference of a script from the full one, or its error.
+fn difference_from(text: &str, full: &[String]) -> String {
     match read(text) {
         Err(error) => error.lines().map(|line| format!("  error: {line}\n")).collect(),
         Ok(lines) if lines == full => "  no change\n".into(),
@@ -130,24 +130,27 @@
     }
 }
 
-/// Without the excerpt of the file that errors hold, which is kept for some of them in another golden file.
+/// Removes the excerpt of the file that error messages contain. Another golden file has some of these
+/// excerpts.
 fn without_excerpt(change: &str) -> String {
     let is_excerpt =
         |line: &&str| line.starts_with("  error:") && line.contains(" | ") || line.ends_with(" |");
     change.lines().filter(|line| !is_excerpt(line)).map(|line| format!("{line}\n")).collect()
 }
 
+/// The full script with one of its lines replaced.
 fn with_line(number: usize, line: &str) -> String {
     FULL.lines().enumerate().map(|(at, old)| format!("{}\n", if at == number { line } else { old })).collect()
 }
 
-/// Each key left out, misspelt and of another type: its default or the error, which names the keys that there are.
+/// Each key is omitted, misspelt and given a value of another type. The result is its default or an error
+/// with the known keys.
 #[test]
-fn each_key_of_a_script_means_what_it_meant() {
+fn defaults_and_errors_of_each_key_of_a_script_match_the_golden_files() {
     let full = read(FULL).expect("a script");
     let (mut text, mut with_types) = (String::new(), String::new());
     let mut add = |about: String, changed: String| {
-        let change = without_excerpt(&beside(&changed, &full));
+        let change = without_excerpt(&difference_from(&changed, &full));
         let into = if golden_files::shows_a_type(&change) { &mut with_types } else { &mut text };
         *into += &format!("{about}\n{change}");
     };
@@ -169,7 +172,7 @@
 }
 
 #[test]
-fn invalid_scripts_are_rejected_in_the_same_words() {
+fn errors_of_invalid_scripts_match_the_golden_files() {
     let changes = [
         ("cores = 4", "cores = 0"),
         ("speed = 1.5", "speed = 0.0"),
@@ -189,11 +192,11 @@
     ];
     let full = read(FULL).expect("a script");
     let (mut text, mut with_types) = (String::new(), String::new());
-    for (good, bad) in changes {
-        assert!(FULL.contains(good), "{good}");
-        let change = beside(&FULL.replacen(good, bad, 1), &full);
+    for (valid, invalid) in changes {
+        assert!(FULL.contains(valid), "{valid}");
+        let change = difference_from(&FULL.replacen(valid, invalid, 1), &full);
         let into = if golden_files::shows_a_type(&change) { &mut with_types } else { &mut text };
-        *into += &format!("{good:?} as {bad:?}\n{change}");
+        *into += &format!("{valid:?} as {invalid:?}\n{change}");
     }
     golden_files::check("scripts/no_sense.txt", &text);
     golden_files::check("scripts/no_sense_that_show_rust_types.txt", &with_types);
@@ -203,9 +206,9 @@
     Duration::from_millis(ms)
 }
 
-/// What a backend draws from a seed, to the nanosecond: another order of draws shows.
+/// The times that a backend draws from a seed, to the nanosecond: a change of the order of draws is detected.
 #[test]
-fn backends_draw_what_they_drew() {
+fn the_draws_of_backends_match_the_golden_file() {
     let kinds = [
         ServiceTime::Fixed(ms(20)),
         ServiceTime::Uniform(ms(59), ms(110)),
@@ -248,8 +251,8 @@
             );
             if token % 2 == 1 {
                 let started = model.complete(now).into_iter();
-                let begun: Vec<_> = started.map(|each| (each.token.0, ns(each.completes_at))).collect();
-                text += &format!("  begun {begun:?}\n");
+                let started: Vec<_> = started.map(|each| (each.token.0, ns(each.completes_at))).collect();
+                text += &format!("  begun {started:?}\n");
             }
             match token {
                 20 => model.set_slowdown(1.5),
@@ -262,7 +265,7 @@
 }
 
 #[test]
-fn the_log_is_written_as_it_was() {
+fn the_execution_log_and_rule_violations_match_the_golden_file() {
     let execution = |key: Option<&str>, ended| Execution {
         backend: "box-1".into(),
         site: "a".into(),
@@ -283,7 +286,7 @@
         Observation::Crash { backend: "box-2".into(), at: ms(4000) },
     ];
     for observation in &observations {
-        // Each sort has to be there.
+        // The match ensures that the list has each variant.
         match observation {
             Observation::RequestAfterDrain { .. } | Observation::Crash { .. } => text += &json(observation),
         }
@@ -338,7 +341,7 @@
     golden_files::check("ledger.txt", &text);
 }
 
-/// What can be written as JSON, whatever its type.
+/// Object-safe serialization as JSON.
 mod erased {
     pub trait Json {
         fn json(&self) -> String;
@@ -350,8 +353,8 @@
     }
 }
 
-/// Sends a request and reads until the response is complete by this, or the connection ends.
-async fn ask(address: SocketAddr, request: &str, whole: impl Fn(&str) -> bool) -> String {
+/// Sends a request and reads until `is_complete` accepts the response, or the connection ends.
+async fn exchange(address: SocketAddr, request: &str, is_complete: impl Fn(&str) -> bool) -> String {
     let mut stream = match TcpStream::connect(address).await {
         Ok(stream) => stream,
         Err(e) => return format!("no connection: {:?}", e.kind()),
@@ -360,10 +363,10 @@
     let mut bytes = Vec::new();
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
-        if whole(&text) {
+        if is_complete(&text) {
             return text;
         }
-        match timeout(LONG, stream.read_buf(&mut bytes)).await.expect("in time") {
+        match timeout(TIMEOUT, stream.read_buf(&mut bytes)).await.expect("in time") {
             Ok(0) => return text + "<end>",
             Ok(_) => {}
             Err(e) => return format!("{text}<{:?}>", e.kind()),
@@ -371,7 +374,7 @@
     }
 }
 
-/// With the port of each address replaced.
+/// Replaces the port of each address.
 fn without_ports(text: &str) -> String {
     let mut pieces = text.split("127.0.0.1:");
     let mut out = pieces.next().unwrap_or_default().to_string();
@@ -383,7 +386,7 @@
 }
 
 #[tokio::test]
-async fn discovery_responds_as_it_did() {
+async fn the_responses_of_discovery_match_the_golden_file() {
     let discovery = Discovery::start().await.expect("up");
     let endpoint = |name: &str, lifecycle, started_at_ms| Endpoint {
         instance_id: name.into(),
@@ -414,18 +417,18 @@
             text.ends_with("\n\r\n") && text.contains("generation")
                 || by_length(text) && !text.contains("chunked")
         };
-        text += &format!("{target}\n{}\n", ask(discovery.address, &get(target), first_line).await);
+        text += &format!("{target}\n{}\n", exchange(discovery.address, &get(target), first_line).await);
     }
-    let none = |text: &str| text.ends_with("\r\n\r\n");
-    text += &format!("/other\n{}\n", ask(discovery.address, &get("/other"), none).await);
+    let without_body = |text: &str| text.ends_with("\r\n\r\n");
+    text += &format!("/other\n{}\n", exchange(discovery.address, &get("/other"), without_body).await);
     discovery.set_availability(Availability::Down);
-    text += &format!("down\n{}\n", ask(discovery.address, &get("/v1/endpoints"), none).await);
+    text += &format!("down\n{}\n", exchange(discovery.address, &get("/v1/endpoints"), without_body).await);
     golden_files::check("discovery.txt", &without_ports(&text).replace("\r\n", "\n"));
 }
 
 /// The response of a backend to each kind of request, and under each fault.
 #[tokio::test]
-async fn backends_respond_as_they_did() {
+async fn the_responses_of_backends_match_the_golden_file() {
     let faults = [
         ("none", ""),
         ("reset-before", ""),
@@ -439,29 +442,30 @@
         ("refuse", ""),
     ];
     let mut script = String::new();
-    for (number, (what, more)) in faults.iter().enumerate() {
+    for (number, (kind, settings)) in faults.iter().enumerate() {
         script += &format!("[[box]]\nname = \"b{number}\"\nreport-every = \"1h\"\n");
-        if *what != "none" {
-            script += &format!("[[fault]]\nbox = \"b{number}\"\nwhat = \"{what}\"\n{more}\n");
+        if *kind != "none" {
+            script += &format!("[[fault]]\nbox = \"b{number}\"\nwhat = \"{kind}\"\n{settings}\n");
         }
     }
     let environment =
         Environment::start(&Script::read(&script).expect("a script")).await.expect("an environment");
-    let whole = |text: &str| {
+    let is_complete = |text: &str| {
         let Some((head, body)) = text.split_once("\r\n\r\n") else { return false };
         let length = head.split("Content-Length: ").nth(1).and_then(|rest| rest.lines().next());
         length.and_then(|length| length.parse().ok()).is_some_and(|length: usize| body.len() >= length)
     };
     let mut text = String::new();
-    for (number, (what, more)) in faults.iter().enumerate() {
+    for (number, (kind, settings)) in faults.iter().enumerate() {
         let request = format!(
             "POST /correct/1?x=1 HTTP/1.1\r\nHost: t\r\nX-Correlation-Id: id-{number}\r\nIdempotency-Key: k{number}\r\n\
              Content-Length: 1\r\n\r\nx"
         );
-        let answer = ask(environment.backends[number].address, &request, whole).await;
-        let ran = environment.execution_log.executions_of(&format!("id-{number}"));
-        let ran: Vec<_> = ran.iter().map(|run| (&run.backend, &run.site, &run.path, &run.key)).collect();
-        text += &format!("# {what} {more}\n{answer}\nran {ran:?}\n");
+        let response = exchange(environment.backends[number].address, &request, is_complete).await;
+        let executions = environment.execution_log.executions_of(&format!("id-{number}"));
+        let executions: Vec<_> =
+            executions.iter().map(|run| (&run.backend, &run.site, &run.path, &run.key)).collect();
+        text += &format!("# {kind} {settings}\n{response}\nran {executions:?}\n");
     }
     golden_files::check("answers.txt", &text.replace("\r\n", "\n"));
 }
