--- a/crates/load-generator/src/diff.rs
+++ b/crates/load-generator/src/diff.rs
@@ -95,7 +95,7 @@
 }
 
 /// The comparison as a table for the terminal, followed by the reasons why runs are invalid.
-pub fn text(first: &Report, second: &Report) -> String {
+pub fn render_table(first: &Report, second: &Report) -> String {
     let mut out = String::new();
     let _ = writeln!(
         out,
--- a/crates/load-generator/src/diff/tests.rs
+++ b/crates/load-generator/src/diff/tests.rs
@@ -53,5 +53,7 @@
 fn a_single_run_has_no_interval_and_a_report_without_runs_no_rows() {
     assert_eq!(compare(&report(&[1.0]), &report(&[2.0, 3.0]))[0].interval, None);
     assert!(compare(&report(&[]), &report(&[2.0])).is_empty());
-    assert!(text(&report(&[1.0]), &report(&[2.0])).contains("none: each report needs at least two runs"));
+    assert!(
+        render_table(&report(&[1.0]), &report(&[2.0])).contains("none: each report needs at least two runs")
+    );
 }
--- a/crates/load-generator/src/engine.rs
+++ b/crates/load-generator/src/engine.rs
@@ -105,7 +105,11 @@
 /// Runs a plan as one worker on the current runtime, which must be single-threaded, and paces it by the
 /// runtime's timer. Tests use it with paused time. Of a plan for several threads only the first worker's
 /// share is sent.
-pub async fn run_here(plan: Arc<Plan>, connect: Arc<dyn Connect>, attempt_log: AttemptLog) -> RunOutput {
+pub async fn run_on_current_runtime(
+    plan: Arc<Plan>,
+    connect: Arc<dyn Connect>,
+    attempt_log: AttemptLog,
+) -> RunOutput {
     let options = WorkerOptions {
         plan: plan.clone(),
         connect,
--- a/crates/load-generator/src/html.rs
+++ b/crates/load-generator/src/html.rs
@@ -24,7 +24,7 @@
 }
 
 /// Renders the page of a report.
-pub fn page(report: &Report) -> String {
+pub fn render_page(report: &Report) -> String {
     let mut out = String::new();
     // Writing to a string can't fail.
     let _ = write!(
--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -243,7 +243,9 @@
             RawShape::Step { from, until, rate } => {
                 Shape::Step { from: from.get(), until: until.get(), rate }
             }
-            RawShape::Sine { mean, swing, period } => Shape::Sine { mean, swing, period: period.get() },
+            RawShape::Sine { mean, swing, period } => {
+                Shape::Sine { mean, amplitude: swing, period: period.get() }
+            }
             RawShape::Burst { at, count } => Shape::Burst { at: at.get(), count },
         }
     }
@@ -348,7 +350,7 @@
     ///
     /// # Errors
     /// The trace has no request, or the resulting plan is invalid.
-    pub fn of_trace(trace: Trace, base: &Plan) -> Result<Self, PlanError> {
+    pub fn from_trace(trace: Trace, base: &Plan) -> Result<Self, PlanError> {
         let Some(last) = trace.requests.last() else { return Err(PlanError::EmptyTrace) };
         let mut plan = base.clone();
         (plan.classes, plan.tenants) = (Vec::new(), Vec::new());
@@ -396,7 +398,7 @@
             Shape::Constant(rate) => is_rate(*rate),
             Shape::Ramp { from, to, .. } => is_rate(*from) && is_rate(*to),
             Shape::Step { rate, .. } => is_rate(*rate),
-            Shape::Sine { mean, swing, .. } => is_rate(*mean) && is_rate(*swing),
+            Shape::Sine { mean, amplitude, .. } => is_rate(*mean) && is_rate(*amplitude),
             Shape::Burst { count, .. } => is_rate(*count as f64),
         });
         if !are_rates {
--- a/crates/load-generator/src/plan/tests.rs
+++ b/crates/load-generator/src/plan/tests.rs
@@ -43,9 +43,9 @@
     let text = b"{\"t\":1,\"method\":\"GET\",\"target\":\"/a\",\"class\":\"x\",\"tenant\":\"p\"}\n\
             {\"t\":3,\"method\":\"POST\",\"target\":\"/b\",\"class\":\"y\"}\n";
     let from = Plan::steady(1.0, Duration::from_secs(1), "GET", "/").expect("a plan");
-    let plan = Plan::of_trace(trace::read(text, 4.0), &from).expect("a plan");
+    let plan = Plan::from_trace(trace::read(text, 4.0), &from).expect("a plan");
     let requests: Vec<_> =
         plan.requests().map(|request| (request.at, request.drawn.class, request.drawn.tenant)).collect();
     assert_eq!(requests, [(Duration::ZERO, 0, Some(0)), (Duration::from_millis(500), 1, None)]);
-    assert!(Plan::of_trace(trace::read(b"", 1.0), &from).is_err());
+    assert!(Plan::from_trace(trace::read(b"", 1.0), &from).is_err());
 }
--- a/crates/load-generator/src/report.rs
+++ b/crates/load-generator/src/report.rs
@@ -130,7 +130,7 @@
 
 impl Run {
     /// Computes the figures of a run.
-    pub fn of(plan: &Plan, output: &RunOutput) -> Self {
+    pub fn from_output(plan: &Plan, output: &RunOutput) -> Self {
         let record = &output.record;
         let classes = plan.classes.iter().zip(&record.classes);
         Run {
@@ -211,7 +211,7 @@
     }
 
     /// The report as JSON, in one line.
-    pub fn json(&self) -> String {
+    pub fn to_json(&self) -> String {
         // Serializing these types to a string can't fail.
         serde_json::to_string(self).unwrap_or_default()
     }
@@ -222,7 +222,7 @@
     }
 
     /// The report as a table for the terminal, with the reasons of invalid runs and the notes.
-    pub fn text(&self) -> String {
+    pub fn to_table(&self) -> String {
         let mut out = String::new();
         // Writing to a string can't fail.
         for (number, run) in self.runs.iter().enumerate() {
--- a/crates/load-generator/src/schedule.rs
+++ b/crates/load-generator/src/schedule.rs
@@ -35,8 +35,8 @@
     Sine {
         /// The mean rate.
         mean: f64,
-        /// The amplitude, in requests per second.
-        swing: f64,
+        /// The largest difference from the mean, in requests per second.
+        amplitude: f64,
         /// The period.
         period: Duration,
     },
@@ -64,8 +64,8 @@
                     0.0
                 }
             }
-            Shape::Sine { mean, swing, period } => {
-                mean + swing * (TAU * at / period.as_secs_f64().max(1e-9)).sin()
+            Shape::Sine { mean, amplitude, period } => {
+                mean + amplitude * (TAU * at / period.as_secs_f64().max(1e-9)).sin()
             }
             Shape::Burst { .. } => 0.0,
         }
--- a/crates/load-generator/src/schedule/tests.rs
+++ b/crates/load-generator/src/schedule/tests.rs
@@ -27,7 +27,7 @@
     let ramp = |from, to| Shape::Ramp { from, to, over: Duration::from_secs(10) };
     assert!(count(vec![ramp(0.0, 200.0)], 10).abs_diff(1000) <= 1);
     assert!(count(vec![ramp(100.0, 0.0), ramp(0.0, 100.0)], 10).abs_diff(1000) <= 1);
-    let wave = |mean, swing| Shape::Sine { mean, swing, period: Duration::from_secs(2) };
+    let wave = |mean, amplitude| Shape::Sine { mean, amplitude, period: Duration::from_secs(2) };
     assert!(count(vec![wave(100.0, 50.0)], 10).abs_diff(1000) <= 1);
     // The negative half of a wave around 0 counts as 0, so its mean rate is the amplitude divided by pi.
     assert!(count(vec![wave(0.0, 314.16)], 10).abs_diff(1000) <= 2);
--- a/crates/load-generator/tests/golden_plans.rs
+++ b/crates/load-generator/tests/golden_plans.rs
@@ -33,8 +33,8 @@
         Shape::Step { from, until, rate } => {
             format!("step from {} until {} rate {rate:?}", ns(*from), ns(*until))
         }
-        Shape::Sine { mean, swing, period } => {
-            format!("sine mean {mean:?} swing {swing:?} period {}", ns(*period))
+        Shape::Sine { mean, amplitude, period } => {
+            format!("sine mean {mean:?} swing {amplitude:?} period {}", ns(*period))
         }
         Shape::Burst { at, count } => format!("burst at {} count {count}", ns(*at)),
     }
@@ -242,10 +242,10 @@
     text +=
         &format!("bad {invalid_lines}, first {first:?}, out of order {out_of_order}, cut {is_truncated}\n\n");
     let from = Plan::steady(1.0, Duration::from_secs(1), "GET", "/").expect("a plan");
-    let plan = Plan::of_trace(trace, &from).expect("a plan");
+    let plan = Plan::from_trace(trace, &from).expect("a plan");
     text += &format!("{}\n\n{}", lines(&plan).join("\n"), requests(&plan));
     for (about, bad) in [("an empty trace", ""), ("no line", "x\n")] {
-        let refused = Plan::of_trace(trace::read(bad.as_bytes(), 1.0), &from).expect_err(about);
+        let refused = Plan::from_trace(trace::read(bad.as_bytes(), 1.0), &from).expect_err(about);
         text += &format!("\n{about}: {refused}\n");
     }
     golden_files::check("traces/odd.txt", &text);
--- a/crates/load-generator/tests/golden_reports.rs
+++ b/crates/load-generator/tests/golden_reports.rs
@@ -6,7 +6,7 @@
 //! Runs use an in-memory target and paused time, which advances only while all tasks wait, so that the output
 //! is deterministic.
 
-use load_generator::engine::{AttemptLog, AttemptResult, Connect, ConnectFuture, Io, run_here};
+use load_generator::engine::{AttemptLog, AttemptResult, Connect, ConnectFuture, Io, run_on_current_runtime};
 use load_generator::plan::Plan;
 use load_generator::record::{AttemptKind, Outcome, Record};
 use load_generator::report::{Report, RequestFigures, Run, TimeQuantiles, outcome_names};
@@ -167,11 +167,11 @@
 #[test]
 fn a_report_is_written_and_read_as_in_the_golden_file() {
     let report = full_report();
-    golden_files::check("reports/full.json", &report.json());
+    golden_files::check("reports/full.json", &report.to_json());
     let golden = golden_files::read("reports/full.json");
     let read = Report::read(golden.as_bytes()).expect("a report");
     assert_eq!(read, report);
-    assert_eq!(read.json(), golden);
+    assert_eq!(read.to_json(), golden);
 }
 
 /// Reports of earlier versions have no notes.
@@ -183,7 +183,7 @@
 
 #[test]
 fn errors_of_invalid_reports_match_the_golden_file() {
-    let valid = full_report().json();
+    let valid = full_report().to_json();
     let mut text = String::new();
     for invalid in
         [valid.replacen("\"form\":1", "\"form\":2", 1), valid.replacen("\"due\"", "\"dues\"", 1), "x".into()]
@@ -197,15 +197,15 @@
 #[test]
 fn the_table_page_and_comparison_of_reports_match_the_golden_files() {
     let report = full_report();
-    golden_files::check("reports/full.txt", &report.text());
-    golden_files::check("reports/full.html", &html::page(&report));
+    golden_files::check("reports/full.txt", &report.to_table());
+    golden_files::check("reports/full.html", &html::render_page(&report));
     let mut other = full_report();
     other.runs.truncate(2);
     other.runs[1].all.latency.as_mut().expect("times").p50 = 40.0;
-    golden_files::check("reports/diff.txt", &diff::text(&report, &other));
+    golden_files::check("reports/diff.txt", &diff::render_table(&report, &other));
     let mut one = full_report();
     one.runs.truncate(1);
-    golden_files::check("reports/diff_of_one.txt", &diff::text(&report, &one));
+    golden_files::check("reports/diff_of_one.txt", &diff::render_table(&report, &one));
     let mut valid = full_report();
     valid.runs.truncate(3);
     assert!(!report.is_valid() && valid.is_valid());
@@ -218,12 +218,12 @@
     let target = Target::default();
     let received = target.received.clone();
     let start = Instant::now();
-    let finished = run_here(plan.clone(), Arc::new(target), AttemptLog::Keep).await;
+    let finished = run_on_current_runtime(plan.clone(), Arc::new(target), AttemptLog::Keep).await;
     let mut report = Report::new(&plan, "memory");
-    report.runs.push(Run::of(&plan, &finished));
-    golden_files::check("reports/played.json", &report.json());
-    golden_files::check("reports/played.txt", &report.text());
-    golden_files::check("reports/played.html", &html::page(&report));
+    report.runs.push(Run::from_output(&plan, &finished));
+    golden_files::check("reports/played.json", &report.to_json());
+    golden_files::check("reports/played.txt", &report.to_table());
+    golden_files::check("reports/played.html", &html::render_page(&report));
     let requests = received
         .lock()
         .expect("not poisoned")
@@ -244,8 +244,8 @@
     let text = "what?\n{\"t\":2,\"method\":\"GET\",\"target\":\"/a\",\"class\":\"c\"}\n\
                 {\"t\":1,\"method\":\"GET\",\"target\":\"/a\",\"class\":\"c\"}\n{\"t\":8,\"me";
     let from = Plan::steady(1.0, Duration::from_secs(1), "GET", "/").expect("a plan");
-    let plan = Plan::of_trace(trace::read(text.as_bytes(), 1.0), &from).expect("a plan");
-    golden_files::check("reports/notes.json", &Report::new(&plan, "t").json());
+    let plan = Plan::from_trace(trace::read(text.as_bytes(), 1.0), &from).expect("a plan");
+    golden_files::check("reports/notes.json", &Report::new(&plan, "t").to_json());
 }
 
 #[test]
--- a/crates/load-generator/tests/runs.rs
+++ b/crates/load-generator/tests/runs.rs
@@ -1,7 +1,7 @@
 //! Runs against an in-memory target with paused time, which advances only while all tasks wait: results are
 //! deterministic.
 
-use load_generator::engine::{AttemptLog, Connect, ConnectFuture, Io, run_here};
+use load_generator::engine::{AttemptLog, Connect, ConnectFuture, Io, run_on_current_runtime};
 use load_generator::plan::Plan;
 use load_generator::record::Outcome;
 use load_generator::report::{Report, Run};
@@ -93,9 +93,12 @@
 /// of the histogram (0.1%) and of the timer (1 ms).
 #[tokio::test(start_paused = true)]
 async fn a_stall_of_one_second_appears_in_the_latency_quantiles_as_calculated() {
-    let finished =
-        run_here(plan(1000.0, 10, "connections = 2000"), Arc::new(Target::new(stalls)), AttemptLog::Discard)
-            .await;
+    let finished = run_on_current_runtime(
+        plan(1000.0, 10, "connections = 2000"),
+        Arc::new(Target::new(stalls)),
+        AttemptLog::Discard,
+    )
+    .await;
     assert!(finished.verdict.is_valid(), "{:?}", finished.verdict);
     let latency = &finished.record.all.latency;
     assert_eq!((latency.len(), finished.record.all.outcomes), (10_000, [10_000, 0, 0, 0, 0]));
@@ -147,8 +150,12 @@
 #[tokio::test(start_paused = true)]
 async fn too_few_connections_invalidate_a_run_and_latency_includes_the_wait() {
     let busy = |at: Duration| (at + Duration::from_millis(20), OK);
-    let finished =
-        run_here(plan(100.0, 2, "connections = 1"), Arc::new(Target::new(busy)), AttemptLog::Discard).await;
+    let finished = run_on_current_runtime(
+        plan(100.0, 2, "connections = 1"),
+        Arc::new(Target::new(busy)),
+        AttemptLog::Discard,
+    )
+    .await;
     assert!(!finished.verdict.is_valid());
     assert!(
         finished.verdict.reasons.iter().any(|r| r.contains("out of connections")),
@@ -168,7 +175,8 @@
     let text = "for = \"2s\"\nconnections = 20000\n[[shape]]\nkind = \"burst\"\nat = \"1s\"\ncount = 10000\n\
         [[class]]\nname = \"c\"\nmethod = \"GET\"\npath = \"/\"\n";
     let plan = Arc::new(Plan::read(text).expect("a plan"));
-    let finished = run_here(plan, Arc::new(Target::new(|at| (at, OK))), AttemptLog::Discard).await;
+    let finished =
+        run_on_current_runtime(plan, Arc::new(Target::new(|at| (at, OK))), AttemptLog::Discard).await;
     assert_eq!(finished.record.all.outcomes, [10_000, 0, 0, 0, 0]);
     assert!(finished.verdict.is_valid(), "{:?}", finished.verdict);
 }
@@ -178,14 +186,15 @@
 #[tokio::test(start_paused = true)]
 async fn a_run_without_responses_has_a_report() {
     let plan = plan(10.0, 3, "");
-    let finished = run_here(plan.clone(), Arc::new(Target::new(|at| (at, ""))), AttemptLog::Keep).await;
+    let finished =
+        run_on_current_runtime(plan.clone(), Arc::new(Target::new(|at| (at, ""))), AttemptLog::Keep).await;
     assert_eq!(finished.record.all.outcomes, [0, 0, 0, 30, 0]);
     assert!(finished.attempts.len() == 30 && finished.attempts.iter().all(|a| a.outcome == Outcome::Lost));
     let mut report = Report::new(&plan, "nobody <&>");
-    report.runs.push(Run::of(&plan, &finished));
-    assert_eq!(Report::read(report.json().as_bytes()).expect("a report"), report);
-    assert!(report.text().contains("-"));
-    let page = html::page(&report);
+    report.runs.push(Run::from_output(&plan, &finished));
+    assert_eq!(Report::read(report.to_json().as_bytes()).expect("a report"), report);
+    assert!(report.to_table().contains("-"));
+    let page = html::render_page(&report);
     assert!(page.contains("No request was served") && page.contains("nobody &lt;&amp;&gt;"));
 }
 
@@ -193,7 +202,7 @@
 async fn connect_errors_of_the_generator_invalidate_a_run_and_those_of_the_target_do_not() {
     for (code, reason) in [(24, Some("no descriptor left")), (99, Some("no port left")), (111, None)] {
         let target = Target { connect_error: Some(code), ..Target::new(|at| (at, OK)) };
-        let finished = run_here(plan(10.0, 1, ""), Arc::new(target), AttemptLog::Discard).await;
+        let finished = run_on_current_runtime(plan(10.0, 1, ""), Arc::new(target), AttemptLog::Discard).await;
         match reason {
             Some(reason) => {
                 assert!(
@@ -225,7 +234,9 @@
         )
     };
     let run = async |plan| {
-        run_here(plan, Arc::new(Target::new(|at| (at, REJECTED))), AttemptLog::Discard).await.record
+        run_on_current_runtime(plan, Arc::new(Target::new(|at| (at, REJECTED))), AttemptLog::Discard)
+            .await
+            .record
     };
     let none = run(with("0", "1")).await;
     assert_eq!((none.attempts, none.all.outcomes), (1000, [0, 1000, 0, 0, 0]));
@@ -237,7 +248,8 @@
     let later = move |at: Duration| if at < at_first { (at, REJECTED) } else { (at, OK) };
     for (honour, delay_ms) in [("1", 500), ("0", 100)] {
         let plan = with("1", honour);
-        let record = run_here(plan, Arc::new(Target::new(later)), AttemptLog::Discard).await.record;
+        let record =
+            run_on_current_runtime(plan, Arc::new(Target::new(later)), AttemptLog::Discard).await.record;
         let longest = record.all.latency.max() / 1000;
         assert!((delay_ms..delay_ms + 5).contains(&longest), "{longest} ms with a delay of {delay_ms}");
         assert!(record.service_time.max() < 5_000, "the service time does not include it");
@@ -252,14 +264,14 @@
     };
     let text: String = (0..5000).map(line).collect();
     let from = Plan::steady(1.0, Duration::from_secs(1), "GET", "/").expect("a plan");
-    let plan = Arc::new(Plan::of_trace(trace::read(text.as_bytes(), 2.0), &from).expect("a plan"));
+    let plan = Arc::new(Plan::from_trace(trace::read(text.as_bytes(), 2.0), &from).expect("a plan"));
     let seen = Arc::new(std::sync::Mutex::new(Vec::new()));
     let noted = seen.clone();
     let target = Target::new(move |at| {
         noted.lock().expect("noted").push(at);
         (at, OK)
     });
-    let finished = run_here(plan, Arc::new(target), AttemptLog::Discard).await;
+    let finished = run_on_current_runtime(plan, Arc::new(target), AttemptLog::Discard).await;
     assert!(finished.verdict.is_valid(), "{:?}", finished.verdict);
     let seen = seen.lock().expect("seen");
     assert_eq!(seen.len(), 5000);
@@ -309,7 +321,7 @@
     };
     let text: String = (0..30_000).map(line).collect();
     let from = Plan::steady(1.0, Duration::from_secs(1), "GET", "/").expect("a plan");
-    let plan = Arc::new(Plan::of_trace(trace::read(text.as_bytes(), 1.0), &from).expect("a plan"));
+    let plan = Arc::new(Plan::from_trace(trace::read(text.as_bytes(), 1.0), &from).expect("a plan"));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     struct InMemory(tokio::runtime::Handle);
     impl Connect for InMemory {
--- a/crates/marlwinch/src/command/demo/mod.rs
+++ b/crates/marlwinch/src/command/demo/mod.rs
@@ -62,10 +62,10 @@
     progress::print_backend_states(environment.clone());
     let finished = run_with_progress(&plan, node, "", AttemptLog::Keep).map_err(DemoError::Load)?;
     let mut report = Report::new(&plan, node.to_string());
-    report.runs.push(Run::of(&plan, &finished));
-    println!("\n{}", report.text());
+    report.runs.push(Run::from_output(&plan, &finished));
+    println!("\n{}", report.to_table());
     if let Some(path) = &arguments.html {
-        let written = std::fs::write(path, html::page(&report));
+        let written = std::fs::write(path, html::render_page(&report));
         written.map_err(|error| DemoError::WritePage(path.clone(), error))?;
         println!("the page is {}", path.display());
     }
--- a/crates/marlwinch/src/command/load/mod.rs
+++ b/crates/marlwinch/src/command/load/mod.rs
@@ -132,7 +132,7 @@
 
 fn compare(first: &Path, second: &Path) -> Result<ReportValidity, LoadError> {
     let (first, second) = (read_report(first)?, read_report(second)?);
-    print!("{}", diff::text(&first, &second));
+    print!("{}", diff::render_table(&first, &second));
     Ok(ReportValidity::of(&[&first, &second]))
 }
 
@@ -143,7 +143,7 @@
 fn run(arguments: &LoadArguments) -> Result<ReportValidity, LoadError> {
     let (mut plan, target) = base_plan(arguments)?;
     if let Some(path) = &arguments.trace {
-        plan = Plan::of_trace(trace::read(&read_file(path)?, arguments.speed), &plan)?;
+        plan = Plan::from_trace(trace::read(&read_file(path)?, arguments.speed), &plan)?;
     }
     plan.threads = arguments.threads.unwrap_or(plan.threads).clamp(1, 64);
     plan.connections = arguments.connections.unwrap_or(plan.connections).max(1);
@@ -152,15 +152,15 @@
     for number in 0..arguments.repeat {
         let label = if arguments.repeat > 1 { format!("run {} ", number + 1) } else { String::new() };
         let finished = run_with_progress(&plan, target, &label, AttemptLog::Discard);
-        report.runs.push(Run::of(&plan, &finished.map_err(LoadError::Run)?));
+        report.runs.push(Run::from_output(&plan, &finished.map_err(LoadError::Run)?));
     }
     if let Some(path) = &arguments.json {
-        write_file(path, report.json())?;
+        write_file(path, report.to_json())?;
     }
     if let Some(path) = &arguments.html {
-        write_file(path, html::page(&report))?;
+        write_file(path, html::render_page(&report))?;
     }
-    print!("{}", report.text());
+    print!("{}", report.to_table());
     Ok(ReportValidity::of(&[&report]))
 }
 
--- a/crates/marlwinch/tests/file_node.rs
+++ b/crates/marlwinch/tests/file_node.rs
@@ -796,5 +796,5 @@
     }
     let from = load_generator::plan::Plan::steady(1.0, std::time::Duration::from_secs(1), "GET", "/")
         .expect("a plan");
-    assert_eq!(load_generator::plan::Plan::of_trace(trace, &from).expect("a plan").requests().count(), 20);
+    assert_eq!(load_generator::plan::Plan::from_trace(trace, &from).expect("a plan").requests().count(), 20);
 }
--- a/crates/marlwinch/tests/golden_cli_checks.rs
+++ b/crates/marlwinch/tests/golden_cli_checks.rs
@@ -470,7 +470,7 @@
     for name in ["first.json", "alone.json", "not-valid.json", "no-notes.json"] {
         let report = std::fs::read(folder.0.join(name)).expect("a report");
         let report = load_generator::report::Report::read(&report).expect("a report");
-        transcript += &format!("# the table of {name}\n{}\n", report.text());
+        transcript += &format!("# the table of {name}\n{}\n", report.to_table());
     }
     approve("checks/load.txt", &transcript);
 }
