--- a/crates/overload-simulation/examples/goodput.rs
+++ b/crates/overload-simulation/examples/goodput.rs
@@ -1,4 +1,5 @@
-//! Draws goodput and p99 against offered load, for a fixed limit, no limit, and limits that adapt, and prints the figures.
+//! Plots and prints goodput and p99 latency by offered load, for fixed limits, no limit, and an adaptive
+//! limit. The argument is the folder for the plots.
 //!
 //! `cargo run --release -p overload-simulation --example goodput -- docs/figures`
 
@@ -15,11 +16,12 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Four backends of four cores at 20 ms: 800 requests per second. With more than four queued per core they take twice as
-/// long.
+/// The capacity in requests per second of four backends with four cores and a service time of 20 ms. With
+/// more than four queued requests per core they take twice as long.
 const CAPACITY: f64 = 800.0;
 const LOADS: [f64; 10] = [0.5, 0.8, 0.95, 1.1, 1.5, 2.0, 3.0, 5.0, 10.0, 20.0];
 const SECONDS: u32 = 40;
+/// Goodput is measured from this second, when limits have converged.
 const SETTLED: usize = 15;
 
 fn surge(load: f64, bounds: Option<LimitBounds>, tenants: usize) -> Surge {
@@ -40,7 +42,7 @@
         class: 0,
         tenant,
         node: 0,
-        // Each sends more than the one before; together the load.
+        // The rates of tenants increase linearly, and add up to the load.
         rate: CAPACITY * load * 2.0 * (tenant + 1) as f64 / (tenants * (tenants + 1)) as f64,
         from: 0.0,
         to: f64::from(SECONDS),
@@ -75,14 +77,15 @@
     tally.streams[0].latency.value_at_quantile(0.99) as f64 / 1000.0
 }
 
-type Line = (&'static str, Vec<(f64, f64, f64)>);
+/// The name of a curve, and its points: load, goodput and p99 in ms.
+type Curve = (&'static str, Vec<(f64, f64, f64)>);
 
-fn draw(
+fn plot(
     path: &std::path::Path,
-    lines: &[Line],
-    what: &str,
-    of: fn(&(f64, f64, f64)) -> f64,
-    most: f64,
+    curves: &[Curve],
+    label: &str,
+    value: fn(&(f64, f64, f64)) -> f64,
+    max: f64,
 ) -> Result<(), Box<dyn Error>> {
     let root = SVGBackend::new(path, (760, 420)).into_drawing_area();
     root.fill(&WHITE)?;
@@ -90,14 +93,10 @@
         .margin(12)
         .x_label_area_size(42)
         .y_label_area_size(56)
-        .build_cartesian_2d((0.5f64..20.0).log_scale(), 0.0..most)?;
-    chart
-        .configure_mesh()
-        .x_desc("offered load, in multiples of what the boxes can do")
-        .y_desc(what)
-        .draw()?;
-    for ((name, points), color) in lines.iter().zip([&RED, &BLUE, &GREEN, &MAGENTA]) {
-        let points: Vec<_> = points.iter().map(|point| (point.0, of(point))).collect();
+        .build_cartesian_2d((0.5f64..20.0).log_scale(), 0.0..max)?;
+    chart.configure_mesh().x_desc("offered load, in multiples of the capacity").y_desc(label).draw()?;
+    for ((name, points), color) in curves.iter().zip([&RED, &BLUE, &GREEN, &MAGENTA]) {
+        let points: Vec<_> = points.iter().map(|point| (point.0, value(point))).collect();
         chart
             .draw_series(LineSeries::new(points.clone(), color.stroke_width(2)))?
             .label(*name)
@@ -112,34 +111,37 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let folder = PathBuf::from(std::env::args().nth(1).unwrap_or_else(|| "docs/figures".into()));
     std::fs::create_dir_all(&folder)?;
-    let fixed =
-        |most: f64| Some(LimitBounds { initial: most, min: 1.0, max: most, is_adaptive: false, nodes: 1.0 });
+    let fixed = |limit: f64| {
+        Some(LimitBounds { initial: limit, min: 1.0, max: limit, is_adaptive: false, nodes: 1.0 })
+    };
     let adaptive =
         Some(LimitBounds { initial: 16.0, min: 2.0, max: 10_000.0, is_adaptive: true, nodes: 1.0 });
-    let ways =
+    let variants =
         [("no limit", None), ("fixed 4", fixed(4.0)), ("fixed 50", fixed(50.0)), ("adaptive", adaptive)];
-    let mut lines: Vec<Line> = Vec::new();
-    println!("| load | {} |", ways.map(|(name, _)| format!("{name}: served/s, p99 ms")).join(" | "));
-    for (name, bounds) in ways {
+    let mut curves: Vec<Curve> = Vec::new();
+    println!("| load | {} |", variants.map(|(name, _)| format!("{name}: served/s, p99 ms")).join(" | "));
+    for (name, bounds) in variants {
         let point = |load: f64| {
             let tally = simulate(&surge(load, bounds, 1));
             assert!(tally.violations.is_empty(), "{:?}", tally.violations.first());
             (load, tally.goodput(SETTLED, SECONDS as usize), p99(&tally))
         };
-        lines.push((name, LOADS.map(point).to_vec()));
+        curves.push((name, LOADS.map(point).to_vec()));
     }
-    for (at, load) in LOADS.iter().enumerate() {
-        let cells: Vec<_> =
-            lines.iter().map(|(_, points)| format!("{:.0}, {:.0}", points[at].1, points[at].2)).collect();
+    for (index, load) in LOADS.iter().enumerate() {
+        let cells: Vec<_> = curves
+            .iter()
+            .map(|(_, points)| format!("{:.0}, {:.0}", points[index].1, points[index].2))
+            .collect();
         println!("| {load} | {} |", cells.join(" | "));
     }
-    draw(&folder.join("goodput.svg"), &lines, "served a second", |point| point.1, 900.0)?;
-    draw(&folder.join("p99.svg"), &lines, "p99 of what is served, ms", |point| point.2, 1100.0)?;
+    plot(&folder.join("goodput.svg"), &curves, "served requests per second", |point| point.1, 900.0)?;
+    plot(&folder.join("p99.svg"), &curves, "p99 latency of served requests, ms", |point| point.2, 1100.0)?;
     for load in [2.0, 10.0] {
         let tally = simulate(&surge(load, adaptive, 20));
         let parts: Vec<_> = tally.streams.iter().map(|s| s.work).collect();
         println!(
-            "Jain's index over 20 tenants, the largest asking 20 times as much as the smallest, at {load} x: {:.4}",
+            "Jain's index over 20 tenants, of which the largest sends 20 times the rate of the smallest, at {load} x: {:.4}",
             jain_index(&parts)
         );
     }
--- a/crates/overload-simulation/src/backend.rs
+++ b/crates/overload-simulation/src/backend.rs
@@ -1,4 +1,5 @@
-//! A simulated backend: cores, a queue, service times, and how it degrades under overload. Knows attempts by their keys only.
+//! A simulated backend: cores, a queue, service times, and degradation under overload. It identifies attempts
+//! by their keys.
 
 use join_up_to::RequestId;
 use rand_distr::{Distribution, Exp1};
@@ -7,12 +8,12 @@
 use std::time::Duration;
 
 /// The bounds of a drawn service time, in seconds.
-const SERVICE_TIME: (f64, f64) = (1e-6, 86_400.0);
+const SERVICE_TIME_BOUNDS_S: (f64, f64) = (1e-6, 86_400.0);
 
-/// How long work takes on a core of speed 1.
+/// The distribution of the time that a request takes on a core of speed 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServiceTime {
-    /// Always the same, in seconds.
+    /// A constant time, in seconds.
     Fixed(f64),
     /// Exponentially distributed with this mean, in seconds.
     Exponential(f64),
@@ -30,8 +31,8 @@
         match self {
             ServiceTime::Fixed(mean) => mean,
             ServiceTime::Exponential(mean) => {
-                let one: f64 = Exp1.sample(random);
-                mean * one
+                let unit: f64 = Exp1.sample(random);
+                mean * unit
             }
         }
     }
@@ -40,26 +41,26 @@
 /// The properties of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendSpec {
-    /// Requests that run at once.
+    /// The number of cores, each of which runs one request at a time.
     pub cores: u32,
-    /// The speed of its cores.
+    /// The speed of its cores; [`ServiceTime`] refers to a speed of 1.
     pub speed: f64,
     /// The maximum number of queued requests; more are rejected.
     pub queue: u32,
-    /// With more queued requests per core than this it is slower ...
+    /// The number of queued requests per core above which it is degraded.
     pub degraded_above: f64,
-    /// ... by this factor; 1 for not at all.
+    /// The factor by which requests that start while it is degraded take longer; 1 for no degradation.
     pub degradation: f64,
 }
 
 impl BackendSpec {
-    /// A backend that never degrades, with a queue of 1,000.
+    /// A backend of speed 1 that never degrades, with a queue of 1,000.
     pub fn without_degradation(cores: u32) -> Self {
         BackendSpec { cores, speed: 1.0, queue: 1000, degraded_above: f64::INFINITY, degradation: 1.0 }
     }
 }
 
-/// An attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// The request.
@@ -68,38 +69,38 @@
     pub attempt: u32,
 }
 
-/// What happens to an attempt that arrives.
+/// The result of the arrival of an attempt.
 pub enum ArrivalResult {
-    /// It runs, for this time.
+    /// It runs for this time.
     Started(Duration),
-    /// It is queued.
+    /// It waits for a core.
     Queued,
-    /// The queue is full.
+    /// It is rejected, because the queue is full.
     Rejected,
 }
 
-/// A backend at work.
+/// The state of a backend.
 #[derive(Debug)]
 pub struct Backend {
     spec: BackendSpec,
     running: u32,
     queue: VecDeque<(AttemptKey, ServiceTime)>,
-    /// By how much a fault slows it down; 1 for none.
+    /// The factor by which a fault slows it down; 1 without a fault.
     pub fault_slowdown: f64,
     /// Whether it accepts connections.
     pub is_up: bool,
-    /// Whether it responds to everything with an error, at once.
+    /// Whether a fault makes it respond to each attempt with an immediate error.
     pub returns_errors: bool,
-    /// The number of its crashes: attempts of an earlier incarnation don't finish.
+    /// The number of crashes so far. Attempts of an earlier incarnation never finish.
     pub incarnation: u64,
-    /// The maximum number of its requests in flight so far.
+    /// The maximum of [`in_flight`](Self::in_flight) so far.
     pub max_in_flight: u32,
     /// The number of attempts that it has started.
     pub started: u64,
 }
 
 impl Backend {
-    /// A backend that is up and has no request.
+    /// A backend that is up and has no requests.
     pub fn new(spec: BackendSpec) -> Self {
         Backend {
             spec,
@@ -114,22 +115,22 @@
         }
     }
 
-    /// Requests that run or are queued.
+    /// The number of running and queued requests.
     pub fn in_flight(&self) -> u32 {
         self.running + self.queue.len() as u32
     }
 
-    /// Starts work; returns how long it takes.
+    /// Starts a request on a free core; returns how long it takes.
     fn start(&mut self, service_time: ServiceTime, random: &mut Pcg64Mcg) -> Duration {
         let is_degraded = self.queue.len() as f64 > self.spec.degraded_above * f64::from(self.spec.cores);
         let factor = self.fault_slowdown * if is_degraded { self.spec.degradation } else { 1.0 };
         self.running += 1;
         self.started += 1;
-        let (min, max) = SERVICE_TIME;
+        let (min, max) = SERVICE_TIME_BOUNDS_S;
         Duration::from_secs_f64((service_time.draw(random) * factor / self.spec.speed).clamp(min, max))
     }
 
-    /// An attempt arrives.
+    /// Starts, queues or rejects an attempt.
     pub fn arrive(
         &mut self,
         attempt: AttemptKey,
@@ -148,19 +149,19 @@
         result
     }
 
-    /// An attempt has finished; returns the next one that runs, and for how long.
+    /// Frees the core of a finished attempt; returns the next attempt that runs, and for how long.
     pub fn finish(&mut self, random: &mut Pcg64Mcg) -> Option<(AttemptKey, Duration)> {
         self.running -= 1;
         let (attempt, service_time) = self.queue.pop_front()?;
         Some((attempt, self.start(service_time, random)))
     }
 
-    /// Removes an attempt from the queue; a running one goes on.
+    /// Removes an attempt from the queue. A running attempt is not affected.
     pub fn cancel(&mut self, attempt: AttemptKey) {
         self.queue.retain(|(queued, _)| *queued != attempt);
     }
 
-    /// Loses all attempts and faults, and is down from now on.
+    /// Takes the backend down. All its attempts are lost, and its faults end.
     pub fn crash(&mut self) {
         let Backend { spec, incarnation, max_in_flight, started, .. } = *self;
         *self = Backend {
--- a/crates/overload-simulation/src/lib.rs
+++ b/crates/overload-simulation/src/lib.rs
@@ -1,9 +1,10 @@
-//! A surge of requests in virtual time: the real gate and the real balancer in front of simulated backends. It shows which
-//! requests would be served and which rejected, and is what limits are tested with where sockets would be too slow or too
-//! noisy.
+//! Simulates surges of requests in virtual time: the production gate and balancer in front of simulated
+//! backends. It shows which requests are served and which are rejected. Overload limits are tested with it,
+//! since tests with sockets would be too slow or too noisy.
 //!
-//! [`surge`] is the input, [`backend`] the model of a backend, [`mod@simulation`] what connects clients, nodes and backends,
-//! [`tally`] the result. The same surge and seed give the same result. No socket, no clock, no thread.
+//! [`surge`] defines the input, [`backend`] models a backend, [`mod@simulation`] connects clients, nodes and
+//! backends, and [`tally`] has the results. The same surge and seed give the same results. No sockets, clocks
+//! or threads are used.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/overload-simulation/src/simulation/backends.rs
+++ b/crates/overload-simulation/src/simulation/backends.rs
@@ -1,4 +1,4 @@
-//! Backends: the ends of attempts at them, and faults.
+//! Events of backends: finished attempts, time-outs and faults.
 
 use super::clients::SentAttempt;
 use super::{Simulation, SimulationEvent};
@@ -7,7 +7,8 @@
 use join_up_to::Outcome;
 
 impl Simulation<'_> {
-    /// A backend has finished an attempt, and starts the next one. Returns the attempt's node.
+    /// Handles the end of an attempt that a backend has run, and starts the next one. Returns the attempt's
+    /// node.
     pub(super) fn job_ends(&mut self, backend: usize, incarnation: u64, key: AttemptKey) -> Option<usize> {
         if self.backends[backend].incarnation != incarnation {
             return None;
@@ -19,7 +20,7 @@
         self.end_attempt(key, Outcome::Served)
     }
 
-    /// An attempt times out, if it is in flight. Returns its node.
+    /// Handles the time-out of an attempt, if it is in flight. Returns its node.
     pub(super) fn attempt_times_out(&mut self, key: AttemptKey) -> Option<usize> {
         let request = self.requests.get(&key.request);
         let attempt = request.and_then(|request| request.attempts.get(key.attempt as usize));
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The connections of all attempts in flight at a backend are lost.
+    /// Ends all attempts in flight at a backend with a connection reset.
     fn reset_attempts(&mut self, backend: usize) {
         let is_lost =
             |attempt: &SentAttempt| attempt.server.0 as usize == backend && attempt.outcome.is_none();
@@ -52,7 +53,7 @@
             let attempts = request.attempts.iter().enumerate().filter(|(_, attempt)| is_lost(attempt));
             lost.extend(attempts.map(|(number, _)| AttemptKey { request: *id, attempt: number as u32 }));
         }
-        // The order of the map is not that of the requests.
+        // Iteration over the map has no defined order.
         lost.sort_unstable();
         for key in lost {
             if let Some(node) = self.end_attempt(key, Outcome::Reset) {
--- a/crates/overload-simulation/src/simulation/clients.rs
+++ b/crates/overload-simulation/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: their requests, their retries, and the responses that they get.
+//! Events of clients: requests, retries and responses.
 
 use super::{START, Simulation, SimulationEvent};
 use crate::surge::ClientRetry;
@@ -6,12 +6,12 @@
 use join_up_to::{Event, NewRequest, Outcome, Repeat, RequestId, Scope, ServerId};
 use std::time::Duration;
 
-/// A client that retries at once does so after this.
+/// The delay of [`ClientRetry::AtOnce`].
 const RETRY_DELAY: Duration = Duration::from_millis(10);
-/// A response may be late by this: timers have a precision.
+/// The time after the deadline within which a response is not late: timers have a limited precision.
 const LATE_TOLERANCE: Duration = Duration::from_millis(5);
 
-/// An attempt that was sent.
+/// An attempt that a node has sent.
 pub(super) struct SentAttempt {
     pub(super) server: ServerId,
     pub(super) sent: Duration,
@@ -20,31 +20,31 @@
 }
 
 impl SentAttempt {
-    /// Whether it may have been executed.
+    /// Whether the attempt may have been executed.
     pub(super) fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.never_ran())
     }
 }
 
-/// A request of a client at a node. A client that retries makes another one.
+/// A request at a node. Each retry of a client is another request.
 pub(super) struct Request {
     pub(super) stream: usize,
     pub(super) node: usize,
-    /// The first request of its client, which identifies all of them.
+    /// The client's first request, whose id all its retries share as their fingerprint.
     first: RequestId,
-    /// When that arrived.
+    /// When the first request arrived.
     pub(super) first_arrival: Duration,
     pub(super) deadline: Duration,
     pub(super) attempts: Vec<SentAttempt>,
     pub(super) has_response: bool,
-    /// Whether the balancer ended it: attempts that are cancelled then were too late.
+    /// Whether the balancer rejected or failed it. Attempts that are cancelled afterwards count as timed out.
     pub(super) ended_by_balancer: bool,
-    /// The number of requests of its client so far.
+    /// How often the client has sent it, including this time.
     sends: u32,
 }
 
 impl Simulation<'_> {
-    /// A client of a stream sends its first request; the next client is scheduled. Returns the node.
+    /// Sends the request of a new client, and schedules the stream's next client. Returns the node.
     pub(super) fn client_arrives(&mut self, stream: usize) -> usize {
         let spec = &self.surge.streams[stream];
         let next = self.seconds() + self.draw_exponential() / spec.rate;
@@ -57,7 +57,7 @@
         spec.node
     }
 
-    /// The client of a request sends it again. Returns the node.
+    /// Sends the client's request again. Returns the node.
     pub(super) fn client_retries(&mut self, request: RequestId) -> Option<usize> {
         let before = self.requests.get(&request)?;
         let (stream, first, first_arrival, sends) =
@@ -66,7 +66,7 @@
         Some(self.surge.streams[stream].node)
     }
 
-    /// A client sends a request, for the first time or again; the gate decides on it.
+    /// Sends a first request or a retry to the gate of its node.
     fn send_request(&mut self, stream: usize, first: RequestId, first_arrival: Duration, sends: u32) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -116,7 +116,7 @@
         self.handle_at_node(node, Event::Request(new));
     }
 
-    /// Records that a request has its response; returns whether that is the only one.
+    /// Records a response to a request, and checks that it is not late. Returns whether it is the first.
     pub(super) fn record_response(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return false };
         if request.has_response {
@@ -131,7 +131,7 @@
         true
     }
 
-    /// A request is rejected. Its client may retry.
+    /// Rejects a request, whose client may retry.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: Duration) {
         if !self.record_response(id) {
             return;
--- a/crates/overload-simulation/src/simulation/mod.rs
+++ b/crates/overload-simulation/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Simulates a surge: the queue of events, and which module handles an event. Clients are in `clients`, what nodes do with
-//! their gate and balancer in `nodes`, what backends do in `backends`. Every response is checked against the rules.
+//! The event loop of a simulation. The modules handle the events: `clients` those of clients, `nodes` those
+//! of gates and balancers, `backends` those of backends. Each response is checked against the rules.
 
 mod backends;
 mod clients;
@@ -21,34 +21,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The start of a simulation, on the clock of gates and balancers.
+/// The time of the start of a simulation on the clock of gates and balancers.
 const START: Duration = Duration::from_secs(1_000);
 
-/// What happens at a time.
+/// The kinds of events.
 enum SimulationEvent {
-    /// The next request of a stream arrives.
+    /// The next client of a stream sends its request.
     Arrival { stream: usize },
-    /// The client of a request retries.
+    /// The client of a rejected request retries.
     ClientRetry { request: RequestId },
-    /// A backend, of this incarnation, has finished an attempt.
+    /// A backend has finished an attempt that it started in this incarnation.
     JobEnd { backend: usize, incarnation: u64, key: AttemptKey },
-    /// A node learns that an attempt failed.
+    /// A node learns that an attempt has failed.
     AttemptFailure { key: AttemptKey, outcome: Outcome },
-    /// The time-out of an attempt.
+    /// An attempt times out.
     AttemptTimeout { key: AttemptKey },
-    /// A timer of a balancer.
+    /// A timer of a balancer expires.
     Timer { node: usize, token: u64 },
-    /// The next tick of a gate.
+    /// A gate is due for a tick.
     GateTick { node: usize },
-    /// The fault with this number.
+    /// The fault with this index begins or ends.
     Fault { number: usize },
 }
 
 struct Simulation<'s> {
     surge: &'s Surge,
     now: Duration,
-    /// By time, and in the order in which they were scheduled.
+    /// Pending events, keyed by time and by the order in which they were scheduled.
     events: BTreeMap<(Duration, u64), SimulationEvent>,
+    /// The number of events scheduled so far.
     scheduled: u64,
     random: Pcg64Mcg,
     nodes: Vec<Node>,
@@ -58,7 +59,7 @@
     tally: Tally,
 }
 
-/// Simulates a surge to its end, and until all accepted requests have their response.
+/// Simulates a surge until no event is pending, which includes the responses to all requests.
 pub fn simulate(surge: &Surge) -> Tally {
     let mut simulation = Simulation::new(surge);
     simulation.start();
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Gives all nodes the list of backends, and schedules the first events.
+    /// Sends the list of backends to all nodes, and schedules the first events.
     fn start(&mut self) {
         let entry = |(number, backend): (usize, &ListedBackend)| ServerEntry {
             id: ServerId(number as u64),
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Handles an event; returns the node whose gate may have decided something.
+    /// Handles an event. Returns the node whose gate may have new decisions.
     fn handle(&mut self, event: SimulationEvent) -> Option<usize> {
         match event {
             SimulationEvent::Arrival { stream } => Some(self.client_arrives(stream)),
@@ -162,7 +163,7 @@
         }
     }
 
-    /// The result, at the end.
+    /// Completes the results at the end.
     fn finish(mut self) -> Tally {
         let unanswered = self.requests.values().filter(|request| !request.has_response).count();
         if unanswered > 0 {
@@ -184,7 +185,7 @@
         self.tally
     }
 
-    /// A random number with an exponential distribution of mean 1.
+    /// Draws from an exponential distribution with mean 1.
     fn draw_exponential(&mut self) -> f64 {
         Exp1.sample(&mut self.random)
     }
@@ -194,13 +195,13 @@
         self.events.insert((at, self.scheduled), event);
     }
 
-    /// Seconds since the start.
+    /// The time since the start, in seconds.
     fn seconds(&self) -> f64 {
         self.now.saturating_sub(START).as_secs_f64()
     }
 }
 
-/// The limit of a backend at a gate.
+/// A gate's limit for a backend; 0 if it doesn't know the backend.
 fn limit_at(gate: &Gate, backend: usize) -> u32 {
     let status = gate.backends().status(ServerId(backend as u64));
     status.map(|status| status.capacity.max_in_flight).unwrap_or_default()
--- a/crates/overload-simulation/src/simulation/nodes.rs
+++ b/crates/overload-simulation/src/simulation/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: their gates and balancers, the actions of these, and attempts.
+//! Events of nodes: decisions of gates, actions of balancers, and attempts.
 
 use super::clients::SentAttempt;
 use super::{START, Simulation, SimulationEvent};
@@ -12,23 +12,25 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The time after which a node learns that an attempt failed at once.
+/// The time until a node learns that an attempt has failed immediately.
 const ROUND_TRIP: Duration = Duration::from_micros(200);
-/// How long a rejected client is asked to wait where the balancer doesn't decide that.
+/// The retry-after time if the balancer does not set one.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// With more requests than this, old ones are removed from time to time: with this probability, in 2^-32.
+/// The number of stored requests above which old ones are removed.
 const MAX_REQUESTS: usize = 1 << 17;
+/// The probability of such a removal when a request finishes, in units of 2^-32. Most calls avoid the scan of
+/// all requests.
 const REMOVAL_PROBABILITY: u32 = 1 << 12;
-/// A request is old when its deadline passed before this time.
+/// How long after its deadline a finished request is kept.
 const REQUEST_RETENTION: Duration = Duration::from_secs(60);
 
-/// A node: its gate and balancer, and what the simulation knows of them.
+/// A node with its gate and balancer, and their state as the simulation last saw it.
 pub(super) struct Node {
     balancer: Balancer,
     pub(super) gate: Option<Gate>,
-    /// The restrictions that the balancer has.
+    /// The attempt restrictions that were last passed to the balancer.
     restrictions: AttemptRestrictions,
-    /// When the next tick of the gate is scheduled.
+    /// The time of the scheduled tick of the gate; `None` if none is scheduled.
     pub(super) tick_at: Option<Duration>,
     brownout_level: usize,
 }
@@ -46,7 +48,7 @@
 }
 
 impl Simulation<'_> {
-    /// Carries out what a gate has decided, until it decides nothing more.
+    /// Applies the decisions of a gate until there are no more, and schedules its next tick.
     pub(super) fn follow_gate(&mut self, number: usize) {
         while self.apply_gate_decisions(number) {}
         let node = &mut self.nodes[number];
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Carries out what a gate has decided; returns whether there was anything.
+    /// Applies the present decisions of a gate. Returns whether there were any.
     fn apply_gate_decisions(&mut self, number: usize) -> bool {
         let node = &mut self.nodes[number];
         let Some(gate) = &mut node.gate else { return false };
@@ -94,7 +96,7 @@
         true
     }
 
-    /// A balancer handles an event, and those that its actions cause at once.
+    /// Passes an event to a balancer, and then the events that its actions cause immediately.
     pub(super) fn handle_at_node(&mut self, node: usize, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Carries out an action; returns an event that it causes at once.
+    /// Performs an action of a balancer. Returns the event that it causes immediately.
     fn carry_out(&mut self, node: usize, action: Action) -> Option<Event> {
         match action {
             Action::Send { id, server, timeout } => self.send_attempt(id, server, timeout),
@@ -169,7 +171,7 @@
         self.schedule(self.now + timeout, SimulationEvent::AttemptTimeout { key });
     }
 
-    /// Cancels an attempt in flight; returns the event for the balancer.
+    /// Cancels an attempt in flight. Returns the event for the balancer.
     fn cancel_attempt(&mut self, node: usize, key: AttemptKey) -> Option<Event> {
         let (id, attempt) = (key.request, key.attempt);
         let request = self.requests.get_mut(&id)?;
@@ -190,7 +192,7 @@
         Some(Event::AttemptEnded(end))
     }
 
-    /// Ends an attempt, if it is in flight. Returns its node.
+    /// Ends an attempt with an outcome, if it is in flight. Returns its node.
     pub(super) fn end_attempt(&mut self, key: AttemptKey, outcome: Outcome) -> Option<usize> {
         let (id, attempt) = (key.request, key.attempt);
         let request = self.requests.get_mut(&id)?;
@@ -225,7 +227,8 @@
         tally.latency.saturating_record((self.now - first_arrival).as_micros() as u64);
     }
 
-    /// Ends a request that has its response and no attempt in flight. It is stored while its client may retry.
+    /// Finishes a request that has its response and no attempt in flight. It stays stored, since its client
+    /// may retry.
     pub(super) fn remove_finished(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         if !request.has_response || request.attempts.iter().any(|attempt| attempt.outcome.is_none()) {
--- a/crates/overload-simulation/src/surge.rs
+++ b/crates/overload-simulation/src/surge.rs
@@ -1,96 +1,97 @@
-//! The input of a simulation: nodes, backends, streams of requests, and faults. Times are in seconds of the simulation.
+//! The input of a simulation: nodes, backends, streams of requests, and faults. Times are in seconds of the
+//! simulation.
 
 use crate::backend::{BackendSpec, ServiceTime};
 use admission_control::GateSettings;
 use join_up_to::Settings;
 use std::time::Duration;
 
-/// When a rejected client retries.
+/// Whether and when clients retry after a rejection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientRetry {
     /// Never.
     Never,
-    /// After the time that the rejection asks for, at most this number of times.
+    /// After the retry-after time of the rejection, at most this number of times.
     WhenAllowed(u32),
-    /// At once, at most this number of times.
+    /// After 10 ms, at most this number of times.
     AtOnce(u32),
 }
 
-/// Requests of one class and tenant.
+/// A stream of requests of one class and tenant to one node.
 #[derive(Clone, Debug)]
 pub struct Stream {
-    /// The number of the class.
+    /// The index of the class in the balancer's settings.
     pub class: usize,
-    /// The number of the tenant.
+    /// The index of the tenant.
     pub tenant: usize,
-    /// The number of the node that receives them.
+    /// The index of the node that receives the requests.
     pub node: usize,
-    /// Requests per second, as a Poisson process.
+    /// The rate of the Poisson process of arrivals, in requests per second.
     pub rate: f64,
-    /// When they begin.
+    /// The start of the stream.
     pub from: f64,
-    /// When they end.
+    /// The end of the stream, which the end of the surge may precede.
     pub to: f64,
-    /// The time that a client waits for its response.
+    /// How long a client waits for a response.
     pub timeout: Duration,
-    /// How long a request takes at a backend.
+    /// The distribution of service times.
     pub service_time: ServiceTime,
-    /// What clients do when they are rejected.
+    /// What clients do after a rejection.
     pub retry: ClientRetry,
 }
 
-/// A change of a backend by a fault, or by its end.
+/// A change of a backend at the start or the end of a fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultEvent {
-    /// It crashes: attempts at it are lost, and connections fail.
+    /// Its attempts in flight are lost, and connections to it fail from now on.
     Crash,
-    /// It runs again after a crash.
+    /// It accepts connections again after a crash.
     Recover,
-    /// From now on it is slower by this factor, whatever its load; 1 ends that.
+    /// It slows down by this factor, independently of its load; 1 restores its speed.
     Slow(f64),
-    /// It responds to everything with an error, at once.
+    /// It responds to each attempt with an immediate error from now on.
     StartErrors,
-    /// It no longer does that.
+    /// It processes attempts again after [`StartErrors`](Self::StartErrors).
     EndErrors,
 }
 
-/// A fault at a time.
+/// A scheduled change of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InjectedFault {
-    /// When it happens.
+    /// The time of the change.
     pub at: f64,
-    /// The number of the backend.
+    /// The index of the backend.
     pub backend: usize,
-    /// What happens.
+    /// The change.
     pub event: FaultEvent,
 }
 
-/// A backend with its entry of the list.
+/// A backend with the properties that its list entry has.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedBackend {
-    /// The backend.
+    /// The model of the backend.
     pub spec: BackendSpec,
-    /// Its weight.
+    /// The weight in the list.
     pub weight: f64,
-    /// The number of its machine kind.
+    /// The number of the machine kind.
     pub kind: u8,
 }
 
-/// A surge.
+/// The input of a simulation.
 #[derive(Clone, Debug)]
 pub struct Surge {
-    /// The settings of each node's balancer, with the number of nodes.
+    /// The settings of the nodes' balancers, which include the number of nodes.
     pub settings: Settings,
-    /// The settings of each node's gate; without a gate the balancer receives everything at once.
+    /// The settings of the nodes' gates; `None` to pass requests to balancers without admission control.
     pub gate: Option<GateSettings>,
-    /// The backends.
+    /// The backends, in the order of the list.
     pub backends: Vec<ListedBackend>,
-    /// The requests.
+    /// The streams of requests.
     pub streams: Vec<Stream>,
-    /// Faults of backends.
+    /// The scheduled faults of backends.
     pub faults: Vec<InjectedFault>,
-    /// How long clients send requests.
+    /// How long clients send requests, in seconds.
     pub seconds: u32,
-    /// The seed of all random numbers.
+    /// The seed of all random draws.
     pub seed: u64,
 }
--- a/crates/overload-simulation/src/tally.rs
+++ b/crates/overload-simulation/src/tally.rs
@@ -1,36 +1,36 @@
-//! The result of a surge: counts and sums.
+//! The results of a simulation.
 
 use admission_control::limit::LimitChange;
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// The longest latency that is distinguished, in microseconds.
+/// The largest latency that histograms distinguish, in microseconds: ten minutes.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// The result of a stream of requests.
+/// The results of a stream of requests.
 #[derive(Clone, Debug)]
 pub struct StreamTally {
-    /// Requests, each counted once however often its client retried.
+    /// The number of requests, without retries.
     pub arrived: u64,
-    /// Requests that were served in time.
+    /// The number of requests that were served.
     pub served: u64,
-    /// Rejections: a client that retries may have had several.
+    /// The number of rejections, including those of retries.
     pub rejections: u64,
     /// The longest time from the arrival of a request to its rejection.
     pub slowest_rejection: Duration,
-    /// Requests whose last response was a rejection.
+    /// The number of requests whose last response was a rejection.
     pub rejected: u64,
-    /// Requests that failed.
+    /// The number of requests that failed.
     pub failed: u64,
-    /// The work of served requests, in seconds of a core of speed 1.
+    /// The sum of the mean service times of served requests, in seconds on a core of speed 1.
     pub work: f64,
-    /// The time from a served request's first arrival to its response, in microseconds.
+    /// The times from the first arrival to the response of served requests, in microseconds.
     pub latency: Histogram<u64>,
 }
 
 impl Default for StreamTally {
     fn default() -> Self {
-        // The library accepts these bounds and digits in every case.
+        // Never fails for these bounds and digits.
         let latency = Histogram::new_with_bounds(1, MAX_LATENCY_US, 3)
             .unwrap_or_else(|_| Histogram::new_from(&empty_histogram()));
         StreamTally {
@@ -50,63 +50,63 @@
     Histogram::new(3).unwrap_or_else(|e| unreachable!("three digits are valid: {e}"))
 }
 
-/// The attempts at a backend.
+/// The results of a backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendTally {
-    /// Attempts that it started.
+    /// The number of attempts that it started.
     pub started: u64,
-    /// The maximum number of its requests in flight.
+    /// The maximum number of running and queued attempts.
     pub max_in_flight: u32,
 }
 
-/// A change of a limit, with its evidence.
+/// A change of a node's concurrency limit for a backend.
 #[derive(Clone, Debug)]
 pub struct NodeLimitChange {
-    /// The number of the node.
+    /// The index of the node.
     pub node: usize,
-    /// The number of the backend.
+    /// The index of the backend.
     pub backend: u64,
-    /// The change.
+    /// The change with its reason.
     pub change: LimitChange,
 }
 
-/// The result of a surge.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// By stream.
+    /// The results by stream.
     pub streams: Vec<StreamTally>,
-    /// Served requests in each second.
+    /// The number of served requests by second.
     pub served_by_second: Vec<u64>,
-    /// By backend.
+    /// The results by backend.
     pub backends: Vec<BackendTally>,
-    /// Attempts that were sent.
+    /// The number of attempts, including the first of each request.
     pub attempts: u64,
-    /// Attempts that were sent beyond the first of their request.
+    /// The number of attempts after the first of their request.
     pub additional_attempts: u64,
-    /// Violations of the rules: a second response to a request, a late one, a rejection of a request that may have been
-    /// executed and must not be repeated, an attempt too many.
+    /// Violations of the rules: a second response to a request, no response, a late response, a rejection of
+    /// an unrepeatable request that may have been executed, or a repeated attempt of an unsafe request.
     pub violations: Vec<String>,
-    /// The brownout level at the end, the highest of all nodes.
+    /// The highest brownout level of all nodes at the end.
     pub brownout_level: usize,
-    /// How often a node's brownout level changed.
+    /// The number of changes of the nodes' brownout levels.
     pub brownout_changes: u64,
-    /// Each change of a limit.
+    /// All changes of limits.
     pub limit_changes: Vec<NodeLimitChange>,
-    /// The number of changes of limits, as the gates count them.
+    /// The number of changes of limits that the gates have counted.
     pub limit_change_count: usize,
-    /// The limits at the end by backend, of all nodes together.
+    /// The limits by backend at the end, summed over all nodes.
     pub limits: Vec<f64>,
 }
 
 impl Tally {
-    /// Served requests per second, between two seconds of the simulation.
+    /// The mean number of served requests per second from one second of the simulation to another, exclusive.
     pub fn goodput(&self, from: usize, to: usize) -> f64 {
         let served: u64 = self.served_by_second.iter().skip(from).take(to - from).sum();
         served as f64 / (to - from).max(1) as f64
     }
 
-    /// The difference between the highest and the lowest rate of served requests between two seconds, as a fraction of
-    /// the mean.
+    /// The difference between the highest and the lowest number of served requests per second in a range of
+    /// seconds, relative to the mean.
     pub fn swing(&self, from: usize, to: usize) -> f64 {
         let rates = self.served_by_second.iter().skip(from).take(to - from);
         let (lowest, highest) =
@@ -115,7 +115,7 @@
     }
 }
 
-/// Jain's index of fairness: 1 where all have the same, 1/n where one has everything.
+/// Jain's fairness index: 1 if all parts are equal, 1/n if one has everything.
 pub fn jain_index(parts: &[f64]) -> f64 {
     let (sum, squares) = parts.iter().fold((0.0, 0.0), |(sum, squares), x| (sum + x, squares + x * x));
     if squares > 0.0 { sum * sum / (parts.len() as f64 * squares) } else { 1.0 }
--- a/crates/overload-simulation/tests/golden.rs
+++ b/crates/overload-simulation/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Small surges from fixed seeds, with every figure to twelve digits, held against golden files. A rename that changes the order
-//! of draws or of events is seen here. `GOLDEN=write cargo test -p overload-simulation --test golden` writes the files below `tests/golden`
-//! anew.
+//! Golden tests of small surges with fixed seeds, whose results are written with twelve digits. They detect
+//! changes of the order of draws or of events. `GOLDEN=write cargo test -p overload-simulation --test golden`
+//! rewrites the files in `tests/golden`.
 //!
-//! Figures are written in fixed words: a rename of a type or field changes this file and no golden one. Their last digits differ
-//! with the packages that are built together, as `golden_files::to_twelve_digits` says.
+//! Results are written with fixed names, so that renaming a type or field does not change golden files.
+//! Further digits depend on the packages that are built together: see `golden_files::to_twelve_digits`.
 
 use admission_control::GateSettings;
 use admission_control::backends::LimitSettings;
@@ -18,7 +18,7 @@
 };
 use std::time::Duration;
 
-/// Changes of limits of a simulation that are kept as text.
+/// The number of limit changes of a simulation that the golden file contains.
 const SHOWN: usize = 60;
 
 fn class(repeat: Repeat, value: f64) -> Class {
@@ -45,8 +45,8 @@
     }
 }
 
-/// Two classes and two tenants with three backends of two kinds, which degrade; with all faults of backends, and clients that
-/// retry in each way.
+/// A surge with three classes, two tenants, three backends of two kinds, each kind of fault, and clients with
+/// each kind of retry.
 fn surge(seed: u64, gate: bool) -> Surge {
     let keyed = Repeat::Keyed { scope: Scope::All, window: Duration::from_millis(600) };
     let mut settings = Settings {
@@ -57,22 +57,19 @@
     };
     settings.limits.cancel = true;
     settings.limits.parallel_attempts = true;
-    let class_settings = |name: &str, priority_weight, wait: Option<u64>| ClassSettings {
+    let class_settings = |name: &str, priority_weight, max_queue_ms: Option<u64>| ClassSettings {
         name: name.into(),
         priority_weight,
         min_retry_after: Duration::from_secs(1),
-        max_queue_time: wait.map(Duration::from_millis),
+        max_queue_time: max_queue_ms.map(Duration::from_millis),
     };
-    let tenant = |name: &str, share, allowance| TenantSettings {
-        name: name.into(),
-        share,
-        guaranteed_rate: allowance,
-    };
-    let step = |at, back, does| BrownoutStep {
-        threshold: at,
-        release_threshold: back,
+    let tenant =
+        |name: &str, share, guaranteed_rate| TenantSettings { name: name.into(), share, guaranteed_rate };
+    let step = |threshold, release_threshold, action| BrownoutStep {
+        threshold,
+        release_threshold,
         hold_time: Duration::from_secs(1),
-        action: does,
+        action,
     };
     let bounds = LimitBounds { initial: 8.0, min: 2.0, max: 1000.0, is_adaptive: true, nodes: 2.0 };
     let gate_settings = GateSettings {
@@ -130,7 +127,7 @@
     }
 }
 
-fn words(tally: &Tally) -> String {
+fn tally_text(tally: &Tally) -> String {
     let Tally {
         streams,
         served_by_second,
@@ -175,12 +172,12 @@
     text += &format!("goodput {:?} swing {:?}\n", tally.goodput(1, 5), tally.swing(1, 5));
     text += &format!("{} changes of limits\n", limit_changes.len());
     for NodeLimitChange { node, backend, change } in limit_changes.iter().take(SHOWN) {
-        text += &format!("node {node} box {backend}: {}\n", change_words(change));
+        text += &format!("node {node} box {backend}: {}\n", change_text(change));
     }
     text
 }
 
-fn change_words(change: &LimitChange) -> String {
+fn change_text(change: &LimitChange) -> String {
     let LimitChange { at, from, to, cause, latency_ratio, responses_per_s } = change;
     let cause = match cause {
         Cause::Room => "room",
@@ -197,11 +194,11 @@
 }
 
 #[test]
-fn small_surges_have_the_same_results_as_before() {
+fn results_of_small_surges_match_the_golden_file() {
     let mut text = String::new();
     for seed in [7, 8] {
         for gate in [true, false] {
-            text += &format!("seed {seed} gate {gate}\n{}\n", words(&simulate(&surge(seed, gate))));
+            text += &format!("seed {seed} gate {gate}\n{}\n", tally_text(&simulate(&surge(seed, gate))));
         }
     }
     text +=
