--- a/crates/fleet-simulation/src/backend.rs
+++ b/crates/fleet-simulation/src/backend.rs
@@ -1,12 +1,13 @@
-//! A simulated backend: cores, a queue, connections, and how it degrades under overload. Knows attempts by their keys only.
+//! A simulated backend: cores, a queue, connections, and degradation under overload. It identifies attempts
+//! by their keys.
 
 use crate::scenario::{BackendSpec, LoadReporting, OverloadCurve};
 use std::collections::VecDeque;
 
-/// The number of load samples that a backend keeps.
+/// The number of load samples that a backend keeps; responses report one of them.
 const MAX_SAMPLES: usize = 4;
 
-/// An attempt of a request at a node.
+/// Identifies an attempt of a request at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptKey {
     /// The index of the node.
@@ -17,15 +18,15 @@
     pub attempt: u32,
 }
 
-/// The work of an attempt, with that of its connection if it is new.
+/// The work of an attempt, including that of opening its connection if that is new.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
     pub key: AttemptKey,
-    /// Seconds on a core of speed 1.
+    /// The work in seconds on a core of speed 1.
     pub work: f64,
 }
 
-/// The load of a backend at a time.
+/// The load of a backend at a time in seconds.
 #[derive(Clone, Copy)]
 pub struct LoadSample {
     pub at: f64,
@@ -36,22 +37,25 @@
 pub struct Backend {
     pub spec: BackendSpec,
     pub open_connections: u32,
-    /// By how much a fault slows it down; 1 for none.
+    /// The factor by which a fault slows it down; 1 without a fault.
     pub fault_slowdown: f64,
-    /// Whether a fault has it respond with errors, or not at all.
+    /// Whether a fault makes it respond with errors.
     pub returns_errors: bool,
+    /// Whether a fault makes it neither respond nor run jobs.
     pub is_unresponsive: bool,
-    /// Counts its losses of all jobs; jobs of an earlier incarnation don't finish.
+    /// The number of restarts so far. Jobs of an earlier incarnation never finish.
     pub incarnation: u32,
     running: u32,
     queue: VecDeque<Job>,
-    /// Moving averages of the load and of the fraction of busy cores, and when they were updated.
+    /// Exponential moving averages of the jobs in flight and of the fraction of busy cores, and the time of
+    /// their update.
     mean_load: f64,
     mean_utilization: f64,
     updated_at: f64,
+    /// When the present degradation began; `None` if it is not degraded.
     overloaded_since: Option<f64>,
     was_overloaded: bool,
-    /// The last samples, the newest at the back.
+    /// The last load samples, newest last.
     samples: VecDeque<LoadSample>,
 }
 
@@ -75,22 +79,22 @@
         }
     }
 
-    /// Jobs that run or wait.
+    /// The number of running and queued jobs.
     pub fn in_flight(&self) -> usize {
         self.running as usize + self.queue.len()
     }
 
-    /// Whether it is degraded at present.
+    /// Whether it is degraded by overload.
     pub fn is_overloaded(&self) -> bool {
         self.overloaded_since.is_some()
     }
 
-    /// Whether it was ever degraded.
+    /// Whether it has ever been degraded by overload.
     pub fn was_overloaded(&self) -> bool {
         self.was_overloaded
     }
 
-    /// Adds a job to the queue; returns whether there was space.
+    /// Adds a job to the queue. Returns `false` if the queue is full.
     pub fn enqueue(&mut self, job: Job) -> bool {
         let has_space = self.queue.len() < self.spec.queue as usize;
         if has_space {
@@ -99,7 +103,7 @@
         has_space
     }
 
-    /// Starts the next job, if a core is free; returns it with its duration in seconds.
+    /// Starts the next queued job if a core is free. Returns the job and its duration in seconds.
     pub fn start(&mut self, curve: Option<OverloadCurve>) -> Option<(Job, f64)> {
         if self.is_unresponsive || self.running >= self.spec.cores {
             return None;
@@ -110,24 +114,25 @@
         Some((job, job.work / self.spec.speed * slowdown * self.fault_slowdown))
     }
 
-    /// Records that a job has finished.
+    /// Frees the core of a finished job.
     pub fn finish(&mut self) {
         self.running -= 1;
     }
 
-    /// Removes a job from the queue; a running one goes on.
+    /// Removes a job from the queue. A running job is not affected.
     pub fn cancel(&mut self, key: AttemptKey) {
         self.queue.retain(|job| job.key != key);
     }
 
-    /// Loses all jobs and connections.
+    /// Restarts the backend: all its jobs and connections are lost.
     pub fn restart(&mut self) {
         (self.running, self.open_connections) = (0, 0);
         self.queue.clear();
         self.incarnation += 1;
     }
 
-    /// Updates the moving averages and the degradation, before the load changes.
+    /// Updates the moving averages, and starts or ends the degradation. Must be called before each change of
+    /// the load. A backend degrades at most once.
     pub fn update(&mut self, now: f64, curve: Option<OverloadCurve>) {
         let load = self.in_flight() as f64;
         let utilization = f64::from(self.running) / f64::from(self.spec.cores);
@@ -155,7 +160,7 @@
         }
     }
 
-    /// Samples its own load.
+    /// Adds a load sample.
     pub fn sample(&mut self, at: f64) {
         let (in_flight, queued) = (self.in_flight() as f32, self.queue.len() as f32);
         self.samples.push_back(LoadSample { at, in_flight, queued });
@@ -164,7 +169,7 @@
         }
     }
 
-    /// The load that a response reports.
+    /// The newest load sample that is old enough to be reported by a response; `None` if there is none.
     pub fn report(&self, now: f64, reporting: LoadReporting) -> Option<LoadSample> {
         self.samples.iter().rev().find(|sample| sample.at + reporting.delay <= now).copied()
     }
--- a/crates/fleet-simulation/src/event_queue.rs
+++ b/crates/fleet-simulation/src/event_queue.rs
@@ -1,9 +1,9 @@
-//! The queue of future events, in virtual time.
+//! The queue of pending events in virtual time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// An event at a time in seconds. Events of one time keep the order in which they were added.
+/// An event at a time in seconds. Events at the same time are ordered by their numbers.
 struct Scheduled<E> {
     at: f64,
     number: u64,
@@ -12,7 +12,7 @@
 
 impl<E> Ord for Scheduled<E> {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The heap returns the greatest first.
+        // Reversed, since the heap is a max-heap.
         other.at.total_cmp(&self.at).then(other.number.cmp(&self.number))
     }
 }
@@ -28,10 +28,10 @@
 }
 impl<E> Eq for Scheduled<E> {}
 
-/// Events by time.
+/// Pending events. Events at the same time are returned in the order in which they were added.
 pub struct EventQueue<E> {
     heap: BinaryHeap<Scheduled<E>>,
-    /// The number of the last event that was added.
+    /// The number of the event that was added last.
     last: u64,
 }
 
@@ -44,7 +44,7 @@
         self.last += 1;
         self.heap.push(Scheduled { at, number: self.last, event });
     }
-    /// Removes the next event, with its time.
+    /// Removes the next event and returns it with its time in seconds.
     pub fn next(&mut self) -> Option<(f64, E)> {
         self.heap.pop().map(|scheduled| (scheduled.at, scheduled.event))
     }
--- a/crates/fleet-simulation/src/lib.rs
+++ b/crates/fleet-simulation/src/lib.rs
@@ -1,6 +1,6 @@
-//! A fleet in virtual time: hundreds of nodes, each with a [`join_up_to::Balancer`] of its own and nothing shared, in front
-//! of backends that degrade under overload, run out of connections, become unresponsive and restart. No I/O and no clock: a
-//! [`Scenario`] and its seed give the same [`Tally`] each time.
+//! Simulates a fleet in virtual time: hundreds of nodes, each with its own [`join_up_to::Balancer`] and no
+//! shared state, in front of backends that degrade under overload, run out of connections, become
+//! unresponsive and restart. Without I/O or a clock: the same [`Scenario`] gives the same [`Tally`].
 //!
 //! ```
 //! let mut scenario = fleet_simulation::Scenario::generate(7);
--- a/crates/fleet-simulation/src/node.rs
+++ b/crates/fleet-simulation/src/node.rs
@@ -1,10 +1,11 @@
-//! A simulated node: a balancer, its open requests and its idle connections. Decides nothing.
+//! The state of a simulated node: its balancer, open requests and idle connections. All decisions are the
+//! balancer's.
 
 use crate::scenario::{NodeSpec, Scenario};
 use join_up_to::{Balancer, Outcome, ServerId};
 use rustc_hash::FxHashMap;
 
-/// A request that a node has accepted.
+/// A request at a node.
 pub struct OpenRequest {
     /// The index of the client that sent it.
     pub client: usize,
@@ -13,9 +14,10 @@
     pub attempts: Vec<SentAttempt>,
 }
 
-/// An attempt.
+/// An attempt that a node has sent.
 pub struct SentAttempt {
     pub server: ServerId,
+    /// The time of sending, in seconds.
     pub sent_at: f64,
     /// `None` while it is in flight.
     pub outcome: Option<Outcome>,
@@ -27,7 +29,7 @@
     pub open_requests: FxHashMap<u64, OpenRequest>,
     /// The number of idle connections to each backend.
     pub idle_connections: FxHashMap<ServerId, u32>,
-    /// The id of the last request.
+    /// The id of the last request; ids are consecutive.
     pub last_request: u64,
 }
 
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Takes an idle connection to a backend; returns whether there was one.
+    /// Takes an idle connection to a backend. Returns `false` if there is none.
     pub fn reuse_connection(&mut self, server: ServerId) -> bool {
         let idle = self.idle_connections.get_mut(&server).filter(|idle| **idle > 0);
         let Some(idle) = idle else { return false };
@@ -54,7 +56,7 @@
         true
     }
 
-    /// Removes a request that has its response and no attempt in flight.
+    /// Removes a request if it has its response and no attempt in flight.
     pub fn remove_finished(&mut self, id: u64) {
         let is_finished = |request: &OpenRequest| {
             request.has_response && request.attempts.iter().all(|attempt| attempt.outcome.is_some())
--- a/crates/fleet-simulation/src/scenario.rs
+++ b/crates/fleet-simulation/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The input of a simulation: the fleet, its load and its faults, and how a scenario is generated from a seed.
+//! The input of a simulation: the fleet, its load and its faults. Scenarios can be generated from a seed.
 
 use join_up_to::{AttemptPolicy, Class, Limits, Prices, Repeat, ReportSource, Rules, Scope, Settings};
 use rand::{Rng, SeedableRng};
@@ -9,25 +9,25 @@
 /// The number of zones of a generated fleet.
 const ZONES: u8 = 4;
 
-/// A node.
+/// The properties of a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeSpec {
-    /// Its zone.
+    /// The zone.
     pub zone: u8,
-    /// Its traffic relative to that of other nodes.
+    /// The relative amount of traffic that it receives.
     pub share: f64,
 }
 
-/// A backend.
+/// The properties of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendSpec {
-    /// Its zone.
+    /// The zone.
     pub zone: u8,
-    /// The number of its machine kind in the list.
+    /// The number of the machine kind in the list of backends.
     pub kind: u8,
-    /// Its cores, each with one request at a time.
+    /// The number of cores, each of which runs one request at a time.
     pub cores: u32,
-    /// The speed of its cores; 1 does a second of work per second.
+    /// The speed of its cores, in seconds of work per second.
     pub speed: f64,
     /// The maximum number of queued requests; more are rejected.
     pub queue: u32,
@@ -35,42 +35,43 @@
     pub connections: u32,
 }
 
-/// How a backend degrades under overload. Durations are in seconds.
+/// The degradation of a backend under overload. Durations are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadCurve {
-    /// It degrades when its mean load exceeds its cores by this multiple of their square root.
+    /// It degrades when its mean number of jobs exceeds the number of cores by this multiple of their square
+    /// root.
     pub threshold: f64,
-    /// The time over which that mean is taken.
+    /// The window of that mean; its time constant is half of this.
     pub load_window: f64,
-    /// By how much its work then takes longer.
+    /// The factor by which work takes longer while it is degraded.
     pub slowdown: f64,
-    /// It recovers when the mean utilization of its cores over this time ...
+    /// The minimum duration of a degradation, and the window of the mean utilization of its cores.
     pub recovery_window: f64,
-    /// ... is below this fraction,
+    /// The mean utilization, as a fraction, below which it recovers.
     pub recovery_utilization: f64,
-    /// or after this time at the latest.
+    /// The maximum duration of a degradation, after which it recovers in any case.
     pub max_duration: f64,
 }
 
-/// How backends report their load. Times are in seconds.
+/// The load reports of backends. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReporting {
-    /// The time between two samples.
+    /// The interval of load samples.
     pub period: f64,
-    /// The time until responses carry a sample.
+    /// The time from a sample until responses report it.
     pub delay: f64,
 }
 
-/// More traffic for a time. Times are in seconds.
+/// A temporary increase of traffic. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Burst {
-    /// Its start.
+    /// The start.
     pub from: f64,
-    /// Its end.
+    /// The end.
     pub to: f64,
-    /// The traffic as a multiple of the usual.
+    /// The rate after the ramp, as a multiple of the normal rate.
     pub factor: f64,
-    /// The time in which it rises linearly to that.
+    /// The time over which the rate rises linearly.
     pub ramp: f64,
 }
 
@@ -79,33 +80,33 @@
 pub struct ClientBehavior {
     /// The maximum number of retries.
     pub retries: u32,
-    /// Seconds before a retry.
+    /// The delay before a retry, in seconds.
     pub wait: f64,
-    /// The fraction of clients that wait as long as a rejection asks them to.
+    /// The fraction of retries that wait for the retry-after time of the rejection instead.
     pub honors_retry_after: f64,
 }
 
-/// A fault of some backends for a time.
+/// A temporary fault of some backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// The index of the first backend, of consecutive ones.
+    /// The index of the first affected backend.
     pub first: usize,
-    /// The number of backends.
+    /// The number of affected backends, which are consecutive.
     pub backends: usize,
-    /// Its start, in seconds.
+    /// The start, in seconds.
     pub from: f64,
-    /// Its end, in seconds.
+    /// The end, in seconds.
     pub to: f64,
-    /// What happens.
+    /// The kind of fault.
     pub kind: FaultKind,
 }
 
-/// What happens to a backend during a fault.
+/// The effect of a fault on a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Its work takes this many times as long.
+    /// Work takes longer by this factor.
     Slow(f64),
-    /// It responds with an error at once.
+    /// It responds to each attempt with an immediate error.
     Errors,
     /// It neither responds nor accepts connections, and restarts at the end.
     Unresponsive,
@@ -114,27 +115,27 @@
 /// A fleet with its load and its faults. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// The seed of all random numbers.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// How long clients send requests.
+    /// How long new clients arrive.
     pub length: f64,
-    /// Requests per second over all nodes, without retries of clients.
+    /// The normal rate of requests per second over all nodes, without client retries.
     pub rate: f64,
-    /// A burst of requests.
+    /// A burst of requests; `None` for a constant rate.
     pub burst: Option<Burst>,
     /// The nodes.
     pub nodes: Vec<NodeSpec>,
     /// The backends.
     pub backends: Vec<BackendSpec>,
-    /// How backends degrade under overload; `None` for not at all.
+    /// The degradation of backends under overload; `None` for none.
     pub overload: Option<OverloadCurve>,
     /// The mean work of a request, in seconds on a core of speed 1.
     pub work: f64,
     /// The standard deviation of the work, relative to the mean.
     pub work_deviation: f64,
-    /// The work of a new connection for a backend.
+    /// The work of a backend for a new connection, in seconds on a core of speed 1.
     pub handshake: f64,
-    /// The latency of one way between zones.
+    /// The one-way latency between zones.
     pub cross_zone_latency: f64,
     /// The load reports of backends.
     pub reporting: LoadReporting,
@@ -142,17 +143,18 @@
     pub clients: ClientBehavior,
     /// The faults.
     pub faults: Vec<Fault>,
-    /// The settings of each node's balancer, but for its number and zone.
+    /// The settings of the nodes' balancers; each node sets its own number and zone.
     pub settings: Settings,
-    /// The share of each class in the requests.
+    /// The relative frequency of each class.
     pub class_mix: Vec<f64>,
 }
 
 impl Scenario {
-    /// Generates a fleet like those that operators run: 240 to 330 nodes of uneven traffic, 140 to 200 backends of two
-    /// kinds in four zones, at 0.60 to 0.74 of their capacity, with a burst of half as much again for some seconds.
+    /// Generates a fleet like those that operators run: 240 to 330 nodes of uneven traffic, and 140 to 200
+    /// backends of two kinds in four zones, at a load of 60% to 74% of their capacity and with a burst of
+    /// 150% of that for some seconds.
     pub fn generate(seed: u64) -> Self {
-        // The order of the draws decides what a seed gives.
+        // The scenario of a seed depends on the order of the draws.
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let nodes = generate_nodes(240 + seed % 91, &mut random);
         let backends = generate_backends(&mut random);
@@ -188,7 +190,7 @@
         }
     }
 
-    /// The same scenario with one in `divisor` of the nodes and backends, and the traffic in proportion to the capacity.
+    /// The scenario with the nodes and backends divided by `divisor`, and the rate scaled by capacity.
     pub fn scaled_down(mut self, divisor: usize) -> Self {
         let before = self.capacity();
         self.nodes.truncate((self.nodes.len() / divisor).max(1));
@@ -198,12 +200,12 @@
         self
     }
 
-    /// Seconds of work that the backends do per second.
+    /// The total capacity of the backends, in seconds of work per second.
     pub fn capacity(&self) -> f64 {
         capacity(&self.backends)
     }
 
-    /// Requests per second at a time, without retries of clients.
+    /// The rate of requests per second at a time, without client retries.
     pub fn rate_at(&self, at: f64) -> f64 {
         let burst = self.burst.filter(|burst| (burst.from..burst.to).contains(&at));
         let progress = |burst: Burst| ((at - burst.from) / burst.ramp.max(1e-3)).min(1.0);
@@ -217,9 +219,9 @@
 
 fn generate_nodes(count: u64, random: &mut Pcg64Mcg) -> Vec<NodeSpec> {
     #[expect(clippy::expect_used, reason = "a standard deviation of 0.7 is finite and positive")]
-    let uneven = LogNormal::new(0.0, 0.7).expect("a finite deviation");
+    let shares = LogNormal::new(0.0, 0.7).expect("a finite deviation");
     (0..count)
-        .map(|_| NodeSpec { zone: random.random_range(0..ZONES), share: uneven.sample(random) })
+        .map(|_| NodeSpec { zone: random.random_range(0..ZONES), share: shares.sample(random) })
         .collect()
 }
 
@@ -252,7 +254,7 @@
     }
 }
 
-/// A keyed class and an unsafe one, reports with responses, cancellation and hedging.
+/// Balancer settings with a keyed and an unsafe class, load reports in responses, cancellation and hedging.
 fn settings(nodes: u32) -> Settings {
     let ms = Duration::from_millis;
     let class = |latency_target, deadline, value, repeat| Class {
--- a/crates/fleet-simulation/src/simulation/backends.rs
+++ b/crates/fleet-simulation/src/simulation/backends.rs
@@ -1,4 +1,4 @@
-//! Backends: attempts that arrive, jobs, load reports and faults.
+//! Events of backends: arrivals of attempts, jobs, load samples and faults.
 
 use super::{Connection, Simulation, SimulationEvent};
 use crate::backend::{AttemptKey, Job};
@@ -6,7 +6,7 @@
 use join_up_to::Outcome;
 
 impl Simulation<'_> {
-    /// An attempt arrives at a backend, whose incarnation it knew at the send.
+    /// Handles the arrival of an attempt. `incarnation` is that of the backend when the attempt was sent.
     pub(super) fn attempt_arrives(
         &mut self,
         backend: usize,
--- a/crates/fleet-simulation/src/simulation/clients.rs
+++ b/crates/fleet-simulation/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: their arrival, their retries, and the responses that they get.
+//! Events of clients: arrivals, retries and responses.
 
 use super::{Simulation, SimulationEvent};
 use crate::node::OpenRequest;
@@ -7,18 +7,18 @@
 use rand_distr::{Distribution, Exp1};
 use std::time::Duration;
 
-/// A client's request over all its retries.
+/// A client with its request, which it may send several times.
 pub(super) struct Client {
     class: usize,
     first_sent_at: f64,
-    /// How often it was sent.
+    /// How often it has sent the request.
     sends: u32,
-    /// Seconds on a core of speed 1.
+    /// The work of the request, in seconds on a core of speed 1.
     pub(super) work: f64,
 }
 
 impl Simulation<'_> {
-    /// A client sends its first request; the next client is scheduled.
+    /// Sends the request of a new client, and schedules the next client.
     pub(super) fn client_arrives(&mut self) {
         if self.now >= self.scenario.length {
             return;
@@ -40,7 +40,7 @@
         self.schedule(wait / self.scenario.rate_at(self.now), SimulationEvent::Arrival);
     }
 
-    /// A client sends its request, first or again, to some node.
+    /// Sends a client's request, or its retry, to a random node.
     pub(super) fn send_request(&mut self, client: usize) {
         self.clients[client].sends += 1;
         let class = self.clients[client].class;
@@ -62,7 +62,7 @@
         self.handle_at_node(node, Event::Request(new));
     }
 
-    /// A request gets its final response. Its client may retry.
+    /// Delivers the response of a node to a request. The client retries unless the request was served.
     pub(super) fn respond(&mut self, node: usize, id: u64, outcome: Outcome, retry_after: Option<Duration>) {
         let request = self.nodes[node].open_requests.get_mut(&id);
         let Some(request) = request.filter(|request| !request.has_response) else { return };
--- a/crates/fleet-simulation/src/simulation/mod.rs
+++ b/crates/fleet-simulation/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Simulates a scenario: the queue of events, and which module handles an event. Clients are in `clients`, what nodes do
-//! in `nodes`, what backends do in `backends`; the decisions of nodes are those of `join_up_to`.
+//! The event loop of a simulation. The modules handle the events: `clients` those of clients, `nodes` those
+//! of nodes, `backends` those of backends. The decisions of nodes are those of `join_up_to`.
 
 mod backends;
 mod clients;
@@ -16,34 +16,35 @@
 use rand_distr::LogNormal;
 use rand_pcg::Pcg64Mcg;
 
-/// The latency of one way between a node and a backend of its zone, in seconds.
+/// The one-way latency between a node and a backend of the same zone, in seconds.
 const SAME_ZONE_LATENCY: f64 = 0.000_25;
-/// How long a simulation goes on after the last arrival, in seconds: longer than any request with its retries.
-const TAIL: f64 = 8.0;
+/// How long a simulation continues after the last arrival, in seconds: longer than any request with its
+/// retries takes.
+const DRAIN_TIME: f64 = 8.0;
 
-/// Whether an attempt opens a connection.
+/// Whether an attempt opens a connection or reuses one.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Connection {
     New,
     Reused,
 }
 
-/// What happens at a time.
+/// The kinds of events.
 enum SimulationEvent {
     /// The next client sends its request.
     Arrival,
-    /// A client retries.
+    /// A client retries its request.
     ClientRetry {
         client: usize,
     },
-    /// An attempt arrives at a backend, which had this incarnation at the send.
+    /// An attempt arrives at a backend, which had this incarnation when the attempt was sent.
     AttemptArrival {
         backend: usize,
         incarnation: u32,
         job: Job,
         connection: Connection,
     },
-    /// A backend has finished a job.
+    /// A backend has finished a job that it started in this incarnation.
     JobEnd {
         backend: usize,
         incarnation: u32,
@@ -55,11 +56,11 @@
         outcome: Outcome,
         report: Option<LoadSample>,
     },
-    /// The time-out of an attempt.
+    /// An attempt times out.
     AttemptTimeout {
         key: AttemptKey,
     },
-    /// A timer of a balancer.
+    /// A timer of a balancer expires.
     Timer {
         node: usize,
         token: u64,
@@ -74,7 +75,7 @@
     FaultEnd {
         number: usize,
     },
-    /// The end of a second.
+    /// A second of the simulation ends.
     Second,
 }
 
@@ -84,16 +85,17 @@
     events: EventQueue<SimulationEvent>,
     random: Pcg64Mcg,
     nodes: Vec<Node>,
-    /// The running sums of the nodes' shares, to draw a node.
+    /// The cumulative sums of the nodes' traffic shares, by which a node is drawn.
     share_sums: Vec<f64>,
     backends: Vec<Backend>,
     clients: Vec<Client>,
+    /// The distribution of the work of requests, in seconds on a core of speed 1.
     work: LogNormal<f64>,
     open_connections: u64,
     tally: Tally,
 }
 
-/// Simulates a scenario to its end.
+/// Simulates a scenario, and some more time in which the last requests end.
 ///
 /// # Panics
 ///
@@ -140,7 +142,7 @@
 
     fn run(&mut self) {
         self.start();
-        let end = self.scenario.length + TAIL;
+        let end = self.scenario.length + DRAIN_TIME;
         while let Some((at, event)) = self.events.next().filter(|(at, _)| *at <= end) {
             self.now = at;
             self.handle(event);
@@ -149,7 +151,7 @@
             self.backends.iter().filter(|backend| backend.was_overloaded()).count() as u64;
     }
 
-    /// Gives all nodes the list of backends, and schedules the first events.
+    /// Sends the list of backends to all nodes, and schedules the first events.
     fn start(&mut self) {
         let entry = |(index, spec): (usize, &BackendSpec)| ServerEntry {
             id: ServerId(index as u64),
@@ -204,7 +206,7 @@
         self.schedule(1.0, SimulationEvent::Second);
     }
 
-    /// The tally of the second that includes a time.
+    /// The results of the second that contains a time.
     fn second(&mut self, at: f64) -> &mut SecondTally {
         let second = at.max(0.0) as usize;
         if self.tally.seconds.len() <= second {
@@ -213,7 +215,7 @@
         &mut self.tally.seconds[second]
     }
 
-    /// The latency of one way between a node and a backend.
+    /// The one-way latency between a node and a backend, in seconds.
     fn latency(&self, node: usize, backend: usize) -> f64 {
         let is_same_zone = self.nodes[node].spec.zone == self.backends[backend].spec.zone;
         if is_same_zone { SAME_ZONE_LATENCY } else { self.scenario.cross_zone_latency }
--- a/crates/fleet-simulation/src/simulation/nodes.rs
+++ b/crates/fleet-simulation/src/simulation/nodes.rs
@@ -1,4 +1,4 @@
-//! Nodes: events of their balancers, the actions that these return, and their attempts.
+//! Events of nodes: actions of balancers, and attempts.
 
 use super::{Connection, Simulation, SimulationEvent};
 use crate::backend::{AttemptKey, Job, LoadSample};
@@ -7,15 +7,16 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The clock of the nodes at the start of a simulation, in seconds: far from zero, as that of a machine is.
+/// The time of the nodes' clocks at the start of a simulation, in seconds. Not zero, like the clock of a real
+/// machine.
 const CLOCK_START: f64 = 1000.0;
-/// A timer of a balancer is late by this, in seconds, so that it is never early by rounding.
+/// The delay of the timers of balancers, in seconds, so that rounding never makes one expire early.
 const TIMER_DELAY: f64 = 1e-6;
-/// A new connection takes a round trip before the request.
+/// The number of one-way latencies until a request on a new connection arrives: a round trip precedes it.
 const NEW_CONNECTION_WAYS: f64 = 3.0;
 
 impl Simulation<'_> {
-    /// A balancer handles an event, and those that its actions cause at once.
+    /// Passes an event to a balancer, and then the events that its actions cause immediately.
     pub(super) fn handle_at_node(&mut self, node: usize, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Carries out an action; returns an event that it causes at once.
+    /// Performs an action of a balancer. Returns the event that it causes immediately.
     fn carry_out(&mut self, node: usize, action: Action) -> Option<Event> {
         match action {
             Action::Send { id, server, timeout } => self.send_attempt(node, id.0, server, timeout),
@@ -51,7 +52,7 @@
             Action::SetTimer { after, token } => {
                 self.schedule(after.as_secs_f64() + TIMER_DELAY, SimulationEvent::Timer { node, token });
             }
-            // These scenarios have no probes, and lists are pushed.
+            // Probes and list requests are not simulated: the list is sent at the start.
             _ => {}
         }
         None
@@ -89,8 +90,8 @@
         attempt.is_some_and(|attempt| attempt.outcome.is_none())
     }
 
-    /// Ends an attempt, if it is in flight, as its node sees it; returns the event for the balancer. Its connection is
-    /// reused after a response only.
+    /// Ends an attempt at its node, if it is in flight. Returns the event for the balancer. Its connection
+    /// becomes idle if it was served or rejected, and is closed otherwise.
     fn end_attempt(
         &mut self,
         key: AttemptKey,
@@ -122,7 +123,7 @@
         Some(Event::AttemptEnded(AttemptEnd { id, attempt, server, outcome, elapsed, finished, report }))
     }
 
-    /// A node learns the outcome of an attempt.
+    /// Handles the outcome of an attempt at its node.
     pub(super) fn attempt_ends(&mut self, key: AttemptKey, outcome: Outcome, report: Option<LoadSample>) {
         let node = key.node as usize;
         if !self.is_in_flight(key) {
--- a/crates/fleet-simulation/src/tally.rs
+++ b/crates/fleet-simulation/src/tally.rs
@@ -1,73 +1,74 @@
-//! The result of a simulation: counts.
+//! The results of a simulation.
 
-/// A second of a simulation.
+/// The results of one second of a simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SecondTally {
-    /// Requests that clients sent first in this second, without their retries.
+    /// Requests that clients sent for the first time in this second.
     pub offered: u32,
-    /// Those of them that had a response within the latency target, counted from their first arrival.
+    /// Those of them that were served within the latency target, counted from the first send.
     pub in_time: u32,
-    /// Requests that were rejected in this second without an attempt, each retry of a client counted.
+    /// Requests, including client retries, that were rejected in this second without an attempt.
     pub rejected_unsent: u32,
     /// Attempts that were sent.
     pub attempts: u32,
     /// Connections that were opened.
     pub connections_opened: u32,
-    /// The mean of requests in flight at a backend, at the end of the second.
+    /// The mean number of attempts in flight per backend at the end of the second.
     pub mean_in_flight: f64,
     /// Backends that were degraded by overload at the end of the second.
     pub overloaded: u32,
 }
 
-/// The requests of a class.
+/// The results of a class of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassTally {
-    /// Requests with a response in time.
+    /// Requests that were served within the latency target.
     pub in_time: u64,
-    /// All requests.
+    /// All requests, without client retries.
     pub offered: u64,
 }
 
-/// The result of a simulation.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tally {
-    /// Requests, without retries of clients.
+    /// Requests, without client retries.
     pub offered: u64,
-    /// Requests with a response within the latency target.
+    /// Requests that were served within the latency target.
     pub in_time: u64,
-    /// Requests with a later response.
+    /// Requests that were served later.
     pub late: u64,
-    /// Requests that were rejected, at their last retry.
+    /// Requests whose last retry was rejected.
     pub rejected: u64,
-    /// Requests that failed, at their last retry.
+    /// Requests whose last retry failed.
     pub failed: u64,
-    /// The value of all responses in time.
+    /// The total value of the requests that were served in time.
     pub value_in_time: f64,
-    /// The value of all requests.
+    /// The total value of all requests.
     pub value_offered: f64,
-    /// The requests by class.
+    /// The results by class.
     pub by_class: Vec<ClassTally>,
     /// Attempts that were sent.
     pub attempts: u64,
     /// Connections that were opened.
     pub connections_opened: u64,
-    /// The maximum number of connections that were open at once.
+    /// The maximum number of simultaneously open connections.
     pub max_open_connections: u64,
     /// Connections that backends refused.
     pub refused_connections: u64,
-    /// Backends that were degraded by overload at any time.
+    /// Backends that were degraded by overload at some time.
     pub overloaded: u64,
-    /// Second by second.
+    /// The results by second.
     pub seconds: Vec<SecondTally>,
 }
 
 impl Tally {
-    /// The fraction of the value that was served in time.
+    /// The fraction of the offered value that was served in time.
     pub fn served(&self) -> f64 {
         self.value_in_time / self.value_offered.max(1e-9)
     }
 
-    /// The fraction of the requests that arrived between these seconds and were served in time.
+    /// Of the requests that arrived from one second to another, exclusive, the fraction that was served in
+    /// time.
     pub fn in_time_between(&self, from: usize, to: usize) -> f64 {
         let span = &self.seconds[from.min(self.seconds.len())..to.min(self.seconds.len())];
         let sum = |of: fn(&SecondTally) -> u32| span.iter().map(|s| u64::from(of(s))).sum::<u64>() as f64;
--- a/crates/fleet-simulation/tests/bursts.rs
+++ b/crates/fleet-simulation/tests/bursts.rs
@@ -1,15 +1,15 @@
-//! A fleet recovers from a burst. Each scenario is generated from its seed; a failure names it.
+//! Fleets recover from a burst. Scenarios are generated from seeds, which a failure names.
 
 use fleet_simulation::{Scenario, simulate};
 
-/// Of each fleet this part is simulated: as many requests for each node and backend, in a fraction of the time.
-const PART: usize = 6;
+/// The divisor by which fleets are scaled down, with the same load per backend, to shorten the simulations.
+const DIVISOR: usize = 6;
 
-/// A fleet is down that serves a smaller fraction of its requests in time than this, relative to before the burst. One in
-/// ten may be: some bursts can't be detected in time.
-const DOWN: f64 = 0.8;
+/// A fleet has recovered if it serves at least this fraction of its requests in time, relative to before the
+/// burst. One in ten may not recover, since some bursts can't be detected in time.
+const RECOVERED: f64 = 0.8;
 
-/// Whether requests are answered in time again, three seconds after the burst, as they were before it.
+/// Whether a fleet has recovered three seconds after the burst, with a summary of its results.
 fn has_recovered(scenario: &Scenario) -> (bool, String) {
     let tally = simulate(scenario);
     let burst = scenario.burst.expect("generated with one");
@@ -21,27 +21,31 @@
         tally.overloaded,
         scenario.backends.len()
     );
-    (after >= DOWN * before, summary)
+    (after >= RECOVERED * before, summary)
 }
 
 fn check_recovery(seeds: std::ops::Range<u64>) {
-    let down: Vec<_> = seeds
+    let not_recovered: Vec<_> = seeds
         .clone()
-        .map(|seed| has_recovered(&Scenario::generate(seed).scaled_down(PART)))
+        .map(|seed| has_recovered(&Scenario::generate(seed).scaled_down(DIVISOR)))
         .filter(|(recovered, _)| !recovered)
         .map(|(_, summary)| summary)
         .collect();
     let max = seeds.count() / 10;
-    assert!(down.len() <= max, "{} of them are down, {max} may be: {down:#?}", down.len());
+    assert!(
+        not_recovered.len() <= max,
+        "{} fleets have not recovered, at most {max} may: {not_recovered:#?}",
+        not_recovered.len()
+    );
 }
 
 #[test]
-fn a_fleet_serves_in_time_again_after_a_burst() {
+fn fleets_recover_from_a_burst() {
     check_recovery(0..50);
 }
 
 #[test]
 #[ignore = "500 scenarios take minutes: cargo test --release -p fleet-simulation --test bursts -- --ignored"]
-fn five_hundred_fleets_serve_in_time_again_after_a_burst() {
+fn five_hundred_fleets_recover_from_a_burst() {
     check_recovery(1000..1500);
 }
--- a/crates/fleet-simulation/tests/golden.rs
+++ b/crates/fleet-simulation/tests/golden.rs
@@ -1,16 +1,16 @@
-//! Small simulations of fleets from fixed seeds, with every figure to twelve digits, held against golden files: the scenario of
-//! a seed, and the result of its simulation. A change of the order of draws or of events is seen here.
-//! `GOLDEN=write cargo test -p fleet-simulation --test golden` writes the files below `tests/golden` anew.
+//! Golden tests of small fleets with fixed seeds: the scenario of a seed and the results of its simulation,
+//! written with twelve digits. They detect changes of the order of draws or of events. `GOLDEN=write cargo
+//! test -p fleet-simulation --test golden` rewrites the files in `tests/golden`.
 //!
-//! Figures are written in fixed words: a rename of a type or field changes this file and no golden one. Their last digits differ
-//! with the packages that are built together, as `golden_files::to_twelve_digits` says.
+//! Results are written with fixed names, so that renaming a type or field does not change golden files.
+//! Further digits depend on the packages that are built together: see `golden_files::to_twelve_digits`.
 
 use fleet_simulation::{
     BackendSpec, Burst, ClassTally, ClientBehavior, Fault, FaultKind, LoadReporting, NodeSpec, OverloadCurve,
     Scenario, SecondTally, Tally, simulate,
 };
 
-fn scenario_words(scenario: &Scenario) -> String {
+fn scenario_text(scenario: &Scenario) -> String {
     let Scenario {
         seed,
         length,
@@ -56,7 +56,7 @@
     text += &format!("nodes told {} mix {class_mix:?}\n", settings.nodes);
     for Fault { first, backends, from, to, kind } in faults {
         let kind = match kind {
-            FaultKind::Slow(times) => format!("slow {times:?}"),
+            FaultKind::Slow(factor) => format!("slow {factor:?}"),
             FaultKind::Errors => "errs".into(),
             FaultKind::Unresponsive => "silent".into(),
         };
@@ -73,7 +73,7 @@
     text
 }
 
-fn tally_words(tally: &Tally) -> String {
+fn tally_text(tally: &Tally) -> String {
     let Tally {
         offered,
         in_time,
@@ -120,7 +120,7 @@
     text
 }
 
-fn small(seed: u64) -> Scenario {
+fn small_scenario(seed: u64) -> Scenario {
     let mut scenario = Scenario::generate(seed).scaled_down(20);
     scenario.length = 5.0;
     scenario.burst = scenario.burst.map(|burst| Burst { from: 2.0, to: 4.0, ramp: 0.5, ..burst });
@@ -128,29 +128,29 @@
 }
 
 #[test]
-fn small_simulations_have_the_same_results_as_before() {
+fn results_of_small_fleets_match_the_golden_file() {
     let mut text = String::new();
     for seed in [0, 1, 7] {
-        let scenario = small(seed);
-        text += &format!("{}{}\n", scenario_words(&scenario), tally_words(&simulate(&scenario)));
+        let scenario = small_scenario(seed);
+        text += &format!("{}{}\n", scenario_text(&scenario), tally_text(&simulate(&scenario)));
     }
     golden_files::check("plays.txt", &golden_files::to_twelve_digits(&text));
 }
 
 #[test]
-fn simulations_with_each_fault_have_the_same_results_as_before() {
+fn results_of_each_fault_match_the_golden_file() {
     let mut text = String::new();
     for kind in [FaultKind::Slow(3.0), FaultKind::Errors, FaultKind::Unresponsive] {
-        let mut scenario = small(3);
+        let mut scenario = small_scenario(3);
         scenario.burst = None;
         scenario.faults.push(Fault { first: 1, backends: 2, from: 1.5, to: 3.0, kind });
-        text += &format!("{}{}\n", scenario_words(&scenario), tally_words(&simulate(&scenario)));
+        text += &format!("{}{}\n", scenario_text(&scenario), tally_text(&simulate(&scenario)));
     }
     golden_files::check("troubles.txt", &golden_files::to_twelve_digits(&text));
 }
 
 #[test]
-fn complete_fleets_are_generated_as_before() {
-    let text: String = [0, 7].map(|seed| scenario_words(&Scenario::generate(seed))).join("\n");
+fn generated_scenarios_match_the_golden_file() {
+    let text: String = [0, 7].map(|seed| scenario_text(&Scenario::generate(seed))).join("\n");
     golden_files::check("drawn.txt", &golden_files::to_twelve_digits(&text));
 }
