--- a/crates/engine-simulation/examples/policies.rs
+++ b/crates/engine-simulation/examples/policies.rs
@@ -1,4 +1,4 @@
-//! Simulates policies side by side over the reference site with faults and over random sites.
+//! Compares selection policies on the reference site, with different loads and faults, and on random sites.
 //!
 //! `cargo run --release -p engine-simulation --example policies [SITES] [SEED]`
 
@@ -12,25 +12,25 @@
 fn policies() -> Vec<(&'static str, SelectionPolicy)> {
     vec![
         ("random", SelectionPolicy::Baseline(BaselinePolicy::Random)),
-        ("least sent", SelectionPolicy::Baseline(BaselinePolicy::LeastOutstanding)),
-        ("join up to m", SelectionPolicy::Baseline(BaselinePolicy::JoinUpTo)),
+        ("least outstanding", SelectionPolicy::Baseline(BaselinePolicy::LeastOutstanding)),
+        ("join-up-to(m)", SelectionPolicy::Baseline(BaselinePolicy::JoinUpTo)),
         ("affinity", SelectionPolicy::Baseline(BaselinePolicy::Affinity)),
-        ("all known", SelectionPolicy::Baseline(BaselinePolicy::Omniscient)),
+        ("omniscient", SelectionPolicy::Baseline(BaselinePolicy::Omniscient)),
         ("routing", SelectionPolicy::Routing(RoutingPolicy::default())),
     ]
 }
 
-fn line(name: &str, statistics: &Statistics) {
+fn print_statistics(name: &str, statistics: &Statistics) {
     let late: u32 = statistics.classes.iter().map(|class| class.late).sum();
-    let paused: u32 = statistics.classes.iter().map(|class| class.stalled).sum();
+    let stalled: u32 = statistics.classes.iter().map(|class| class.stalled).sum();
     let lost: u32 = statistics.classes.iter().map(|class| class.failed + class.rejected).sum();
     let all: u32 = statistics.classes.iter().map(|class| class.requests).sum();
     let share = |count: u32| 100.0 * f64::from(count) / f64::from(all);
     println!(
-        "  {name:<14} worth {:.3}  late {:5.2} %  paused {:5.2} %  lost {:5.2} %  again {:.3}  reports {}  refusals {} ({} needless)  form p50 {:.0} p99 {:.0}  chat p99 {:.0}  served {}",
+        "  {name:<17} earned {:.3}  late {:5.2} %  stalled {:5.2} %  lost {:5.2} %  reread {:.3}  reports {}  rejections {} ({} needless)  form p50 {:.0} p99 {:.0}  chat p99 {:.0}  served {}",
         statistics.earned_share(),
         share(late),
-        share(paused),
+        share(stalled),
         share(lost),
         statistics.reread_share(),
         statistics.load_reports,
@@ -43,7 +43,7 @@
     );
 }
 
-/// The share of each class that was served.
+/// The served share of each class.
 fn served(statistics: &Statistics) -> String {
     let share = |class: &engine_simulation::ClassStatistics| {
         1.0 - f64::from(class.failed + class.rejected) / f64::from(class.requests.max(1))
@@ -51,12 +51,13 @@
     statistics.classes.iter().map(|class| format!("{:.3} ", share(class))).collect()
 }
 
-/// Random sites have faults, but for one in three.
-fn faults(turn: u64) -> RandomFaults {
-    if turn.is_multiple_of(3) { RandomFaults::None } else { RandomFaults::Two }
+/// One in three random sites has no faults.
+fn faults(index: u64) -> RandomFaults {
+    if index.is_multiple_of(3) { RandomFaults::None } else { RandomFaults::Two }
 }
 
-fn named() -> Vec<Site> {
+/// The reference site with different loads and faults.
+fn named_sites() -> Vec<Site> {
     let with = |name: &str, load: f64, fault: Option<Fault>| {
         let mut site = Site::reference(load);
         site.faults.extend(fault.map(|fault| ScheduledFault { start_s: 12.0, duration_s: 5.0, fault }));
@@ -70,33 +71,33 @@
         with("hot form", 1.0, Some(Fault::HotKey { class: 0, share: 0.3 })),
         with("hot chat", 1.1, Some(Fault::HotKey { class: 1, share: 0.3 })),
         with("crash", 1.0, Some(Fault::Crash { share: 0.18, mode: CrashMode::Refusing })),
-        with("dark", 1.0, Some(Fault::Crash { share: 0.18, mode: CrashMode::Unresponsive })),
+        with("unresponsive", 1.0, Some(Fault::Crash { share: 0.18, mode: CrashMode::Unresponsive })),
         with("slow", 1.0, Some(Fault::Slow { share: 0.15, factor: 3.0 })),
         with("release", 1.0, Some(Fault::Release)),
-        with("too much", 2.0, None),
+        with("overload", 2.0, None),
     ]
 }
 
 fn main() {
-    let mut words = std::env::args().skip(1);
-    let count: u64 = words.next().and_then(|word| word.parse().ok()).unwrap_or(6);
-    let seed: u64 = words.next().and_then(|word| word.parse().ok()).unwrap_or(1);
+    let mut args = std::env::args().skip(1);
+    let count: u64 = args.next().and_then(|arg| arg.parse().ok()).unwrap_or(6);
+    let seed: u64 = args.next().and_then(|arg| arg.parse().ok()).unwrap_or(1);
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let drawn: Vec<Site> = (0..count).map(|turn| Site::random(&mut random, faults(turn), 1.0)).collect();
+    let drawn: Vec<Site> = (0..count).map(|index| Site::random(&mut random, faults(index), 1.0)).collect();
     let mut sums = vec![(0.0, 0.0); policies().len()];
-    let sites: Vec<Site> = named().into_iter().chain(drawn).collect();
-    for (turn, site) in sites.iter().enumerate() {
+    let sites: Vec<Site> = named_sites().into_iter().chain(drawn).collect();
+    for (index, site) in sites.iter().enumerate() {
         println!("{}", site.name);
-        for (at, (name, policy)) in policies().into_iter().enumerate() {
-            let statistics = run(site, policy, seed + turn as u64);
-            line(name, &statistics);
-            sums[at].0 += statistics.earned_share();
-            sums[at].1 += statistics.reread_share();
+        for (number, (name, policy)) in policies().into_iter().enumerate() {
+            let statistics = run(site, policy, seed + index as u64);
+            print_statistics(name, &statistics);
+            sums[number].0 += statistics.earned_share();
+            sums[number].1 += statistics.reread_share();
         }
     }
     println!("mean over {} sites", sites.len());
-    for ((name, _), (worth, again)) in policies().into_iter().zip(sums) {
-        let all = sites.len() as f64;
-        println!("  {name:<14} worth {:.4}  again {:.4}", worth / all, again / all);
+    for ((name, _), (earned, reread)) in policies().into_iter().zip(sums) {
+        let count = sites.len() as f64;
+        println!("  {name:<17} earned {:.4}  reread {:.4}", earned / count, reread / count);
     }
 }
--- a/crates/engine-simulation/src/baseline.rs
+++ b/crates/engine-simulation/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Simple ways to select a backend, as baselines for the package `routing`.
+//! Simple selection policies, as baselines for the package `routing`.
 
 use join_up_to::join::{self, Estimate, ServerActivity, Traffic};
 use rand::seq::IndexedRandom;
@@ -8,24 +8,24 @@
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
-/// The urgency that all requests have.
+/// The urgency of all requests.
 const URGENCY: u8 = 5;
-/// The retry-after time where no backend is left.
+/// The retry-after time if no backend is left.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A simple way to select a backend.
+/// A simple selection policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaselinePolicy {
-    /// Any backend.
+    /// A random backend.
     Random,
-    /// The backend with the fewest attempts of this node in flight.
+    /// A backend with the fewest attempts of this node in flight.
     LeastOutstanding,
-    /// Join-Up-To(m).
+    /// A backend by the Join-Up-To(m) algorithm, whose estimates come from load reports.
     JoinUpTo,
-    /// The first backend by rendezvous hashing of the last shared block.
+    /// The backend that rendezvous hashing of the last shared block selects.
     Affinity,
-    /// The backend that would have read the prompt first. It needs the state of all backends at the moment of the decision,
-    /// which no node knows: the simulation selects the backend in place of the selector.
+    /// The backend that would complete the prefill first. This requires the present state of all backends,
+    /// which no node knows: the simulation selects the backend instead of the selector.
     Omniscient,
 }
 
@@ -42,13 +42,13 @@
     attempts: FxHashMap<AttemptId, BackendId>,
     last_attempt: AttemptId,
     traffic: Traffic,
-    /// The slots of a backend that are this node's share.
+    /// A node's share of the slots of a backend.
     slots_per_node: f64,
     random: Pcg64Mcg,
 }
 
 impl BaselineSelector {
-    /// One that knows no backends. Without settings of an engine the backends are plain ones.
+    /// A selector without backends. `engine` is `None` for plain backends; `nodes` is the number of nodes.
     pub fn new(policy: BaselinePolicy, engine: Option<EngineSettings>, nodes: u32, seed: u64) -> Self {
         BaselineSelector {
             policy,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Replaces the list of backends; what is known of those that stay is kept.
+    /// Replaces the list of backends. The state of backends that stay on it is kept.
     pub fn replace_backends(&mut self, entries: Vec<BackendEntry>) {
         let mut known: FxHashMap<BackendId, KnownBackend> =
             std::mem::take(&mut self.backends).into_iter().map(|known| (known.id.clone(), known)).collect();
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Selects a backend that was not tried yet, or rejects the request if there is none.
+    /// Selects a backend that is not among `tried`, or rejects the request if there is none.
     pub fn decide(&mut self, request: &RequestShape, tried: &[BackendId]) -> Decision {
         let candidates: Vec<usize> =
             (0..self.backends.len()).filter(|index| !tried.contains(&self.backends[*index].id)).collect();
@@ -93,7 +93,7 @@
         Decision::Forward { attempt: self.last_attempt, backend: backend.id.clone(), urgency: URGENCY }
     }
 
-    /// The candidates that are equally good; `None` where any candidate is.
+    /// The best candidates, which are equally good; `None` if the policy has no preference.
     fn best_candidates(&self, request: &RequestShape, candidates: &[usize]) -> Option<Vec<usize>> {
         match self.policy {
             BaselinePolicy::LeastOutstanding => {
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Rendezvous hashing by the last shared block, which is the last but one of a prompt.
+    /// Selects by rendezvous hashing of the last shared block, which is the last but one of a prompt. `None`
+    /// for a shorter prompt.
     fn rendezvous(&self, request: &RequestShape, candidates: &[usize]) -> Option<usize> {
         let last_shared = request.blocks.len().checked_sub(2)?;
         let key = request.blocks[last_shared].id;
@@ -125,7 +126,7 @@
         })
     }
 
-    /// A backend has reported its load with the response to an attempt.
+    /// Handles the load that a backend reports with the response to an attempt.
     pub fn load_received(&mut self, attempt: AttemptId, load: Load) {
         let Some(id) = self.attempts.get(&attempt) else { return };
         let Some(backend) = self.backends.iter_mut().find(|known| known.id == *id) else { return };
@@ -137,7 +138,7 @@
         }
     }
 
-    /// An attempt has ended, perhaps with a report of the backend's load.
+    /// Handles the end of an attempt, whose response may report the backend's load.
     pub fn attempt_ended(&mut self, attempt: AttemptId, load: Option<Load>) {
         if let Some(load) = load {
             self.load_received(attempt, load);
@@ -146,7 +147,7 @@
         if let Some(backend) = self.backends.iter_mut().find(|known| known.id == id) {
             backend.outstanding = backend.outstanding.saturating_sub(1);
         }
-        // Recorded figures of simulations depend on this draw.
+        // Unused, but recorded results of simulations depend on the sequence of draws.
         let _ = self.random.random::<u32>();
     }
 }
--- a/crates/engine-simulation/src/engine.rs
+++ b/crates/engine-simulation/src/engine.rs
@@ -1,45 +1,45 @@
-//! A backend that serves a language model: admission by urgency, chunked prefill between decode steps, a prefix cache,
-//! preemption.
+//! A model of a backend that serves a language model: admission by urgency, chunked prefill between decode
+//! steps, a prefix cache, preemption.
 
 use crate::prefix_cache::{PrefixBlock, PrefixCache};
 
 /// The speed and the capacity of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// The maximum number of requests that are prefilled or running.
     pub slots: usize,
-    /// The most requests that wait.
+    /// The maximum number of queued requests.
     pub max_queued: usize,
-    /// Tokens that its memory holds.
+    /// The capacity of its KV memory, in tokens.
     pub kv_capacity_tokens: u64,
-    /// The time of a decode step with one short request, in ms.
+    /// The base time of a decode step, in ms.
     pub step_ms: f64,
-    /// What each running request adds to a step, in ms.
+    /// The additional time of a decode step for each running request, in ms.
     pub step_ms_per_running: f64,
-    /// What each thousand tokens of context add to a step, in ms.
+    /// The additional time of a decode step for each 1,000 tokens of context, in ms.
     pub step_ms_per_k_context: f64,
-    /// Prompt tokens that are read in a ms.
+    /// The prefill speed without attention, in tokens per ms.
     pub prefill_tokens_per_ms: f64,
-    /// What a million pairs of a prompt token and a token before it add to reading, in ms.
+    /// The additional prefill time for a million pairs of a prompt token and a preceding token, in ms.
     pub attention_ms_per_m_pairs: f64,
-    /// What a first token takes besides, in ms.
+    /// The additional time for a first token, in ms. A quarter of it is added to the time of the step.
     pub first_token_ms: f64,
-    /// The most prompt tokens that are read between two steps.
+    /// The maximum number of prompt tokens that are prefilled in a step.
     pub prefill_chunk_tokens: u64,
-    /// Tokens in an event of a stream.
+    /// The number of tokens per event of a stream.
     pub tokens_per_event: u32,
 }
 
 /// A request to an engine.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// An id of the caller's choice.
+    /// The id, chosen by the caller.
     pub id: u64,
-    /// 0 is served first.
+    /// The urgency; 0 is served first.
     pub urgency: u8,
     /// The prompt.
     pub prompt: Vec<PrefixBlock>,
-    /// Events of the response.
+    /// The number of events of the response.
     pub events: u32,
 }
 
@@ -53,63 +53,63 @@
     prompt.iter().map(|block| block.tokens).sum()
 }
 
-/// What an engine has done by the end of a step.
+/// A result of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineOutput {
-    /// An event of a stream is sent.
+    /// An event of a stream was sent.
     Event {
-        /// The request.
+        /// The id of the request.
         id: u64,
         /// Whether it is the first of its stream.
         first: bool,
         /// Whether it is the last of its stream.
         last: bool,
     },
-    /// A request is admitted; its prompt is read from now on.
+    /// A request was admitted, and its prefill begins.
     Admitted {
-        /// The request.
+        /// The id of the request.
         id: u64,
-        /// Tokens of its prompt that were cached.
+        /// The number of cached tokens of its prompt.
         cached_tokens: u64,
     },
-    /// A chunk of a prompt was read.
+    /// A chunk of a prompt was prefilled.
     Prefilled {
-        /// The request.
+        /// The id of the request.
         id: u64,
-        /// The tokens of the chunk.
+        /// The number of tokens of the chunk.
         tokens: u64,
     },
 }
 
-/// The requests at an engine.
+/// The number of requests at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Those that generate tokens.
+    /// Requests that generate tokens.
     pub running: u32,
-    /// Those that wait for their first token.
+    /// Requests that are queued or prefilled.
     pub waiting: u32,
 }
 
-/// The prompt tokens that an engine reads before the first token of a further request.
+/// The prompt tokens that an engine would prefill before the first token of another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefillBacklog {
-    /// Those of requests that are served before it.
+    /// Uncached tokens of the requests that are served before it.
     pub ahead_tokens: u64,
-    /// Its own, without what is cached.
+    /// Uncached tokens of its own prompt.
     pub own_tokens: u64,
 }
 
-/// A request that waits, perhaps again after it was preempted.
+/// A queued request, which may have been preempted before.
 #[derive(Clone, Debug)]
 struct QueuedJob {
     job: Job,
-    /// Its position among all requests by the time of their arrival.
+    /// The number of its arrival among all requests.
     arrival: u64,
-    /// Tokens that it had generated when it was preempted.
+    /// The number of tokens that it had generated when it was preempted; 0 if it was not.
     generated_tokens: u64,
 }
 
-/// A request that is read or runs.
+/// A request that is prefilled or runs.
 #[derive(Clone, Debug)]
 struct ActiveJob {
     job: Job,
@@ -124,7 +124,8 @@
     }
 }
 
-/// A backend that serves a language model. It has no clock: [`step`](Engine::step) returns how long a step takes.
+/// The state of a backend that serves a language model. It has no clock: [`step`](Engine::step) returns the
+/// time of a step.
 #[derive(Clone, Debug)]
 pub struct Engine {
     spec: EngineSpec,
@@ -133,12 +134,12 @@
     prefilling: Vec<ActiveJob>,
     running: Vec<ActiveJob>,
     arrivals: u64,
-    /// What first tokens of the last step add to the time of the next one, in ms.
+    /// The additional time of the current step for first tokens, in ms.
     extra_ms: f64,
 }
 
 impl Engine {
-    /// An idle one with an empty cache.
+    /// An idle engine with an empty cache.
     pub fn new(spec: EngineSpec) -> Self {
         Engine {
             cache: PrefixCache::new(spec.kv_capacity_tokens),
@@ -151,8 +152,8 @@
         }
     }
 
-    /// Offers a request. Returns whether it is queued: it is rejected where the queue is full or the request is larger than
-    /// the memory.
+    /// Queues a request. Returns `false` if it is rejected, because the queue is full or because its prompt
+    /// and response exceed the KV memory.
     pub fn offer(&mut self, job: Job) -> bool {
         let output_tokens = u64::from(job.events * self.spec.tokens_per_event);
         let is_full = self.queue.len() >= self.spec.max_queued;
@@ -164,7 +165,7 @@
         true
     }
 
-    /// Removes a request whose client has disconnected.
+    /// Removes a request, such as one whose client has disconnected.
     pub fn cancel(&mut self, id: u64) {
         self.queue.retain(|queued| queued.job.id != id);
         if let Some(index) = self.prefilling.iter().position(|active| active.job.id == id) {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// The requests that run and wait.
+    /// The number of running and waiting requests.
     pub fn load(&self) -> EngineLoad {
         EngineLoad {
             running: self.running.len() as u32,
@@ -184,7 +185,7 @@
         }
     }
 
-    /// What would be read before the first token of a request with this urgency and prompt.
+    /// The prefill work before the first token of a request with this urgency and prompt.
     pub fn prefill_backlog(&self, urgency: u8, prompt: &[PrefixBlock]) -> PrefillBacklog {
         let uncached = |prompt: &[PrefixBlock]| total_tokens(prompt) - self.cache.cached_tokens(prompt);
         let queued = self.queue.iter().filter(|queued| queued.job.urgency <= urgency);
@@ -194,18 +195,18 @@
         PrefillBacklog { ahead_tokens: queued_tokens + prefilling_tokens, own_tokens: uncached(prompt) }
     }
 
-    /// Whether it has nothing to do.
+    /// Whether it has no requests.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.prefilling.is_empty() && self.running.is_empty()
     }
 
-    /// The ids of all requests.
+    /// The ids of all queued, prefilled and running requests.
     pub fn jobs(&self) -> Vec<u64> {
         let queued = self.queue.iter().map(|queued| queued.job.id);
         queued.chain(self.prefilling.iter().chain(&self.running).map(|active| active.job.id)).collect()
     }
 
-    /// Does one step, and appends what it has done by its end to `outputs`. Returns its time in ms.
+    /// Runs a step, and appends its results to `outputs`. Returns the time of the step in ms.
     pub fn step(&mut self, outputs: &mut Vec<EngineOutput>) -> f64 {
         self.admit(outputs);
         let mut time_ms = self.prefill(outputs);
@@ -220,7 +221,7 @@
         time_ms.max(0.1)
     }
 
-    /// Admits requests while there are slots and memory, the most urgent first.
+    /// Admits queued requests while there are free slots and memory, the most urgent first.
     fn admit(&mut self, outputs: &mut Vec<EngineOutput>) {
         self.queue.sort_by_key(|queued| (queued.job.urgency, queued.arrival));
         while self.running.len() + self.prefilling.len() < self.spec.slots && !self.queue.is_empty() {
@@ -238,7 +239,7 @@
         }
     }
 
-    /// Reads one chunk of prompts, the most urgent first. Returns the time in ms.
+    /// Prefills one chunk of prompt tokens, the most urgent requests first. Returns the time in ms.
     fn prefill(&mut self, outputs: &mut Vec<EngineOutput>) -> f64 {
         let mut budget = self.spec.prefill_chunk_tokens;
         let mut time_ms = 0.0;
@@ -269,7 +270,7 @@
         self.extra_ms += self.spec.first_token_ms / 4.0;
     }
 
-    /// Generates a token of each running request, and ends those that are complete.
+    /// Generates one token for each running request, and removes the requests that are complete.
     fn decode(&mut self, outputs: &mut Vec<EngineOutput>) {
         let tokens_per_event = u64::from(self.spec.tokens_per_event);
         let total = |active: &ActiveJob| u64::from(active.job.events) * tokens_per_event;
@@ -296,7 +297,8 @@
         self.cache.adjust_generated(-(active.generated_tokens as i64));
     }
 
-    /// Where memory runs out, the newest of the least urgent requests is queued again and read anew later.
+    /// While memory is over capacity, preempts the newest of the least urgent requests: it is queued again,
+    /// and its prompt and generated tokens are prefilled again later.
     fn preempt(&mut self) {
         while self.cache.is_over_capacity() && self.running.len() > 1 {
             let newest = (0..self.running.len()).max_by_key(|index| {
--- a/crates/engine-simulation/src/event_queue.rs
+++ b/crates/engine-simulation/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation, in the order of virtual time.
+//! The queue of pending events in virtual time.
 
 use routing::{BackendEntry, BackendId};
 use std::cmp::{Ordering, Reverse};
@@ -7,13 +7,13 @@
 /// Whether a scheduled fault begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultPhase {
-    /// It begins.
+    /// The fault begins.
     Start,
-    /// It ends.
+    /// The fault ends.
     End,
 }
 
-/// What happens at a time. Requests, nodes, engines, plain backends and faults are named by their indices.
+/// The kinds of events. Requests, nodes, engines, plain backends and faults are identified by their indices.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A client sends a request for the first time.
@@ -21,7 +21,7 @@
         /// The request.
         request: usize,
     },
-    /// A client sends a rejected request again, perhaps to another node.
+    /// A client retries a rejected request, possibly at another node.
     Retry {
         /// The request.
         request: usize,
@@ -33,7 +33,7 @@
         /// The request.
         request: usize,
     },
-    /// An attempt has not connected.
+    /// An attempt has failed to connect.
     ConnectFailure {
         /// The request.
         request: usize,
@@ -45,30 +45,30 @@
         /// Its incarnation at the start of the step.
         incarnation: u64,
     },
-    /// A plain call ends.
+    /// A plain backend completes a call.
     PlainCallEnd {
         /// The request.
         request: usize,
         /// The plain backend.
         backend: usize,
     },
-    /// The deadline of a request.
+    /// The deadline of a request expires.
     Deadline {
         /// The request.
         request: usize,
     },
-    /// A client gives up, unless its attempt has been replaced.
+    /// A client gives up a request, unless a newer timer was started for it.
     SilenceTimeout {
         /// The request.
         request: usize,
-        /// The value of the request's timer when this one was started.
+        /// The number of the timer among those of the request.
         timer: u64,
     },
     /// A fault begins or ends.
     Fault {
         /// The fault.
         fault: usize,
-        /// Which of the two.
+        /// Whether it begins or ends.
         phase: FaultPhase,
     },
     /// An engine is replaced by a new one.
@@ -76,22 +76,22 @@
         /// The engine.
         engine: usize,
     },
-    /// The nodes receive a list of engines.
+    /// The nodes receive a new list of engines.
     ListUpdate(Vec<BackendEntry>),
-    /// A node requests the load reports that are due.
+    /// A node requests load reports that are due.
     ReportPoll {
         /// The node.
         node: usize,
     },
-    /// A node receives a load report.
+    /// A node receives a load report, or learns that there is none.
     ReportArrival {
         /// The node.
         node: usize,
-        /// The id under which the engine is listed.
+        /// The listed id of the engine.
         id: BackendId,
         /// The engine.
         engine: usize,
-        /// When it was requested, in ms.
+        /// The time of the request for the report, in ms.
         requested_at_ms: f64,
     },
 }
@@ -122,7 +122,7 @@
     }
 }
 
-/// Pending events. Those of the same time happen in the order in which they were scheduled.
+/// Pending events. Events at the same time are returned in the order in which they were added.
 #[derive(Default)]
 pub struct EventQueue {
     entries: BinaryHeap<Reverse<Entry>>,
@@ -130,13 +130,13 @@
 }
 
 impl EventQueue {
-    /// Adds an event.
+    /// Adds an event at a time in ms.
     pub fn push(&mut self, at_ms: f64, event: Event) {
         self.sequence += 1;
         self.entries.push(Reverse(Entry { at_ms, sequence: self.sequence, event }));
     }
 
-    /// Removes the next event with its time, in ms.
+    /// Removes the next event and returns it with its time in ms.
     pub fn pop(&mut self) -> Option<(f64, Event)> {
         self.entries.pop().map(|Reverse(Entry { at_ms, event, .. })| (at_ms, event))
     }
--- a/crates/engine-simulation/src/lib.rs
+++ b/crates/engine-simulation/src/lib.rs
@@ -1,13 +1,13 @@
-//! A model of backends that serve a language model, in virtual time, with several nodes that select among them.
+//! Simulates backends that serve a language model, and nodes that select among them, in virtual time.
 //!
-//! - [`Engine`]: a backend that reads prompts in chunks between decode steps, caches prefixes and preempts requests.
-//! - [`PlainBackend`]: a backend for calls without a prompt.
-//! - [`Site`]: a deployment with its requests and its scheduled [`Fault`]s; [`Site::random`] draws one.
-//! - [`draw_requests`]: the requests that clients send.
-//! - [`Selector`]: how a node selects a backend: the package `routing`, or a baseline to compare it with.
-//! - [`run`]: simulates a site, and returns the [`Statistics`] of what the clients received.
+//! - [`Engine`]: a backend with chunked prefill, a prefix cache and preemption.
+//! - [`PlainBackend`]: a backend for calls without prompts.
+//! - [`Site`]: a deployment with its workload and scheduled [`Fault`]s; [`Site::random`] draws one.
+//! - [`draw_requests`]: the requests of the clients of a site.
+//! - [`Selector`]: the selection of backends at a node, by the package `routing` or a baseline to compare it with.
+//! - [`run`]: simulates a site and returns its [`Statistics`].
 //!
-//! The same site and seed give the same statistics. Nothing here opens a socket or reads a clock.
+//! The same site and seed give the same statistics. No sockets or clocks are used.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/engine-simulation/src/prefix_cache.rs
+++ b/crates/engine-simulation/src/prefix_cache.rs
@@ -1,45 +1,46 @@
-//! The KV memory of an engine: blocks of prompts, in use or cached, and generated tokens.
+//! The KV memory of an engine: prompt blocks, which are in use or cached, and generated tokens.
 
 use rustc_hash::FxHashMap;
 use std::collections::BTreeMap;
 
-/// A block of a prompt at its position behind other blocks.
+/// A block of a prompt, identified together with its prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixBlock {
-    /// Identifies the block and all before it: equal only where all of these are equal.
+    /// Identifies the block and all blocks before it. Keys are equal only if all of these are.
     pub key: u64,
-    /// The tokens of the block alone.
+    /// The number of tokens of the block itself.
     pub tokens: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct CachedBlock {
     tokens: u64,
-    /// Running requests that use it.
+    /// The number of running requests that use it.
     users: u32,
-    /// The use after which nobody used it any more; 0 for one that was always in use.
+    /// The value of `use_counter` when its last use ended; 0 if it has been in use since it was added.
     last_use: u64,
 }
 
-/// The memory of an engine. Blocks that no running request uses are evicted when it is full, the least recently used first.
+/// The KV memory of an engine. If it is full, blocks that no running request uses are evicted, the least
+/// recently used first.
 #[derive(Clone, Debug)]
 pub struct PrefixCache {
     capacity: u64,
     blocks: FxHashMap<u64, CachedBlock>,
-    /// The keys of the blocks that nobody uses, by their last use.
+    /// The keys of unused blocks by their last use.
     unused: BTreeMap<u64, u64>,
-    /// Tokens of all blocks.
+    /// The number of tokens of all blocks.
     block_tokens: u64,
-    /// Tokens of the blocks in use.
+    /// The number of tokens of the blocks in use.
     pinned_tokens: u64,
-    /// Tokens that running requests have generated.
+    /// The number of tokens that running requests have generated.
     generated_tokens: u64,
-    /// Counts the uses that end.
+    /// The number of times that the last use of a block has ended.
     use_counter: u64,
 }
 
 impl PrefixCache {
-    /// An empty one with a capacity in tokens.
+    /// An empty memory with a capacity in tokens.
     pub fn new(capacity: u64) -> Self {
         PrefixCache {
             capacity,
@@ -52,17 +53,17 @@
         }
     }
 
-    /// Tokens that can't be evicted.
+    /// The number of tokens that can't be evicted.
     pub fn used_tokens(&self) -> u64 {
         self.pinned_tokens + self.generated_tokens
     }
 
-    /// Tokens of the longest prefix of a prompt that is cached.
+    /// The number of tokens of the longest cached prefix of a prompt.
     pub fn cached_tokens(&self, prompt: &[PrefixBlock]) -> u64 {
         prompt.iter().map_while(|block| self.blocks.get(&block.key).map(|_| block.tokens)).sum()
     }
 
-    /// Whether a prompt and so many further tokens fit beside all that is in use.
+    /// Whether a prompt and this number of further tokens fit beside everything in use.
     pub fn fits(&self, prompt: &[PrefixBlock], further_tokens: u64) -> bool {
         let is_pinned =
             |block: &PrefixBlock| self.blocks.get(&block.key).is_some_and(|known| known.users > 0);
@@ -70,7 +71,8 @@
         self.used_tokens() + new + further_tokens <= self.capacity
     }
 
-    /// A running request uses the prompt from now on; blocks that are not cached are added.
+    /// Marks the blocks of a prompt as used by one more running request. Blocks that are not cached are
+    /// added.
     pub fn pin(&mut self, prompt: &[PrefixBlock]) {
         for block in prompt {
             let cached = self.blocks.entry(block.key).or_insert(CachedBlock {
@@ -89,7 +91,7 @@
         self.evict();
     }
 
-    /// A running request that used the prompt has ended; its blocks stay cached while there is room.
+    /// Ends the use of a prompt by a running request. Its blocks stay cached until they are evicted.
     pub fn unpin(&mut self, prompt: &[PrefixBlock]) {
         for block in prompt.iter().rev() {
             let Some(cached) = self.blocks.get_mut(&block.key) else { continue };
@@ -104,13 +106,13 @@
         self.evict();
     }
 
-    /// Changes the number of generated tokens: running requests have generated some, or ended and freed theirs.
+    /// Adds to the number of generated tokens; negative if requests have ended and freed theirs.
     pub fn adjust_generated(&mut self, tokens: i64) {
         self.generated_tokens = self.generated_tokens.saturating_add_signed(tokens);
         self.evict();
     }
 
-    /// Whether more is in use than there is, so that a request has to be preempted.
+    /// Whether the tokens in use exceed the capacity, so that a request must be preempted.
     pub fn is_over_capacity(&self) -> bool {
         self.used_tokens() > self.capacity
     }
--- a/crates/engine-simulation/src/random_site.rs
+++ b/crates/engine-simulation/src/random_site.rs
@@ -1,4 +1,4 @@
-//! Sites that are drawn at random, so that a policy is not tuned to one deployment.
+//! Random sites, so that policies are not tuned to a single deployment.
 
 use crate::fault::{CrashMode, Fault, ScheduledFault};
 use crate::site::Site;
@@ -8,15 +8,15 @@
 /// Whether a random site has faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RandomFaults {
-    /// It has none.
+    /// No faults.
     None,
-    /// It has two.
+    /// Two faults.
     Two,
 }
 
 impl Site {
-    /// Draws a site: 4 to 40 engines, and other speeds, prompts, loads and faults than those of the reference. The load is
-    /// multiplied by `load_factor`.
+    /// Draws a site with 4 to 40 engines, whose speeds, prompts, load and faults differ from the reference
+    /// site. The load is multiplied by `load_factor`.
     pub fn random(random: &mut impl Rng, faults: RandomFaults, load_factor: f64) -> Site {
         let mut site = Site::reference(1.0);
         let engines: usize = *[4, 6, 8, 12, 16, 24, 40].choose(random).unwrap_or(&12);
--- a/crates/engine-simulation/src/request_stream.rs
+++ b/crates/engine-simulation/src/request_stream.rs
@@ -1,4 +1,4 @@
-//! The requests that clients send: when, to which node, with which prompt.
+//! The requests that clients send, with their times, nodes and prompts.
 
 use crate::fault::Fault;
 use crate::prefix_cache::PrefixBlock;
@@ -11,18 +11,19 @@
 use routing::{PromptBlock, RequestShape};
 use std::time::Duration;
 
-/// The rate rises and falls by this share.
+/// The amplitude of the sine wave of the rate, as a share of the rate.
 const WAVE_SHARE: f64 = 0.15;
-/// The time of one such wave, in ms.
+/// The period of that wave, in ms.
 const WAVE_MS: f64 = 11_000.0;
-/// The highest rate beside the usual one without a burst: above the top of a wave.
+/// An upper bound of the rate without a burst, as a multiple of the normal rate: above the peak of the wave.
 const PEAK_FACTOR: f64 = 1.2;
-/// A request may repeat the prompt of one that came so many seconds before at most.
+/// How far back a request may repeat the prompt of another one, in seconds at the normal rate.
 const REPEAT_WINDOW_S: f64 = 8.0;
-/// The standard deviation of the logarithm of the time of a plain call, and the longest of these times, in ms.
+/// The standard deviation of the logarithm of the time of a plain call.
 const WORK_LOG_SPREAD: f64 = 0.5;
+/// The longest time of a plain call, in ms.
 const MAX_WORK_MS: f64 = 220.0;
-/// The tokens in an event of a stream that nodes are told to expect.
+/// The number of tokens per event by which nodes estimate the length of responses.
 const TOKENS_PER_EVENT: u32 = 6;
 
 /// A request that a client sends.
@@ -34,17 +35,17 @@
     pub class: usize,
     /// The index of the node that receives it.
     pub node: usize,
-    /// What the selection of a backend is based on.
+    /// The properties by which nodes select a backend.
     pub shape: RequestShape,
-    /// Its prompt as an engine sees it.
+    /// The prompt as the engines' blocks.
     pub prompt: Vec<PrefixBlock>,
-    /// Events of its response; 0 for a plain call.
+    /// The number of events of the response; 0 for a plain call.
     pub events: u32,
-    /// How long a plain call takes at a backend, in ms.
+    /// The time that a plain call takes at a backend, in ms; 0 for other requests.
     pub work_ms: f64,
 }
 
-/// Draws the requests of a site, in the order of time.
+/// Draws the requests of a site, sorted by time.
 pub fn draw_requests(site: &Site, seed: u64) -> Vec<ClientRequest> {
     let mut requests = Vec::new();
     for index in 0..site.classes.len() {
@@ -57,22 +58,23 @@
     requests
 }
 
-/// A prompt, and the node that receives it.
+/// A prompt and the index of the node that receives it.
 type AddressedPrompt = (Vec<PromptBlock>, usize);
 
-/// The requests of one class while they are drawn.
+/// Draws the requests of one class.
 struct ClassStream<'a> {
     site: &'a Site,
     index: usize,
     class: &'a RequestClass,
     random: Pcg64Mcg,
     nodes: WeightedIndex<f64>,
-    /// By position of the shared blocks: which block is drawn how often, and the tokens of each.
+    /// The popularity of the shared blocks, by position.
     popularity: Vec<WeightedIndex<f64>>,
+    /// The number of tokens of each shared block, by position and block.
     block_tokens: Vec<Vec<u32>>,
-    /// The highest rate beside the usual one.
+    /// An upper bound of the rate with bursts, as a multiple of the normal rate.
     peak_factor: f64,
-    /// The last prompts, where some are repeated.
+    /// The last prompts, from which repeated ones are drawn; empty for a class that repeats none.
     recent: Vec<AddressedPrompt>,
 }
 
@@ -89,7 +91,8 @@
         Some(ClassStream { site, index, class, random, nodes, popularity, block_tokens, peak_factor, recent })
     }
 
-    /// Draws at the highest rate, and drops as many as the rate of the moment is lower (thinning).
+    /// Draws arrivals at the highest rate, and drops each with a probability by the actual rate at its time
+    /// (thinning).
     fn draw_all(mut self, requests: &mut Vec<ClientRequest>) {
         let mut at_ms = 0.0;
         loop {
@@ -111,7 +114,7 @@
         }
     }
 
-    /// Draws a prompt and its node: new ones, or those of an earlier request.
+    /// Draws a new prompt and its node, or repeats those of an earlier request.
     fn draw_prompt(&mut self, hot_share: f64) -> AddressedPrompt {
         let is_hot = self.random.random::<f64>() < hot_share;
         let may_repeat =
@@ -131,7 +134,8 @@
         prompt
     }
 
-    /// Draws the blocks of a new prompt. Each block at a later position has one block before it at which it always stands.
+    /// Draws the blocks of a new prompt. The block at a position determines the block before it, so that
+    /// shared blocks form a tree of prefixes.
     fn draw_blocks(&mut self, is_hot: bool) -> Vec<PromptBlock> {
         if self.class.is_plain() {
             return Vec::new();
@@ -164,8 +168,8 @@
         let (events, work_ms) = if class.is_plain() {
             (0, lognormal(&mut self.random, class.mean_work_ms, WORK_LOG_SPREAD, MAX_WORK_MS))
         } else {
-            let most = 4.0 * class.mean_events;
-            let events = lognormal(&mut self.random, class.mean_events, class.events_log_spread, most);
+            let max_events = 4.0 * class.mean_events;
+            let events = lognormal(&mut self.random, class.mean_events, class.events_log_spread, max_events);
             (events.round() as u32, 0.0)
         };
         let prompt = prefix_blocks(&blocks);
@@ -184,12 +188,13 @@
     }
 }
 
-/// Draws from a lognormal distribution with this mean and this standard deviation of the logarithm, between 1 and `most`.
-fn lognormal(random: &mut Pcg64Mcg, mean: f64, log_spread: f64, most: f64) -> f64 {
+/// Draws from a log-normal distribution with this mean and standard deviation of the logarithm. Results are
+/// clamped to 1 and `max`.
+fn lognormal(random: &mut Pcg64Mcg, mean: f64, log_spread: f64, max: f64) -> f64 {
     let median = mean * (-log_spread * log_spread / 2.0).exp();
     let drawn =
         LogNormal::new(median.ln(), log_spread).map_or(mean, |distribution| distribution.sample(random));
-    drawn.clamp(1.0, most)
+    drawn.clamp(1.0, max)
 }
 
 fn mix_bits(value: u64) -> u64 {
@@ -197,7 +202,7 @@
     (bits ^ (bits >> 32)).wrapping_mul(0xBF58_476D_1CE4_E5B9) ^ (bits >> 17)
 }
 
-/// How many times the usual requests of a class come during a fault.
+/// The rate of a class during a fault, as a multiple of the normal rate.
 fn rate_factor(fault: &Fault, class: usize) -> f64 {
     match fault {
         Fault::Burst { class: its_class, factor } if *its_class == class => *factor,
@@ -205,7 +210,7 @@
     }
 }
 
-/// The share of the requests of a class that have the same block during a fault.
+/// The share of the requests of a class that have the same last shared block during a fault.
 fn hot_share(fault: &Fault, class: usize) -> f64 {
     match fault {
         Fault::HotKey { class: its_class, share } if *its_class == class => *share,
@@ -218,11 +223,13 @@
 }
 
 fn draw_block_tokens(blocks: &SharedBlocks, random: &mut Pcg64Mcg) -> Vec<u32> {
-    let most = 3.0 * blocks.mean_tokens;
-    (0..blocks.count).map(|_| lognormal(random, blocks.mean_tokens, blocks.log_spread, most) as u32).collect()
+    let max_tokens = 3.0 * blocks.mean_tokens;
+    (0..blocks.count)
+        .map(|_| lognormal(random, blocks.mean_tokens, blocks.log_spread, max_tokens) as u32)
+        .collect()
 }
 
-/// The blocks with keys that identify each together with all before it.
+/// The blocks with keys, each of which identifies a block and all blocks before it.
 fn prefix_blocks(blocks: &[PromptBlock]) -> Vec<PrefixBlock> {
     let mut key = 0;
     blocks
--- a/crates/engine-simulation/src/selection.rs
+++ b/crates/engine-simulation/src/selection.rs
@@ -1,4 +1,4 @@
-//! How the nodes of a simulation select backends.
+//! The selection of backends at the nodes of a simulation.
 
 use crate::baseline::{BaselinePolicy, BaselineSelector};
 use routing::{
@@ -7,25 +7,25 @@
 };
 use std::time::Duration;
 
-/// A way to select a backend.
+/// A selection policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SelectionPolicy {
-    /// A simple way.
+    /// A baseline.
     Baseline(BaselinePolicy),
-    /// The package `routing`, with these figures.
+    /// The package `routing` with this policy.
     Routing(RoutingPolicy),
 }
 
-/// The selection of backends at one node.
+/// The selector of one node.
 pub enum Selector {
-    /// A simple way.
+    /// A baseline.
     Baseline(Box<BaselineSelector>),
     /// The package `routing`.
     Routing(Box<Service>),
 }
 
 impl Selector {
-    /// One that knows no backends. Without settings of an engine the backends are plain ones.
+    /// A selector without backends. `engine` is `None` for plain backends; `nodes` is the number of nodes.
     pub fn new(policy: SelectionPolicy, engine: Option<EngineSettings>, nodes: u32, seed: u64) -> Selector {
         match policy {
             SelectionPolicy::Routing(policy) => {
--- a/crates/engine-simulation/src/simulation/backends.rs
+++ b/crates/engine-simulation/src/simulation/backends.rs
@@ -1,4 +1,4 @@
-//! Engines and plain backends: attempts that arrive, steps, and the end of calls.
+//! Events of engines and plain backends: arrivals of attempts, steps, and ends of calls.
 
 use super::state::{EngineHealth, EngineInstance, LoadSample, ServiceKind, Simulation};
 use crate::engine::{Engine, EngineOutput, Job};
@@ -9,15 +9,15 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The load of an engine at a time is kept for so long, in ms.
+/// How long load samples of an engine are kept, in ms.
 const SAMPLE_RETENTION_MS: f64 = 400.0;
-/// After this time a connection to a machine that has become unresponsive is given up, in ms.
+/// The time until an attempt that reaches an unresponsive machine fails, in ms.
 const LOST_CONNECTION_MS: f64 = 150.0;
-/// The beginning of the ids of plain backends, before their index.
+/// The prefix of the ids of plain backends, before their index.
 const PLAIN_ID_PREFIX: &str = "p-";
 
 impl Simulation<'_> {
-    /// Adds an engine with an id of its own. Returns its index.
+    /// Adds an engine with a new id. Returns its index.
     pub fn add_engine(&mut self) -> usize {
         let id = BackendId(format!("i-{:016x}", self.random.random::<u64>()).into());
         self.engines.push(EngineInstance {
@@ -33,25 +33,25 @@
         self.engines.len() - 1
     }
 
-    /// The list of engines, as nodes receive it.
+    /// The list of engines for nodes.
     pub fn engine_entries(&self) -> Vec<BackendEntry> {
         let slots = self.site.engine.slots as u32;
         self.listed.iter().map(|index| backend_entry(self.engines[*index].id.clone(), slots)).collect()
     }
 
-    /// The list of plain backends.
+    /// The list of plain backends for nodes.
     pub fn plain_entries(&self) -> Vec<BackendEntry> {
         let slots = self.site.plain.slots as u32;
         let id = |index| BackendId(format!("{PLAIN_ID_PREFIX}{index}").into());
         (0..self.plain.len()).map(|index| backend_entry(id(index), slots)).collect()
     }
 
-    /// The index of a plain backend.
+    /// The index of a plain backend by its id.
     pub fn plain_index(&self, id: &BackendId) -> usize {
         id.0.strip_prefix(PLAIN_ID_PREFIX).and_then(|index| index.parse().ok()).unwrap_or_default()
     }
 
-    /// An attempt reaches its backend.
+    /// Handles the arrival of an attempt at its backend.
     pub fn attempt_arrived(&mut self, request: usize) {
         if self.states[request].is_done {
             return;
@@ -95,7 +95,7 @@
         Load { running: load.running, waiting: load.waiting, slots: self.site.engine.slots as u32 }
     }
 
-    /// Starts a step, unless one is in progress or there is nothing to do.
+    /// Starts a step, unless one is in progress, the engine is idle or its machine is down.
     fn start_step(&mut self, engine: usize) {
         let instance = &mut self.engines[engine];
         if instance.is_stepping || instance.engine.is_idle() || instance.health != EngineHealth::Up {
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Counts the shared blocks of an admitted request, and those that are read though a backend has read them shortly
-    /// before.
+    /// Counts the tokens of the shared blocks of an admitted request, and those that are prefilled although a
+    /// backend has prefilled the block within the reread window.
     fn count_blocks(&mut self, request: usize, cached_tokens: u64) {
         let prompt = &self.requests[request].prompt;
         let window_ms = self.site.reread_window_s * 1e3;
@@ -171,7 +171,7 @@
         Load { running: plain.running(), waiting: plain.queued(), slots: self.site.plain.slots as u32 }
     }
 
-    /// A plain call ends, and the next one of the queue begins.
+    /// Handles the end of a plain call, and starts the next queued one.
     pub fn plain_call_ended(&mut self, request: usize, backend: usize) {
         if let Some(next) = self.plain[backend].finish() {
             let next = next as usize;
--- a/crates/engine-simulation/src/simulation/clients.rs
+++ b/crates/engine-simulation/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients and nodes: requests, their attempts at backends, and what clients receive.
+//! Events of clients and nodes: requests, their attempts at backends, and what clients receive.
 
 use super::state::{EngineHealth, HOP_MS, ServiceKind, Simulation};
 use crate::baseline::BaselinePolicy;
@@ -8,24 +8,25 @@
 use routing::{BackendId, Decision, Load, Outcome};
 use std::time::Duration;
 
-/// A connect that hangs is given up after this part of the latency target.
-const CONNECT_TIMEOUT_PART: f64 = 0.25;
-/// A client gives up a stream without an event for so long, in ms.
+/// The connect time-out, as a share of the latency target.
+const CONNECT_TIMEOUT_SHARE: f64 = 0.25;
+/// The time after the arrival of an attempt at its engine after which the client gives up, in ms.
 const SILENCE_TIMEOUT_MS: f64 = 4800.0;
-/// A backend that was silent for so long when its client gave up is held to be broken, in ms.
+/// If a backend was silent for longer than this when its client gave up, the attempt counts as broken, in ms.
 const BROKEN_SILENCE_MS: f64 = 2000.0;
-/// What a running request counts for the omniscient policy, beside tokens that are to be read.
+/// The weight of a running request for the omniscient policy, in prompt tokens to be prefilled.
 const RUNNING_TOKENS: u64 = 100;
-/// The most attempts of a node at a request, and the most of them that reach a backend.
+/// The maximum number of attempts of a node for a request.
 const MAX_ATTEMPTS: usize = 4;
+/// The maximum number of those attempts that reach a backend.
 const MAX_REACHED: u32 = 2;
-/// The retry-after time once a node has made these attempts.
+/// The retry-after time when a node has made all its attempts.
 const EXHAUSTED_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// How often a client sends a request at most.
+/// The maximum number of times that a client sends a request.
 const MAX_SENDS: u32 = 2;
 
 impl Simulation<'_> {
-    /// A client sends a request for the first time.
+    /// Sends a request for the first time.
     pub fn send_first(&mut self, request: usize) {
         let node = self.requests[request].node;
         let class = &self.site.classes[self.requests[request].class];
@@ -38,21 +39,21 @@
         self.send(request, node);
     }
 
-    /// A client sends a rejected request again.
+    /// Sends a rejected request again, unless it has ended.
     pub fn retry(&mut self, request: usize, node: usize) {
         if !self.states[request].is_done {
             self.send(request, node);
         }
     }
 
-    /// The deadline of a request has come.
+    /// Handles the deadline of a request.
     pub fn deadline_reached(&mut self, request: usize) {
         if !self.states[request].is_done {
             self.give_up(request);
         }
     }
 
-    /// A timer for silence has run out.
+    /// Handles a silence time-out. Time-outs of older timers are ignored.
     pub fn silence_timed_out(&mut self, request: usize, timer: u64) {
         let state = &self.states[request];
         if !state.is_done && state.silence_timer == timer {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The size of a request beside the mean of its class: by its prompt.
+    /// The size of a request by its prompt, relative to the mean of its class.
     fn size(&self, request: usize) -> f64 {
         let class = &self.site.classes[self.requests[request].class];
         if class.is_plain() {
@@ -81,7 +82,7 @@
         self.start_attempt(request);
     }
 
-    /// A node selects a backend for a request.
+    /// Selects a backend for a request and starts an attempt there, or rejects the request.
     fn start_attempt(&mut self, request: usize) {
         let (now, kind) = (self.now(), self.service_kind(request));
         let mut shape = self.requests[request].shape.clone();
@@ -124,7 +125,7 @@
         match self.engines[engine].health {
             EngineHealth::Unresponsive => {
                 let class = &self.site.classes[self.requests[request].class];
-                let timeout_ms = CONNECT_TIMEOUT_PART * class.latency_target_ms;
+                let timeout_ms = CONNECT_TIMEOUT_SHARE * class.latency_target_ms;
                 self.schedule(timeout_ms, Event::ConnectFailure { request });
             }
             EngineHealth::Refusing | EngineHealth::Gone => {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The engine that would have read the prompt first.
+    /// The engine that would complete the prefill of the prompt first.
     fn earliest_engine(&self, request: usize) -> usize {
         let prompt = &self.requests[request].prompt;
         let urgency = self.states[request].urgency;
@@ -160,7 +161,7 @@
         }
     }
 
-    /// A node has rejected a request; its client retries once if there is time.
+    /// Handles the rejection of a request by its node. The client retries once if there is time.
     fn rejected(&mut self, request: usize, retry_after: Duration) {
         let class = &self.site.classes[self.requests[request].class];
         let remaining_ms = self.requests[request].at_ms + class.deadline_ms - self.now_ms;
@@ -194,12 +195,13 @@
         self.nodes[node].selector(kind).attempt_ended(now, attempt, outcome, load);
     }
 
-    /// An attempt has not connected.
+    /// Handles a failure to connect.
     pub fn connect_failed(&mut self, request: usize) {
         self.attempt_failed(request, Outcome::NotConnected, None);
     }
 
-    /// An attempt has ended without success. The node makes another one if the request was not executed.
+    /// Handles the end of an attempt without success. The node starts another attempt if the request was not
+    /// executed.
     pub fn attempt_failed(&mut self, request: usize, outcome: Outcome, load: Option<Load>) {
         if self.states[request].is_done {
             return;
@@ -214,7 +216,7 @@
         }
     }
 
-    /// A request is served.
+    /// Handles the complete response to a request.
     pub fn complete(&mut self, request: usize, load: Option<Load>) {
         self.count_success(request);
         self.notify_attempt_end(request, Outcome::Served, load);
@@ -244,7 +246,7 @@
         statistics.earned_value += value * size;
     }
 
-    /// An event of a stream has left its engine.
+    /// Handles an event of a stream that its engine has sent.
     pub fn event_sent(&mut self, request: usize, last: bool, load: Load) {
         if self.states[request].is_done {
             return;
@@ -267,7 +269,8 @@
         }
     }
 
-    /// Starts the timer after which the client gives up unless the request has ended or reached another backend.
+    /// Starts the timer after which the client gives up, unless the request has ended or has reached another
+    /// backend.
     pub fn start_silence_timer(&mut self, request: usize) {
         self.states[request].silence_timer += 1;
         let timer = self.states[request].silence_timer;
--- a/crates/engine-simulation/src/simulation/events.rs
+++ b/crates/engine-simulation/src/simulation/events.rs
@@ -1,4 +1,4 @@
-//! The loop over the events of a simulation.
+//! The event loop of a simulation.
 
 use super::state::Simulation;
 use crate::event_queue::{Event, FaultPhase};
@@ -7,10 +7,10 @@
 use crate::statistics::Statistics;
 use std::time::Duration;
 
-/// The time between two polls for due load reports at a node, in ms.
+/// The interval at which a node requests load reports that are due, in ms.
 const REPORT_POLL_MS: f64 = 250.0;
 
-/// Simulates a site with one policy at every node, until all requests have ended.
+/// Simulates a site with the same policy at all nodes, until all requests have ended.
 pub fn run(site: &Site, policy: SelectionPolicy, seed: u64) -> Statistics {
     let mut simulation = Simulation::new(site, policy, seed);
     simulation.start();
@@ -22,7 +22,7 @@
 }
 
 impl Simulation<'_> {
-    /// Tells the nodes of all backends, and schedules all that does not depend on what happens.
+    /// Sends the lists of backends to the nodes, and schedules the arrivals, faults and first polls.
     fn start(&mut self) {
         for _ in 0..self.site.engines {
             let engine = self.add_engine();
--- a/crates/engine-simulation/src/simulation/faults.rs
+++ b/crates/engine-simulation/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of engines, and the lists of engines that follow them.
+//! Faults of engines, and the list updates that follow them.
 
 use super::state::{EngineHealth, Simulation};
 use crate::engine::Engine;
@@ -6,15 +6,15 @@
 use crate::fault::{CrashMode, Fault, ScheduledFault};
 use routing::Outcome;
 
-/// The nodes receive a list so long after it has changed, in ms.
+/// The delay from a change of the list until the nodes receive it, in ms.
 const LIST_DELAY_MS: f64 = 800.0;
-/// A crashed engine stays on the list for so long, in ms.
+/// How long a crashed engine stays on the nodes' lists, in ms.
 const CRASH_DETECTION_MS: f64 = 3000.0;
-/// The shortest time between two replacements of a release, in ms.
+/// The minimum interval of the replacements of a release, in ms.
 const MIN_RELEASE_INTERVAL_MS: f64 = 300.0;
 
 impl Simulation<'_> {
-    /// Starts a fault. Bursts and hot keys are part of the requests, and need nothing here.
+    /// Starts a fault. Bursts and hot keys have no effect here: the requests are drawn with them.
     pub fn start_fault(&mut self, index: usize) {
         let ScheduledFault { duration_s, fault, .. } = self.site.faults[index];
         let up = self.listed_engines_up();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Ends a fault. The other faults end by themselves.
+    /// Ends a fault. Only slow engines need this: other faults end by scheduled events or with the requests.
     pub fn end_fault(&mut self, index: usize) {
         if let Fault::Slow { .. } = self.site.faults[index].fault {
             for engine in &self.slowed[index] {
@@ -53,7 +53,7 @@
         self.listed.iter().copied().filter(is_up).collect()
     }
 
-    /// How many engines a fault affects.
+    /// The number of engines that a fault affects, at least 1.
     fn affected_count(&self, share: f64, up: usize) -> usize {
         ((share * self.site.engines as f64).round() as usize).clamp(1, up)
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// A new engine takes the place of one that shuts down or has crashed. The old one completes its requests.
+    /// Replaces an engine by a new one on the list. An engine that has not crashed completes its requests.
     pub fn replace_engine(&mut self, old: usize) {
         if self.engines[old].health != EngineHealth::Up {
             self.engines[old].health = EngineHealth::Gone;
--- a/crates/engine-simulation/src/simulation/load_reports.rs
+++ b/crates/engine-simulation/src/simulation/load_reports.rs
@@ -1,15 +1,15 @@
-//! The load reports that nodes request of engines.
+//! The load reports that nodes request from engines.
 
 use super::state::{EngineHealth, HOP_MS, Simulation};
 use crate::event_queue::Event;
 use routing::{BackendId, LoadReport};
 use std::time::Duration;
 
-/// A report has the load of so long before it was requested, in ms.
+/// The age of the load in a report at the time of the request, in ms.
 const REPORT_AGE_MS: f64 = 200.0;
 
 impl Simulation<'_> {
-    /// A node requests the reports that its selector wants now.
+    /// Requests the load reports that are due at a node's selector.
     pub fn request_due_reports(&mut self, node: usize) {
         let now = self.now();
         for id in self.nodes[node].engines.due_load_reports(now) {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// A report reaches its node, or its absence does.
+    /// Delivers a load report to its node, or the information that the engine has not replied.
     pub fn report_arrived(&mut self, node: usize, id: &BackendId, engine: usize, requested_at_ms: f64) {
         let now = self.now();
         let instance = &self.engines[engine];
--- a/crates/engine-simulation/src/simulation/mod.rs
+++ b/crates/engine-simulation/src/simulation/mod.rs
@@ -1,11 +1,11 @@
-//! A simulation: clients, nodes, backends and faults in virtual time.
+//! A simulation of clients, nodes, backends and faults in virtual time.
 //!
-//! - [`state`]: all that a simulation holds, and its clock.
-//! - [`clients`]: requests and their attempts, and what clients receive.
+//! - [`state`]: the state of a simulation and its clock.
+//! - [`clients`]: requests, their attempts, and what clients receive.
 //! - [`backends`]: engines and plain backends.
-//! - [`faults`]: faults, and the lists of engines that follow them.
-//! - [`load_reports`]: the reports that nodes request of engines.
-//! - [`events`]: the loop over events.
+//! - [`faults`]: faults, and the list updates that follow them.
+//! - [`load_reports`]: the load reports that nodes request from engines.
+//! - [`events`]: the event loop.
 
 mod backends;
 mod clients;
--- a/crates/engine-simulation/src/simulation/state.rs
+++ b/crates/engine-simulation/src/simulation/state.rs
@@ -1,4 +1,4 @@
-//! The state of a simulation: its requests, nodes and backends, and the clock.
+//! The state of a simulation: requests, nodes, backends, and the clock.
 
 use crate::engine::{Engine, EngineOutput};
 use crate::event_queue::{Event, EventQueue};
@@ -14,10 +14,10 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The time of one way between machines, and between clients and nodes, in ms.
+/// The one-way latency between machines, and between clients and nodes, in ms.
 pub const HOP_MS: f64 = 1.0;
 
-/// Which backends serve a request.
+/// The kind of backends that serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceKind {
     /// Engines.
@@ -26,7 +26,7 @@
     Plain,
 }
 
-/// A node, with a selector for each kind of backends.
+/// A node with a selector for each kind of backends.
 pub struct Node {
     /// Selects engines.
     pub engines: Selector,
@@ -44,16 +44,16 @@
     }
 }
 
-/// Whether an engine's machine serves.
+/// The health of an engine's machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineHealth {
-    /// It serves.
+    /// It serves requests.
     Up,
     /// It refuses connections.
     Refusing,
     /// It does not reply, so that connects time out.
     Unresponsive,
-    /// It has been replaced.
+    /// It has crashed and been replaced.
     Gone,
 }
 
@@ -68,72 +68,72 @@
 
 /// An engine on its machine.
 pub struct EngineInstance {
-    /// The id under which it is listed.
+    /// The listed id.
     pub id: BackendId,
-    /// The engine.
+    /// The model of the engine.
     pub engine: Engine,
-    /// Whether the machine serves.
+    /// The health of the machine.
     pub health: EngineHealth,
-    /// Counts the crashes, so that the end of a step before one is ignored.
+    /// The number of crashes. The end of a step of an earlier incarnation is ignored.
     pub incarnation: u64,
     /// Whether a step is in progress.
     pub is_stepping: bool,
-    /// What the step in progress will have done by its end.
+    /// The results of the step in progress.
     pub outputs: Vec<EngineOutput>,
-    /// The load at the last steps, oldest first.
+    /// The load at the end of the last steps, oldest first.
     pub samples: VecDeque<LoadSample>,
-    /// The time of a step, as a multiple of the usual one.
+    /// The time of a step as a multiple of the normal time.
     pub slowdown: f64,
 }
 
-/// What is known of a request while it is served.
+/// The state of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestState {
-    /// The node that it was sent to last.
+    /// The node to which it was sent last.
     pub node: usize,
-    /// The backends that the node has tried.
+    /// The backends that the node has tried since the client sent it last.
     pub tried: Vec<BackendId>,
-    /// The attempts that have reached a backend, since the client sent it last.
+    /// The number of attempts that have reached a backend since the client sent it last.
     pub reached: u32,
     /// The attempt in flight, as the node's selector knows it.
     pub attempt: Option<AttemptId>,
-    /// The index of the engine or the plain backend of the attempt.
+    /// The index of the engine or plain backend of the last attempt.
     pub backend: usize,
-    /// The urgency that the selector has given to it.
+    /// The urgency that the selector has assigned.
     pub urgency: u8,
     /// How often the client has sent it.
     pub sends: u32,
     /// When the client sent it last, in ms.
     pub sent_at_ms: f64,
-    /// Whether it was rejected early enough for a retry to be worth more.
+    /// Whether it was rejected early enough that a retry in time earns more than the late value.
     pub rejected_early: bool,
     /// When its first event left the engine, in ms.
     pub first_event_ms: Option<f64>,
-    /// When something came of the backend last, in ms.
+    /// When it reached its engine or the engine last sent an event, in ms.
     pub last_progress_ms: f64,
-    /// Whether a gap between events was too long.
+    /// Whether a gap between two events was too long.
     pub has_stalled: bool,
-    /// Counts the timers for silence, so that older ones are ignored.
+    /// The number of silence timers started. Older timers are ignored.
     pub silence_timer: u64,
-    /// Whether it has ended for its client.
+    /// Whether it has ended for its client: served, failed or finally rejected.
     pub is_done: bool,
 }
 
-/// All that a simulation holds. The methods of its events are in the modules beside this one.
+/// The state of a simulation. The sibling modules handle its events.
 pub struct Simulation<'a> {
     /// The deployment.
     pub site: &'a Site,
     /// The policy of all nodes.
     pub policy: SelectionPolicy,
-    /// The requests, in the order of time.
+    /// The requests, sorted by time.
     pub requests: Vec<ClientRequest>,
-    /// Whether a request is among the tenth with the largest prompts of its class.
+    /// Whether each request is among the tenth of its class with the largest prompts.
     pub is_large: Vec<bool>,
     /// The state of each request.
     pub states: Vec<RequestState>,
-    /// All engines, also those that have been replaced.
+    /// All engines, including those that have been replaced.
     pub engines: Vec<EngineInstance>,
-    /// The engines on the platform's list.
+    /// The indices of the engines on the platform's list.
     pub listed: Vec<usize>,
     /// The plain backends.
     pub plain: Vec<PlainBackend>,
@@ -143,18 +143,18 @@
     pub queue: EventQueue,
     /// The virtual time, in ms since the start.
     pub now_ms: f64,
-    /// When each shared block was read last, in ms, by its key.
+    /// The time at which each shared block was last used by an admitted request, in ms, by key.
     pub last_read_ms: FxHashMap<u64, f64>,
-    /// The engines that each fault has made slower.
+    /// The indices of the engines that each fault has slowed down.
     pub slowed: Vec<Vec<usize>>,
-    /// What clients have received.
+    /// The results so far.
     pub statistics: Statistics,
-    /// For what clients and the platform draw.
+    /// The source of random draws of clients and the platform.
     pub random: Pcg64Mcg,
 }
 
 impl<'a> Simulation<'a> {
-    /// A simulation at its start, without engines and events.
+    /// A simulation at its start, without engines or events.
     pub fn new(site: &'a Site, policy: SelectionPolicy, seed: u64) -> Self {
         let requests = draw_requests(site, seed);
         let settings = EngineSettings {
@@ -201,14 +201,14 @@
         Duration::from_secs_f64(self.now_ms / 1e3)
     }
 
-    /// Which backends serve a request.
+    /// The kind of backends that serve a request.
     pub fn service_kind(&self, request: usize) -> ServiceKind {
         let class = &self.site.classes[self.requests[request].class];
         if class.is_plain() { ServiceKind::Plain } else { ServiceKind::Engine }
     }
 }
 
-/// Whether each request is among the tenth with the largest prompts of its class.
+/// Whether each request is among the tenth of its class with the largest prompts.
 fn largest_tenth(requests: &[ClientRequest], classes: usize) -> Vec<bool> {
     let tokens = |request: &ClientRequest| request.shape.prompt_tokens;
     let threshold = |class| {
--- a/crates/engine-simulation/src/site.rs
+++ b/crates/engine-simulation/src/site.rs
@@ -1,55 +1,55 @@
-//! A deployment: its engines, plain backends, nodes, requests and scheduled faults.
+//! The input of a simulation: engines, plain backends, nodes, classes of requests and scheduled faults.
 
 use crate::engine::EngineSpec;
 use crate::fault::ScheduledFault;
 
-/// The blocks that prompts of a class share at one position.
+/// The blocks at one position that prompts of a class share.
 #[derive(Clone, Copy, Debug)]
 pub struct SharedBlocks {
-    /// The mean of their tokens.
+    /// The mean number of tokens of a block.
     pub mean_tokens: f64,
-    /// The standard deviation of the logarithm of their tokens.
+    /// The standard deviation of the logarithm of the number of tokens.
     pub log_spread: f64,
     /// The number of different blocks.
     pub count: u64,
-    /// The exponent of their popularity: the n-th block is drawn with a weight of n to the power of minus this.
+    /// The Zipf exponent of their popularity: the n-th block has a weight of n to the power of minus this.
     pub zipf_exponent: f64,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Its name.
+    /// The name in reports.
     pub name: &'static str,
-    /// Requests a second over all nodes.
+    /// The normal rate of requests per second over all nodes.
     pub rate_per_s: f64,
     /// The shared blocks of a prompt, by position.
     pub shared_blocks: Vec<SharedBlocks>,
-    /// The mean of the tokens of the last block, which is a request's own.
+    /// The mean number of tokens of the last block, which each request has for itself.
     pub mean_own_tokens: f64,
-    /// The standard deviation of the logarithm of these.
+    /// The standard deviation of the logarithm of the number of its tokens.
     pub own_log_spread: f64,
-    /// The most of these.
+    /// The maximum number of its tokens.
     pub max_own_tokens: f64,
-    /// The mean of the events of a response; 0 for plain calls.
+    /// The mean number of events of a response; 0 for plain calls.
     pub mean_events: f64,
-    /// The standard deviation of the logarithm of these.
+    /// The standard deviation of the logarithm of the number of events.
     pub events_log_spread: f64,
     /// The mean time that a plain call takes at a backend, in ms.
     pub mean_work_ms: f64,
     /// The latency target of the first event, in ms.
     pub latency_target_ms: f64,
-    /// The longest gap between two events that is in time, in ms.
+    /// The longest gap between two events with which a response is in time, in ms.
     pub max_gap_ms: f64,
-    /// How long the client waits for the end, in ms.
+    /// The time that a client waits for the complete response, in ms.
     pub deadline_ms: f64,
     /// The value of a request of mean size that is served in time.
     pub value: f64,
-    /// The value of one that is served late.
+    /// The value of a request of mean size that is served late.
     pub late_value: f64,
-    /// 0 is served first.
+    /// The priority; 0 is served first.
     pub priority: u8,
-    /// The share of requests with the whole prompt of another one shortly before, from 0 to 1.
+    /// The share of requests, 0 to 1, that repeat the complete prompt of a recent request.
     pub repeated_share: f64,
 }
 
@@ -60,42 +60,42 @@
     }
 }
 
-/// The backends for plain calls.
+/// The number and the capacity of the backends for plain calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlainBackends {
-    /// How many there are.
+    /// The number of backends.
     pub count: usize,
-    /// Calls that run at once at each.
+    /// The maximum number of running calls at each.
     pub slots: usize,
-    /// The most calls that wait at each.
+    /// The maximum number of queued calls at each.
     pub max_queued: usize,
 }
 
-/// A deployment.
+/// A deployment with its workload.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Its name.
+    /// The name in reports.
     pub name: String,
     /// The number of engines.
     pub engines: usize,
-    /// What each engine can do.
+    /// The speed and the capacity of each engine.
     pub engine: EngineSpec,
     /// The backends for plain calls.
     pub plain: PlainBackends,
-    /// The share of all requests that each node receives from clients, from 0 to 1.
+    /// The share of all requests, 0 to 1, that each node receives from clients.
     pub node_shares: Vec<f64>,
     /// The classes of requests.
     pub classes: Vec<RequestClass>,
-    /// How long clients send, in seconds.
+    /// How long clients send new requests, in seconds.
     pub length_s: f64,
-    /// The faults.
+    /// The scheduled faults.
     pub faults: Vec<ScheduledFault>,
-    /// A shared block that is read again counts as reread within so many seconds after it was read.
+    /// A shared block counts as reread if it is prefilled again within this time, in seconds.
     pub reread_window_s: f64,
 }
 
 impl Site {
-    /// A site of medium size. A load of 1 is its usual one.
+    /// A site of medium size. `load` is a multiple of its normal load.
     pub fn reference(load: f64) -> Site {
         Site {
             name: "usual".into(),
--- a/crates/engine-simulation/src/statistics.rs
+++ b/crates/engine-simulation/src/statistics.rs
@@ -1,25 +1,25 @@
-//! What clients received in a simulation, and what it cost.
+//! The results of a simulation: what clients received, and at what cost.
 
-/// What the requests of one class received. The value of a request is that of its class times its size.
+/// The results of a class of requests. The value of a request is that of its class times its relative size.
 #[derive(Clone, Debug, Default)]
 pub struct ClassStatistics {
-    /// All requests.
+    /// The number of requests, without client retries.
     pub requests: u32,
-    /// Those served within the latency target, without a long gap.
+    /// Served requests within the latency target and without too long a gap.
     pub in_time: u32,
-    /// Those whose first event came after the latency target.
+    /// Served requests whose first event came after the latency target.
     pub late: u32,
-    /// Those with too long a gap between two events.
+    /// Served requests with too long a gap between two events.
     pub stalled: u32,
-    /// Those that were rejected, and not retried any more.
+    /// Requests that were rejected and not retried any more.
     pub rejected: u32,
-    /// Those that failed in another way.
+    /// Requests that failed in another way.
     pub failed: u32,
-    /// The value of all requests, had they been served in time.
+    /// The total value of all requests if they had been served in time.
     pub offered_value: f64,
-    /// The value of what was served.
+    /// The total value of the served requests.
     pub earned_value: f64,
-    /// The requests among the tenth with the largest prompts.
+    /// Requests among the tenth with the largest prompts.
     pub largest: u32,
     /// Those of them that were served.
     pub largest_served: u32,
@@ -37,22 +37,24 @@
     }
 }
 
-/// What all requests received.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Statistics {
-    /// By class, in the order of the site.
+    /// The results by class, in the order of the site.
     pub classes: Vec<ClassStatistics>,
-    /// Tokens of shared blocks in the prompts of admitted requests.
+    /// The number of tokens of shared blocks in the prompts of admitted requests.
     pub shared_tokens: f64,
-    /// Those of them that were read though a backend had read them shortly before.
+    /// The number of those tokens that were prefilled although a backend had prefilled the block within the
+    /// reread window.
     pub reread_tokens: f64,
-    /// All prompt tokens that were read.
+    /// The number of all prefilled prompt tokens.
     pub prefilled_tokens: f64,
-    /// Load reports that nodes requested.
+    /// The number of load reports that nodes requested.
     pub load_reports: u32,
-    /// Rejections by nodes.
+    /// The number of rejections by nodes.
     pub rejections: u32,
-    /// Rejections while less than half of the slots were taken and nothing waited at any engine.
+    /// The number of rejections while less than half of all slots were taken and no engine had waiting
+    /// requests.
     pub needless_rejections: u32,
 }
 
--- a/crates/engine-simulation/tests/engine.rs
+++ b/crates/engine-simulation/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The model of a backend: what it caches, who is served first, what is evicted.
+//! Tests of the backend models: caching, order by urgency, queues, memory.
 
 use engine_simulation::{
     Engine, EngineOutput, Job, PlainAdmission, PlainBackend, PrefixBlock, PrefixCache, Site,
@@ -13,8 +13,8 @@
     Job { id, urgency, prompt: prompt(blocks), events: 2 }
 }
 
-/// Runs until nothing is left; returns the time and what came of it.
-fn drain(engine: &mut Engine) -> (f64, Vec<EngineOutput>) {
+/// Runs an engine until it is idle. Returns the total time in ms and all outputs.
+fn run_until_idle(engine: &mut Engine) -> (f64, Vec<EngineOutput>) {
     let (mut out, mut time) = (Vec::new(), 0.0);
     while !engine.is_idle() {
         time += engine.step(&mut out);
@@ -23,25 +23,25 @@
 }
 
 #[test]
-fn a_cached_prefix_is_not_read_again() {
+fn a_cached_prefix_is_not_prefilled_again() {
     let mut engine = Engine::new(Site::reference(1.0).engine);
     assert!(engine.offer(job(1, 5, &[(1, 2520), (2, 3780), (3, 2890)])));
-    let (first, _) = drain(&mut engine);
+    let (first, _) = run_until_idle(&mut engine);
     assert!(engine.offer(job(2, 5, &[(1, 2520), (2, 3780), (4, 2890)])));
-    let (second, out) = drain(&mut engine);
-    let read: u64 =
+    let (second, out) = run_until_idle(&mut engine);
+    let prefilled: u64 =
         out.iter().map(|o| if let EngineOutput::Prefilled { tokens, .. } = o { *tokens } else { 0 }).sum();
-    assert_eq!(read, 2890);
+    assert_eq!(prefilled, 2890);
     assert!(first - second > 100.0, "{first} and {second} ms");
 }
 
 #[test]
-fn the_more_urgent_are_read_first() {
+fn more_urgent_requests_are_prefilled_first() {
     let mut engine = Engine::new(Site::reference(1.0).engine);
     for (id, urgency) in [(1, 5), (2, 3), (3, 9)] {
         engine.offer(job(id, urgency, &[(id, 6000)]));
     }
-    let (_, out) = drain(&mut engine);
+    let (_, out) = run_until_idle(&mut engine);
     let firsts: Vec<u64> = out
         .iter()
         .filter_map(|o| if let EngineOutput::Event { id, first: true, .. } = o { Some(*id) } else { None })
@@ -59,7 +59,7 @@
 }
 
 quickcheck! {
-    fn memory_in_use_is_what_the_pinned_prompts_hold(prompts: Vec<Vec<u8>>, steps: Vec<bool>) -> bool {
+    fn used_memory_equals_the_distinct_blocks_of_pinned_prompts(prompts: Vec<Vec<u8>>, steps: Vec<bool>) -> bool {
         let mut cache = PrefixCache::new(200);
         let mut pinned: Vec<Vec<PrefixBlock>> = Vec::new();
         let mut prompts = prompts.into_iter();
@@ -88,16 +88,16 @@
         true
     }
 
-    fn every_job_ends_with_all_its_events(sizes: Vec<u16>) -> bool {
+    fn each_accepted_job_sends_all_its_events(sizes: Vec<u16>) -> bool {
         let mut spec = Site::reference(1.0).engine;
         spec.kv_capacity_tokens = 30_000;
         let mut engine = Engine::new(spec);
-        let mut owed = 0;
-        for (at, size) in sizes.iter().enumerate() {
-            let id = at as u64;
-            owed += usize::from(engine.offer(job(id, (size % 10) as u8, &[(id, 1 + u64::from(size % 9000))]))) * 2;
+        let mut expected = 0;
+        for (index, size) in sizes.iter().enumerate() {
+            let id = index as u64;
+            expected += usize::from(engine.offer(job(id, (size % 10) as u8, &[(id, 1 + u64::from(size % 9000))]))) * 2;
         }
-        let (_, out) = drain(&mut engine);
-        out.iter().filter(|o| matches!(o, EngineOutput::Event { .. })).count() == owed
+        let (_, out) = run_until_idle(&mut engine);
+        out.iter().filter(|o| matches!(o, EngineOutput::Event { .. })).count() == expected
     }
 }
--- a/crates/engine-simulation/tests/golden.rs
+++ b/crates/engine-simulation/tests/golden.rs
@@ -1,11 +1,11 @@
-//! Small simulations of backends that serve a language model from fixed seeds, with every figure to twelve digits, held against
-//! golden files: what a seed draws, what an engine does step by step, the statistics of each policy and each fault. A rename
-//! that changes the order of draws or of events is seen here. `GOLDEN=write cargo test -p engine-simulation --test golden` writes the
-//! files below `tests/golden` anew.
+//! Golden tests of small simulations with fixed seeds, whose results are written with twelve digits: the
+//! draws of a seed, the steps of an engine, and the statistics of each policy and each fault. They detect
+//! changes of the order of draws or of events. `GOLDEN=write cargo test -p engine-simulation --test golden`
+//! rewrites the files in `tests/golden`.
 //!
-//! Figures are written in fixed words: a rename of a type or field changes this file and no golden one. Only the names of drawn
-//! sites hold what the package itself writes. The last digits of figures differ with the packages that are built together, as
-//! `golden_files::to_twelve_digits` says.
+//! Results are written with fixed names, so that renaming a type or field does not change golden files. Only
+//! the names of random sites are those of the package. Further digits depend on the packages that are built
+//! together: see `golden_files::to_twelve_digits`.
 
 use engine_simulation::{
     BaselinePolicy, ClassStatistics, ClientRequest, CrashMode, Engine, EngineLoad, EngineOutput, EngineSpec,
@@ -16,7 +16,7 @@
 use rand_pcg::Pcg64Mcg;
 use routing::{PromptBlock, RequestShape, RoutingPolicy};
 
-fn fault_words(fault: &Fault) -> String {
+fn fault_text(fault: &Fault) -> String {
     match fault {
         Fault::Burst { class, factor } => format!("burst of {class} by {factor:?}"),
         Fault::HotKey { class, share } => format!("hot key of {class} with {share:?}"),
@@ -28,7 +28,7 @@
     }
 }
 
-fn class_words(class: &RequestClass) -> String {
+fn class_text(class: &RequestClass) -> String {
     let RequestClass {
         name,
         rate_per_s,
@@ -60,7 +60,7 @@
     text
 }
 
-fn site_words(site: &Site) -> String {
+fn site_text(site: &Site) -> String {
     let Site { name, engines, engine, plain, node_shares, classes, length_s, faults, reread_window_s } = site;
     let EngineSpec {
         slots,
@@ -82,14 +82,14 @@
     text += &format!("{step_ms_per_k_context:?} {prefill_tokens_per_ms:?} {attention_ms_per_m_pairs:?} ");
     text += &format!("{first_token_ms:?} {prefill_chunk_tokens} {tokens_per_event}\n");
     text += &format!("nodes {node_shares:?}\n");
-    classes.iter().for_each(|class| text += &class_words(class));
+    classes.iter().for_each(|class| text += &class_text(class));
     for ScheduledFault { start_s, duration_s, fault } in faults {
-        text += &format!("trouble at {start_s:?} for {duration_s:?}: {}\n", fault_words(fault));
+        text += &format!("trouble at {start_s:?} for {duration_s:?}: {}\n", fault_text(fault));
     }
     text
 }
 
-fn statistics_words(statistics: &Statistics) -> String {
+fn statistics_text(statistics: &Statistics) -> String {
     let Statistics {
         classes,
         shared_tokens,
@@ -144,8 +144,8 @@
 }
 
 #[test]
-fn simulations_of_each_policy_have_their_recorded_statistics() {
-    let mut text = site_words(&small_site(1.1, None));
+fn statistics_of_each_policy_match_the_golden_file() {
+    let mut text = site_text(&small_site(1.1, None));
     for (name, policy) in [
         ("random", SelectionPolicy::Baseline(BaselinePolicy::Random)),
         ("least sent", SelectionPolicy::Baseline(BaselinePolicy::LeastOutstanding)),
@@ -154,13 +154,13 @@
         ("all known", SelectionPolicy::Baseline(BaselinePolicy::Omniscient)),
         ("routing", SelectionPolicy::Routing(RoutingPolicy::default())),
     ] {
-        text += &format!("{name}\n{}", statistics_words(&run(&small_site(1.1, None), policy, 5)));
+        text += &format!("{name}\n{}", statistics_text(&run(&small_site(1.1, None), policy, 5)));
     }
     golden_files::check("choices.txt", &golden_files::to_twelve_digits(&text));
 }
 
 #[test]
-fn simulations_of_each_fault_have_their_recorded_statistics() {
+fn statistics_of_each_fault_match_the_golden_file() {
     let mut text = String::new();
     for fault in [
         Fault::Burst { class: 1, factor: 1.5 },
@@ -172,24 +172,24 @@
     ] {
         let policy = SelectionPolicy::Routing(RoutingPolicy::default());
         let statistics = run(&small_site(1.0, Some(fault)), policy, 6);
-        text += &format!("{}\n{}", fault_words(&fault), statistics_words(&statistics));
+        text += &format!("{}\n{}", fault_text(&fault), statistics_text(&statistics));
     }
     golden_files::check("troubles.txt", &golden_files::to_twelve_digits(&text));
 }
 
 #[test]
-fn random_sites_are_drawn_as_recorded() {
+fn random_sites_match_the_golden_file() {
     let mut text = String::new();
     for seed in 0..6 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let faults = if seed % 2 == 1 { RandomFaults::Two } else { RandomFaults::None };
-        text += &site_words(&Site::random(&mut random, faults, 1.25));
+        text += &site_text(&Site::random(&mut random, faults, 1.25));
     }
     golden_files::check("sites.txt", &golden_files::to_twelve_digits(&text));
 }
 
 #[test]
-fn requests_are_drawn_as_recorded() {
+fn drawn_requests_match_the_golden_file() {
     let mut site = small_site(0.5, Some(Fault::HotKey { class: 1, share: 0.5 }));
     site.length_s = 1.0;
     site.faults[0].start_s = 0.25;
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn backends_do_step_by_step_what_is_recorded() {
+fn the_steps_of_backends_match_the_golden_file() {
     let spec = EngineSpec {
         slots: 3,
         max_queued: 4,
--- a/crates/engine-simulation/tests/simulations.rs
+++ b/crates/engine-simulation/tests/simulations.rs
@@ -1,4 +1,5 @@
-//! Whole simulations: what the selection of `routing` must do better than each of its halves, on any site.
+//! Simulations of sites: the selection by `routing` must be better than by load estimates or by affinity
+//! alone.
 
 use engine_simulation::{
     BaselinePolicy, CrashMode, Fault, RandomFaults, ScheduledFault, SelectionPolicy, Site, Statistics, run,
@@ -7,7 +8,9 @@
 use rand_pcg::Pcg64Mcg;
 use routing::RoutingPolicy;
 
-const ROUTING: fn() -> SelectionPolicy = || SelectionPolicy::Routing(RoutingPolicy::default());
+fn routing_policy() -> SelectionPolicy {
+    SelectionPolicy::Routing(RoutingPolicy::default())
+}
 
 fn site(load: f64, fault: Option<Fault>) -> Site {
     let mut site = Site::reference(load);
@@ -16,50 +19,54 @@
     site
 }
 
-fn mean(sites: &[Site], policy: SelectionPolicy, of: fn(&Statistics) -> f64) -> f64 {
-    let each = sites.iter().enumerate().map(|(turn, site)| of(&run(site, policy, 1 + turn as u64)));
+/// The mean of a figure over simulations of sites.
+fn mean(sites: &[Site], policy: SelectionPolicy, figure: fn(&Statistics) -> f64) -> f64 {
+    let each = sites.iter().enumerate().map(|(index, site)| figure(&run(site, policy, 1 + index as u64)));
     each.sum::<f64>() / sites.len() as f64
 }
 
 #[test]
-fn blocks_are_reread_far_less_than_by_estimates_alone_and_more_is_earned() {
+fn routing_rereads_fewer_blocks_and_earns_more_than_load_estimates_alone() {
     let sites = [site(1.1, None), site(1.0, Some(Fault::HotKey { class: 0, share: 0.3 }))];
-    let again = |policy| mean(&sites, policy, Statistics::reread_share);
+    let reread = |policy| mean(&sites, policy, Statistics::reread_share);
     let earned = |policy| mean(&sites, policy, Statistics::earned_share);
-    let (ours, theirs) = (again(ROUTING()), again(SelectionPolicy::Baseline(BaselinePolicy::JoinUpTo)));
+    let (ours, theirs) =
+        (reread(routing_policy()), reread(SelectionPolicy::Baseline(BaselinePolicy::JoinUpTo)));
     assert!(ours < theirs / 3.0, "{ours} and {theirs}");
-    let (ours, theirs) = (earned(ROUTING()), earned(SelectionPolicy::Baseline(BaselinePolicy::JoinUpTo)));
+    let (ours, theirs) =
+        (earned(routing_policy()), earned(SelectionPolicy::Baseline(BaselinePolicy::JoinUpTo)));
     assert!(ours > theirs, "{ours} and {theirs}");
 }
 
 #[test]
-fn more_is_earned_than_by_affinity_alone_where_a_key_is_hot_or_backends_are_slow() {
+fn routing_earns_more_than_affinity_alone_with_a_hot_key_or_slow_backends() {
     let hot = Fault::HotKey { class: 0, share: 0.3 };
     let slow = Fault::Slow { share: 0.17, factor: 3.0 };
     let sites = [site(1.2, Some(hot)), site(1.2, Some(slow)), site(1.3, None)];
     let earned = |policy| mean(&sites, policy, Statistics::earned_share);
-    let (ours, theirs) = (earned(ROUTING()), earned(SelectionPolicy::Baseline(BaselinePolicy::Affinity)));
+    let (ours, theirs) =
+        (earned(routing_policy()), earned(SelectionPolicy::Baseline(BaselinePolicy::Affinity)));
     assert!(ours > theirs, "{ours} and {theirs}");
 }
 
 #[test]
-fn a_crash_loses_little_beyond_what_ran_there_and_nothing_is_rejected_without_need() {
+fn a_crash_loses_little_more_than_its_running_requests_and_causes_no_needless_rejections() {
     for mode in [CrashMode::Refusing, CrashMode::Unresponsive] {
-        let statistics = run(&site(0.8, Some(Fault::Crash { share: 0.17, mode })), ROUTING(), 3);
+        let statistics = run(&site(0.8, Some(Fault::Crash { share: 0.17, mode })), routing_policy(), 3);
         assert!(statistics.earned_share() > 0.93, "{mode:?}: {}", statistics.earned_share());
         assert_eq!(statistics.needless_rejections, 0);
     }
 }
 
 #[test]
-fn random_sites_of_all_sizes_are_simulated_to_their_end_with_few_reports() {
+fn all_requests_of_random_sites_end_and_load_reports_are_few() {
     let seed = 11;
     println!("seed {seed}");
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     for _ in 0..3 {
         let mut site = Site::random(&mut random, RandomFaults::Two, 1.0);
         site.length_s = 8.0;
-        let statistics = run(&site, ROUTING(), seed);
+        let statistics = run(&site, routing_policy(), seed);
         let requests: u32 = statistics.classes.iter().map(|class| class.requests).sum();
         let ended: u32 = statistics
             .classes
@@ -67,7 +74,7 @@
             .map(|class| class.first_event_ms.len() as u32 + class.rejected + class.failed)
             .sum();
         assert_eq!(requests, ended, "{}", site.name);
-        let most = site.node_shares.len() as u32 * 9;
-        assert!(statistics.load_reports <= most, "{} reports", statistics.load_reports);
+        let max = site.node_shares.len() as u32 * 9;
+        assert!(statistics.load_reports <= max, "{} reports", statistics.load_reports);
     }
 }
