--- a/crates/fault-injection/examples/relay-cost.rs
+++ b/crates/fault-injection/examples/relay-cost.rs
@@ -1,4 +1,4 @@
-//! What a relay adds to an exchange, how much it carries, and how many connections it holds:
+//! Measures the latency that a relay adds to an exchange, its throughput, and how many connections it holds:
 //! `cargo run --release -p fault-injection --example relay-cost`.
 
 use fault_injection::relay::Relay;
@@ -11,7 +11,8 @@
 const BYTES: usize = 512 << 20;
 const CONNECTIONS: usize = 2000;
 
-async fn echo() -> std::io::Result<SocketAddr> {
+/// Starts a server that echoes all bytes.
+async fn start_echo_server() -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
@@ -26,53 +27,53 @@
     Ok(address)
 }
 
-/// The median and the 99th percentile of an exchange of 64 bytes.
-async fn exchanges(address: SocketAddr) -> std::io::Result<(Duration, Duration)> {
+/// The median and the 99th percentile of the latency of a 64-byte exchange.
+async fn exchange_latency(address: SocketAddr) -> std::io::Result<(Duration, Duration)> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let mut times = Vec::with_capacity(EXCHANGES);
-    let mut back = [0; 64];
+    let mut echoed = [0; 64];
     for _ in 0..EXCHANGES {
-        let begun = Instant::now();
+        let start = Instant::now();
         stream.write_all(&[7; 64]).await?;
-        stream.read_exact(&mut back).await?;
-        times.push(begun.elapsed());
+        stream.read_exact(&mut echoed).await?;
+        times.push(start.elapsed());
     }
     times.sort_unstable();
     Ok((times[EXCHANGES / 2], times[EXCHANGES * 99 / 100]))
 }
 
-/// MB/s there and back.
+/// The throughput of echoed bytes, in MB/s.
 async fn throughput(address: SocketAddr) -> std::io::Result<f64> {
     let stream = TcpStream::connect(address).await?;
     let (mut from, mut to) = stream.into_split();
-    let begun = Instant::now();
+    let start = Instant::now();
     let writing = tokio::spawn(async move {
-        let piece = vec![7; 256 << 10];
-        for _ in 0..BYTES / piece.len() {
-            to.write_all(&piece).await?;
+        let chunk = vec![7; 256 << 10];
+        for _ in 0..BYTES / chunk.len() {
+            to.write_all(&chunk).await?;
         }
         to.shutdown().await
     });
-    let (mut come, mut piece) = (0, vec![0; 256 << 10]);
+    let (mut received, mut buffer) = (0, vec![0; 256 << 10]);
     loop {
-        match from.read(&mut piece).await? {
+        match from.read(&mut buffer).await? {
             0 => break,
-            n => come += n,
+            n => received += n,
         }
     }
     writing.await??;
-    assert_eq!(come, BYTES);
-    Ok(come as f64 / 1e6 / begun.elapsed().as_secs_f64())
+    assert_eq!(received, BYTES);
+    Ok(received as f64 / 1e6 / start.elapsed().as_secs_f64())
 }
 
 fn main() -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     runtime.block_on(async {
-        let direct = echo().await?;
+        let direct = start_echo_server().await?;
         let relay = Relay::start(direct, || {}).await?;
         for (name, address) in [("direct", direct), ("through a relay", relay.address)] {
-            let (p50, p99) = exchanges(address).await?;
+            let (p50, p99) = exchange_latency(address).await?;
             let rate = throughput(address).await?;
             println!("{name}: p50 {p50:?}, p99 {p99:?}, {rate:.0} MB/s");
         }
@@ -85,7 +86,7 @@
         for stream in &mut open {
             stream.read_exact(&mut [0]).await?;
         }
-        println!("{} connections through one relay at once", open.len());
+        println!("{} concurrent connections through one relay", open.len());
         Ok(())
     })
 }
--- a/crates/fault-injection/src/bin/trial-standin.rs
+++ b/crates/fault-injection/src/bin/trial-standin.rs
@@ -1,5 +1,7 @@
-//! For the tests of this package: the supervisor as a program, and a stand-in node that breaks exactly one rule, as `CULPRIT`
-//! names it. It reads the platform's configuration, accepts requests and forwards them; it is no load balancer.
+//! A program for the tests of this package. With the argument `keep` it is the supervisor of a process;
+//! otherwise it is a minimal proxy node that violates exactly one rule, which the environment variable
+//! `CULPRIT` selects. The node reads the platform's configuration and forwards requests to the backends in
+//! turn, without balancing load.
 #![forbid(unsafe_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,18 +11,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// One request in so many is handled wrongly.
+/// One of this number of requests is handled wrongly.
 const FAULT_INTERVAL: u64 = 10;
-/// When a node that fails after a while begins to.
+/// How long after its start a node with [`Misbehaviour::FailAfterAWhile`] begins to fail requests.
 const FAILS_AFTER: Duration = Duration::from_secs(2);
-/// How long a node that does not respond keeps the connection.
+/// How long a node that does not respond keeps the connection open.
 const SILENCE: Duration = Duration::from_secs(5);
-/// How late a node that forwards late does so.
+/// The delay of a node that forwards late: longer than the clients wait.
 const LATENESS: Duration = Duration::from_millis(2500);
-/// Connections that a node opens at once for a request.
+/// The number of additional connections that a node with bursts opens for a request.
 const BURST: usize = 20;
 
-/// The rule that a node breaks; it breaks none for other words.
+/// How a node misbehaves.
 #[derive(Clone, Copy, PartialEq)]
 enum Misbehaviour {
     None,
@@ -30,25 +32,26 @@
     Silent,
     /// Closes without a response.
     CloseEarly,
-    /// Forwards after the client has left.
+    /// Forwards a request after its client has timed out.
     ForwardLate,
-    /// Forwards twice.
+    /// Forwards a request to two backends.
     ForwardTwice,
-    /// Rejects what it has forwarded.
+    /// Rejects a request that it has forwarded.
     RejectExecuted,
-    /// Opens many connections.
+    /// Opens many connections at once.
     ConnectionBurst,
-    /// Never closes a connection.
+    /// Opens connections that it never closes.
     LeakConnections,
-    /// Fails all requests after a while.
+    /// Fails all requests some time after its start.
     FailAfterAWhile,
     /// Sends bytes after a response.
     ExtraData,
 }
 
 impl Misbehaviour {
-    fn of(word: &str) -> Self {
-        match word {
+    /// The misbehaviour that a value of `CULPRIT` selects; none for unknown values.
+    fn from_name(name: &str) -> Self {
+        match name {
             "cold" => Misbehaviour::OverloadOne,
             "silent" => Misbehaviour::Silent,
             "lost" => Misbehaviour::CloseEarly,
@@ -69,7 +72,7 @@
     backends: Vec<SocketAddr>,
     requests: AtomicU64,
     started_at: Instant,
-    /// Connections that are never closed.
+    /// The connections that are never closed.
     leaked: Mutex<Vec<TcpStream>>,
 }
 
@@ -102,7 +105,7 @@
 }
 
 impl FaultyNode {
-    /// A connection to the backend of a request.
+    /// Connects to the backend that the number of a request selects.
     fn connect(&self, number: u64) -> Option<TcpStream> {
         let address = match self.misbehaviour {
             Misbehaviour::OverloadOne => self.backends[0],
@@ -113,14 +116,15 @@
         Some(stream)
     }
 
-    /// The response of a backend; `None` if it can't be reached.
+    /// Forwards a request and returns the response; `None` if the backend can't be reached or does not
+    /// respond.
     fn forward(&self, number: u64, request: &[u8]) -> Option<Message> {
         let mut stream = self.connect(number)?;
         stream.write_all(request).ok()?;
         read_message(&mut BufReader::new(stream))
     }
 
-    /// Serves one connection. `None` once it is over.
+    /// Serves the requests of one connection. Returns `None` when the connection ends.
     fn serve(&self, stream: TcpStream) -> Option<()> {
         stream.set_nodelay(true).ok()?;
         let mut client = BufReader::new(stream);
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Breaks the node's rule before a request is forwarded. `None` closes the connection.
+    /// Misbehaves before a request is forwarded. `None` closes the connection.
     fn misbehave(
         &self,
         client: &mut BufReader<TcpStream>,
@@ -192,7 +196,7 @@
     }
 }
 
-/// How far a request is after the node's misbehaviour.
+/// Whether the misbehaviour of the node has already responded to a request.
 #[derive(PartialEq)]
 enum Progress {
     NotForwarded,
@@ -202,17 +206,18 @@
 fn run_node() -> Result<(), Box<dyn std::error::Error>> {
     let text = std::fs::read_to_string(std::env::var("ROUTER_CONFIG")?)?;
     let config: serde_json::Value = serde_json::from_str(&text)?;
-    let listener = TcpListener::bind(config["listen"].as_str().ok_or("no listen")?)?;
-    let endpoints = config["known"]["instances"].as_array().ok_or("no list")?;
+    let listener = TcpListener::bind(config["listen"].as_str().ok_or("the configuration has no `listen`")?)?;
+    let endpoints =
+        config["known"]["instances"].as_array().ok_or("the configuration has no list of instances")?;
     let backends = endpoints.iter().filter_map(|entry| entry["hostPort"].as_str()?.parse().ok()).collect();
     let node = Arc::new(FaultyNode {
-        misbehaviour: Misbehaviour::of(&std::env::var("CULPRIT").unwrap_or_default()),
+        misbehaviour: Misbehaviour::from_name(&std::env::var("CULPRIT").unwrap_or_default()),
         backends,
         requests: AtomicU64::new(0),
         started_at: Instant::now(),
         leaked: Mutex::default(),
     });
-    eprintln!("{} listens on {}: a stand-in", config["name"], listener.local_addr()?);
+    eprintln!("{} listens on {}: a test node", config["name"], listener.local_addr()?);
     for stream in listener.incoming() {
         let (stream, node) = (stream?, node.clone());
         std::thread::spawn(move || node.serve(stream));
--- a/crates/fault-injection/src/checkers/attempts.rs
+++ b/crates/fault-injection/src/checkers/attempts.rs
@@ -1,4 +1,5 @@
-//! What a history says of each attempt of a request, and when nodes and links were faulty. All checkers share it.
+//! An index of a history that the checkers share: its attempts by id, and the time spans of downtimes and
+//! faults.
 
 use crate::history::{Entry, Event, History, Idempotency, ProcessEvent, ResponseKind};
 use std::collections::{BTreeMap, HashMap};
@@ -6,7 +7,7 @@
 /// The start of an attempt's execution at a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Execution {
-    /// When, µs.
+    /// When it started, µs.
     pub at_us: u64,
     /// The backend.
     pub backend: String,
@@ -19,23 +20,23 @@
 pub struct Attempt {
     /// Its id.
     pub id: String,
-    /// The request: the id of its first attempt.
+    /// The id of the request, which is that of its first attempt.
     pub request: String,
     /// The node that it was sent to.
     pub node: String,
-    /// How far its request may be repeated.
+    /// Whether its request may be executed more than once.
     pub idempotency: Idempotency,
     /// When it was sent, µs.
     pub sent_us: u64,
-    /// How long its client waits, µs.
+    /// How long its client waits for a response, µs.
     pub timeout_us: u64,
-    /// How it ended for its client, and when, µs.
+    /// When it ended for its client, µs, and how; `None` if the history does not have its end.
     pub end: Option<(u64, AttemptEnd)>,
-    /// The index of the entry that records bytes after its final response.
+    /// The index of the entry that records bytes after its final response, if any arrived.
     pub unexpected_data: Option<usize>,
-    /// Its executions.
+    /// Its executions at backends, by time.
     pub executions: Vec<Execution>,
-    /// The indexes of the entries that concern it.
+    /// The indexes of the entries that record its sending, executions and end, by time.
     pub entries: Vec<usize>,
 }
 
@@ -44,11 +45,11 @@
 pub enum AttemptEnd {
     /// With a response.
     Response(ResponseKind),
-    /// The client timed out.
+    /// The client timed out and closed the connection.
     TimedOut,
-    /// The connection ended.
+    /// The connection ended without a complete response.
     ConnectionLost,
-    /// There was no connection.
+    /// No connection could be opened.
     ConnectFailed,
 }
 
@@ -67,21 +68,22 @@
     }
 }
 
-/// All attempts of a history, and when nodes and links were faulty.
+/// All attempts of a history, and its downtimes and faults.
 #[derive(Clone, Debug, Default)]
 pub struct Attempts {
-    /// By id.
+    /// The attempts, by id.
     pub by_id: BTreeMap<String, Attempt>,
-    /// When a node did not run, or was starting or ending, by node.
+    /// The spans in which a node was paused, not running, starting or shutting down, by node.
     downtimes: HashMap<String, Vec<TimeSpan>>,
-    /// When a node was killed, µs, by node: what it had sent goes on without it.
+    /// When a node was killed, µs, by node. Bytes that it has written to its sockets before may still be
+    /// delivered.
     kills: HashMap<String, Vec<u64>>,
-    /// When faults lasted, by start.
+    /// The spans of faults, sorted by start.
     pub faults: Vec<TimeSpan>,
 }
 
 impl Attempts {
-    /// Reads a history.
+    /// Indexes a history.
     pub fn of(history: &History) -> Self {
         let mut reader = AttemptReader::default();
         for (index, entry) in history.entries.iter().enumerate() {
@@ -90,20 +92,21 @@
         reader.finish(history.entries.last().map_or(0, |entry| entry.at_us))
     }
 
-    /// Whether a node did not run, or was starting or ending, at any time of a span.
+    /// Whether a node was paused, not running, starting or shutting down at any time of a span.
     pub fn was_down(&self, node: &str, span: TimeSpan) -> bool {
         self.downtimes.get(node).into_iter().flatten().any(|downtime| downtime.overlaps(span))
     }
 
-    /// Whether a node could not prevent an execution of what it had sent before: it did not run at that moment, or was killed
-    /// meanwhile. What is in a socket goes on without its process.
-    pub fn was_out_of_reach(&self, attempt: &Attempt, executed_us: u64) -> bool {
+    /// Whether the node of an attempt could not cancel an execution at this time: the node was down then, or
+    /// was killed after it got the attempt. Bytes in the send buffer of a socket are delivered even if the
+    /// process is killed.
+    pub fn could_not_cancel(&self, attempt: &Attempt, executed_us: u64) -> bool {
         let kills = self.kills.get(&attempt.node).into_iter().flatten();
         self.was_down(&attempt.node, TimeSpan { from_us: executed_us, to_us: executed_us })
             || kills.into_iter().any(|at| (attempt.sent_us..=executed_us).contains(at))
     }
 
-    /// Whether there was any fault at any time of a span.
+    /// Whether any fault was active at any time of a span.
     pub fn was_faulty(&self, span: TimeSpan) -> bool {
         self.faults.iter().any(|fault| fault.overlaps(span))
     }
@@ -113,9 +116,9 @@
 #[derive(Default)]
 struct AttemptReader<'h> {
     attempts: Attempts,
-    /// Since when nodes have been down, µs.
+    /// The nodes that are down, with the start of the downtime, µs.
     down_since: HashMap<&'h str, u64>,
-    /// Since when faults have lasted, µs, by their indexes in the plan.
+    /// The start of each active fault, µs, by its index in the plan.
     fault_since: HashMap<usize, u64>,
 }
 
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Ends what lasts until the end of the history.
+    /// Ends the downtimes and faults that are still open at the end of the history.
     fn finish(mut self, end_us: u64) -> Attempts {
         let mut attempts = self.attempts;
         for (node, from_us) in self.down_since {
--- a/crates/fault-injection/src/checkers/cold_start.rs
+++ b/crates/fault-injection/src/checkers/cold_start.rs
@@ -1,10 +1,11 @@
-//! Rule 4: no backend that warms up is overloaded by all nodes together. The backend itself observes its crash.
+//! Rule 4: the nodes together do not overload a backend that warms up. The test backends record their own
+//! crashes.
 
 use super::attempts::Attempts;
 use super::violation::{Checker, Violation};
 use crate::history::{Event, History};
 
-/// No crash of a backend that warms up.
+/// Reports each crash of a backend that was overloaded while it warmed up.
 pub struct ColdStartChecker;
 
 impl Checker for ColdStartChecker {
@@ -13,7 +14,7 @@
     }
 
     fn about(&self) -> &'static str {
-        "no cold box pushed over, by all nodes together"
+        "the nodes together do not overload a backend that warms up"
     }
 
     fn check(&self, history: &History, _: &Attempts) -> Vec<Violation> {
@@ -22,7 +23,7 @@
         crashes
             .map(|(index, entry)| Violation {
                 checker: self.name(),
-                description: format!("{} was cold and fell over", entry.source),
+                description: format!("{} crashed of overload while it warmed up", entry.source),
                 at_us: entry.at_us,
                 evidence: vec![index],
             })
--- a/crates/fault-injection/src/checkers/drains.rs
+++ b/crates/fault-injection/src/checkers/drains.rs
@@ -1,14 +1,15 @@
-//! Rule 3: nothing new from a node to a draining backend after the grace period, which starts when that node was notified.
+//! Rule 3: a node sends no new request to a draining backend after the grace period, which starts when that
+//! node is notified of the drain.
 
 use super::attempts::Attempts;
 use super::violation::{Checker, Violation};
 use crate::history::{Event, History};
 use std::collections::HashMap;
 
-/// Nothing new to a draining or removed backend.
+/// Reports requests that a draining or removed backend received after the grace period.
 pub struct DrainChecker;
 
-/// When a node was notified of a drain.
+/// The notification of a node of a drain.
 struct DrainNotice {
     at_us: u64,
     /// The index of its entry.
@@ -21,7 +22,7 @@
     }
 
     fn about(&self) -> &'static str {
-        "nothing new to a draining or gone box after the grace, from when each node was told"
+        "no request reaches a draining or removed backend after the grace period from a node's notification"
     }
 
     fn check(&self, history: &History, attempts: &Attempts) -> Vec<Violation> {
@@ -47,7 +48,7 @@
                         violations.push(Violation {
                             checker: self.name(),
                             description: format!(
-                                "{id}: came to {backend} {after_ms} ms after {node} was told that it drains"
+                                "{id}: reached {backend} {after_ms} ms after {node} was notified of its drain"
                             ),
                             at_us,
                             evidence: vec![notice.entry, attempt.entries[0], index],
--- a/crates/fault-injection/src/checkers/effects.rs
+++ b/crates/fault-injection/src/checkers/effects.rs
@@ -1,11 +1,12 @@
-//! Rule 2: no effect twice, over all nodes and all attempts of a request; and a rejection only of what has not run.
+//! Rule 2: no request takes effect twice, counted over all nodes and all of its attempts, and no request is
+//! rejected after a backend has received it.
 
 use super::attempts::{Attempt, AttemptEnd, Attempts, Execution};
 use super::violation::{Checker, Violation};
 use crate::history::{History, Idempotency, ResponseKind};
 use std::collections::BTreeMap;
 
-/// No effect twice.
+/// Reports requests that took effect twice, and rejections of requests that a backend received.
 pub struct EffectChecker;
 
 impl EffectChecker {
@@ -15,57 +16,60 @@
         Violation { checker: self.name(), description, at_us, evidence }
     }
 
-    /// A rejection, which promises that a retry is safe, of an attempt that a backend has.
+    /// A rejection of an attempt that a backend has received. A rejection promises that the request was not
+    /// executed.
     fn false_rejection(&self, attempt: &Attempt) -> Option<Violation> {
         let (end_us, end) = attempt.end?;
         let first = attempt.executions.first()?;
         let is_rejected = end == AttemptEnd::Response(ResponseKind::Rejected);
         (is_rejected && attempt.idempotency != Idempotency::Safe).then(|| {
             let (id, backend) = (&attempt.id, &first.backend);
-            let description = format!("{id}: refused as harmless to try again, and {backend} has it");
+            let description = format!("{id}: rejected as not executed, but {backend} received it");
             self.violation(end_us, description, attempt.entries.clone())
         })
     }
 
-    /// A request that ran more often than it may. Its attempts are in the order of their sending.
+    /// A request that was executed more often than its class allows. `request_attempts` are its attempts by
+    /// send time.
     fn repeated_effect(
         &self,
         request: &str,
-        requests_attempts: &[&Attempt],
+        request_attempts: &[&Attempt],
         attempts: &Attempts,
         slack_us: u64,
     ) -> Option<Violation> {
         let executions: Vec<&Execution> =
-            requests_attempts.iter().flat_map(|attempt| &attempt.executions).collect();
+            request_attempts.iter().flat_map(|attempt| &attempt.executions).collect();
         if executions.len() < 2 {
             return None;
         }
         let last_us = executions.iter().map(|execution| execution.at_us).max()?;
         let backends: Vec<_> = executions.iter().map(|execution| execution.backend.as_str()).collect();
         let backends = backends.join(" and ");
-        let description = match requests_attempts.first()?.idempotency {
-            // A client retries what must not run twice only after a rejection.
-            Idempotency::Unsafe => format!("{request}: must not run twice, and began at {backends}"),
-            Idempotency::Keyed if is_nodes_doing(requests_attempts, attempts, slack_us) => {
-                format!("{request}: keyed, and began at {backends}")
+        let description = match request_attempts.first()?.idempotency {
+            // Clients retry requests of this class only after a rejection, so each second execution is a
+            // fault of a node.
+            Idempotency::Unsafe => format!("{request}: not idempotent, but started at {backends}"),
+            Idempotency::Keyed if is_caused_by_node(request_attempts, attempts, slack_us) => {
+                format!("{request}: started more than once under its idempotency key, at {backends}")
             }
             Idempotency::Keyed | Idempotency::Safe => return None,
         };
-        let evidence = requests_attempts.iter().flat_map(|attempt| attempt.entries.clone()).collect();
+        let evidence = request_attempts.iter().flat_map(|attempt| attempt.entries.clone()).collect();
         Some(self.violation(last_us, description, evidence))
     }
 }
 
-/// Whether a node caused the second execution of an idempotency key, which backends recognize for a time only: two executions of
-/// one attempt, or one that started after its client had left and retried elsewhere. Two attempts in their own time are the
-/// client's doing.
-fn is_nodes_doing(requests_attempts: &[&Attempt], attempts: &Attempts, slack_us: u64) -> bool {
-    let is_twice = requests_attempts.iter().any(|attempt| attempt.executions.len() > 1);
+/// Whether a node caused the second execution of an idempotency key, which backends remember only for a time:
+/// an attempt was executed twice, or started after its client had abandoned it and could retry elsewhere. Two
+/// attempts that were each executed in time are the result of a client's retry and not a violation.
+fn is_caused_by_node(request_attempts: &[&Attempt], attempts: &Attempts, slack_us: u64) -> bool {
+    let is_twice = request_attempts.iter().any(|attempt| attempt.executions.len() > 1);
     is_twice
-        || requests_attempts.iter().any(|attempt| {
-            let over_us = attempt.end.map_or(u64::MAX, |(at_us, _)| at_us.saturating_add(slack_us));
+        || request_attempts.iter().any(|attempt| {
+            let latest_start_us = attempt.end.map_or(u64::MAX, |(at_us, _)| at_us.saturating_add(slack_us));
             attempt.executions.iter().any(|execution| {
-                execution.at_us > over_us && !attempts.was_out_of_reach(attempt, execution.at_us)
+                execution.at_us > latest_start_us && !attempts.could_not_cancel(attempt, execution.at_us)
             })
         })
 }
@@ -76,7 +80,7 @@
     }
 
     fn about(&self) -> &'static str {
-        "no effect twice, over any nodes; no refusal of what has run"
+        "no request takes effect twice, and none is rejected after a backend has received it"
     }
 
     fn check(&self, history: &History, attempts: &Attempts) -> Vec<Violation> {
@@ -87,9 +91,9 @@
             requests.entry(&attempt.request).or_default().push(attempt);
             violations.extend(self.false_rejection(attempt));
         }
-        for (request, mut requests_attempts) in requests {
-            requests_attempts.sort_by_key(|attempt| attempt.sent_us);
-            violations.extend(self.repeated_effect(request, &requests_attempts, attempts, slack_us));
+        for (request, mut request_attempts) in requests {
+            request_attempts.sort_by_key(|attempt| attempt.sent_us);
+            violations.extend(self.repeated_effect(request, &request_attempts, attempts, slack_us));
         }
         violations
     }
--- a/crates/fault-injection/src/checkers/load.rs
+++ b/crates/fault-injection/src/checkers/load.rs
@@ -1,17 +1,18 @@
-//! Bounded load on what all nodes share: connections opened to a backend within any second, and to discovery within any 100 ms.
+//! Limits on the connections that all nodes together open: to a backend within any second, and to discovery
+//! within any 100 ms.
 
 use super::attempts::Attempts;
 use super::violation::{Checker, Violation};
 use crate::history::{Bounds, Event, History};
 use std::collections::{HashMap, VecDeque};
 
-/// No bursts of connections to backends and discovery.
+/// Reports bursts of connections to a backend or to discovery.
 pub struct LoadChecker;
 
 /// The most connections to a target within a window.
 struct ConnectionLimit {
     window_us: u64,
-    /// The window in words.
+    /// The window, as shown in a violation.
     window_name: &'static str,
     connections: u64,
 }
@@ -26,7 +27,7 @@
             },
             _ => ConnectionLimit {
                 window_us: 1_000_000,
-                window_name: "a second",
+                window_name: "1 s",
                 connections: bounds.connections_per_s,
             },
         }
@@ -35,11 +36,11 @@
 
 /// Connections to a target beyond its limit.
 struct Excess {
-    /// When the limit was exceeded first, µs.
+    /// When the limit was first exceeded, µs.
     at_us: u64,
-    /// The index of the entry then.
+    /// The index of the entry that exceeded it.
     entry: usize,
-    /// The most connections within a window.
+    /// The largest number of connections within a window.
     max_connections: u64,
 }
 
@@ -49,7 +50,7 @@
     }
 
     fn about(&self) -> &'static str {
-        "connections opened at a box in any second, and calls to discovery in any 100 ms, within their bounds"
+        "connections to a backend in any second, and to discovery in any 100 ms, stay within their limits"
     }
 
     fn check(&self, history: &History, _: &Attempts) -> Vec<Violation> {
@@ -72,7 +73,7 @@
                 excess.max_connections = excess.max_connections.max(connections);
             }
         }
-        // One for each target, with its worst window.
+        // One violation a target, with the number of its worst window.
         let mut violations: Vec<_> = excesses
             .into_iter()
             .map(|(target, excess)| {
@@ -81,7 +82,7 @@
                 Violation {
                     checker: self.name(),
                     description: format!(
-                        "{target} was opened {worst} connections within {window}, {most} are the most"
+                        "{target}: {worst} connections were opened within {window}, the limit is {most}"
                     ),
                     at_us: excess.at_us,
                     evidence: vec![excess.entry],
--- a/crates/fault-injection/src/checkers/mod.rs
+++ b/crates/fault-injection/src/checkers/mod.rs
@@ -1,4 +1,5 @@
-//! The checkers: each judges a history by one rule and reports where it was broken. No I/O and no clock: a history is enough.
+//! The checkers: each checks a history against one rule and reports the violations. Their only input is the
+//! history: they do no I/O and read no clock.
 
 mod attempts;
 mod cold_start;
@@ -36,7 +37,7 @@
     ]
 }
 
-// Verdicts are written as JSON: `rename` keeps the names that they have there.
+// Verdicts are written as JSON: `rename` keeps the keys stable.
 
 /// The verdict on a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -44,23 +45,24 @@
 pub enum Verdict {
     /// No checker found a violation.
     Passed,
-    /// There are violations.
+    /// At least one checker found a violation.
     Failed {
-        /// By time.
+        /// The violations, sorted by time.
         violations: Vec<Violation>,
     },
-    /// The trial's timers were later than the plan allows, so that nothing can be concluded.
+    /// The trial's own timers were later than the plan allows, so the history does not show whether a rule
+    /// was broken.
     NoVerdict {
-        /// By how much, ms.
+        /// The maximum lateness, ms.
         late_ms: u64,
-        /// How much the plan allows, ms.
+        /// The maximum that the plan allows, ms.
         #[serde(rename = "bears_ms")]
         max_lateness_ms: u64,
     },
 }
 
 impl Verdict {
-    /// 0 passed, 1 there are violations, 3 no verdict.
+    /// The exit code of the program: 0 if the run passed, 1 with violations, 3 without a verdict.
     pub fn exit_code(&self) -> u8 {
         match self {
             Verdict::Passed => 0,
@@ -70,7 +72,7 @@
     }
 }
 
-/// Judges a history.
+/// Runs all checkers on a history, unless the timers of the trial were too late.
 pub fn judge(history: &History) -> Verdict {
     let lateness = history.entries.iter().map(|entry| match entry.event {
         Event::TimersLate { by_ms } => by_ms,
--- a/crates/fault-injection/src/checkers/recovery.rs
+++ b/crates/fault-injection/src/checkers/recovery.rs
@@ -1,4 +1,5 @@
-//! Service recovers in time after the last fault; and how it was before and during the faults.
+//! Requests are served before the first fault, and again in time after the last one; and a summary of the
+//! served shares.
 
 use super::attempts::{AttemptEnd, Attempts};
 use super::violation::{Checker, Violation};
@@ -6,29 +7,31 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The window in which service is measured, µs.
+/// The length of the windows in which service is measured after the last fault, µs.
 const WINDOW_US: u64 = 500_000;
-/// A window with fewer requests shows nothing.
+/// A window with fewer requests is too small a sample, and counts as good.
 const MIN_REQUESTS: u64 = 4;
 
-/// How much was served, and when service had recovered. Reports have it as JSON: `rename` keeps the names there.
+/// The served shares of a run, and its recovery time. Reports contain it as JSON: `rename` keeps the keys
+/// stable.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct ServiceSummary {
-    /// The share of requests served before the first fault, 0 to 1; of all where there was none.
+    /// The share of requests served before the first fault, 0 to 1; of all requests in a run without faults.
     pub before: f64,
-    /// From the start of the first fault to the end of the last; `None` without faults.
+    /// The share served from the start of the first fault to the end of the last; `None` without faults.
     pub during: Option<f64>,
-    /// After that.
+    /// The share served after the last fault; `None` without faults.
     pub after: Option<f64>,
-    /// From the end of the last fault to the first window since which all were good, ms; `None` if the last was not.
+    /// The time from the end of the last fault to the start of the first window from which on all windows
+    /// were good, ms; `None` if the last window was not good.
     #[serde(rename = "whole_again_ms")]
     pub recovered_after_ms: Option<u64>,
-    /// The most requests that a backend started within a second.
+    /// The most requests that any backend received within one second.
     #[serde(rename = "worst_second")]
     pub max_starts_per_s: u64,
 }
 
-/// Counts of requests.
+/// The number of requests, and how many of them were served.
 #[derive(Clone, Copy, Default)]
 struct ServedCount {
     served: u64,
@@ -70,7 +73,8 @@
     attempts.faults.iter().map(|fault| fault.to_us).max()
 }
 
-/// Summarizes the service of a history. A request counts at the time of its first attempt.
+/// Summarizes the service of a run. A request counts at the time of its first attempt, and as served if any
+/// of its attempts was served.
 pub fn service_summary(history: &History, attempts: &Attempts) -> ServiceSummary {
     let first = attempts.faults.first().map(|fault| fault.from_us);
     let last = last_fault_end(attempts);
@@ -100,7 +104,8 @@
     }
 }
 
-/// When the first of the windows began since which all had this share of requests served.
+/// The start of the first window from which on all windows are good, ms after the last fault. `windows` are
+/// by number, and good if at least this share of their requests was served.
 fn recovered_after_ms(windows: &BTreeMap<u64, ServedCount>, served_share: f64) -> Option<u64> {
     let is_good = |window: &ServedCount| window.all < MIN_REQUESTS || window.share() >= served_share;
     let last_bad = windows.iter().filter(|(_, window)| !is_good(window)).map(|(number, _)| *number).max();
@@ -122,7 +127,7 @@
     starts.into_values().max().unwrap_or(0)
 }
 
-/// Service recovers in time.
+/// Reports that too few requests were served before the faults, or that service did not recover in time.
 pub struct RecoveryChecker;
 
 impl Checker for RecoveryChecker {
@@ -131,7 +136,7 @@
     }
 
     fn about(&self) -> &'static str {
-        "service is whole before the first fault, and again in time after the last one"
+        "requests are served before the first fault, and service recovers in time after the last one"
     }
 
     fn check(&self, history: &History, attempts: &Attempts) -> Vec<Violation> {
@@ -141,7 +146,11 @@
             |at_us, description| Violation { checker: self.name(), description, at_us, evidence: Vec::new() };
         let mut violations = Vec::new();
         if summary.before < bounds.served_share {
-            let description = format!("{:.1}% served where nothing was broken", 100.0 * summary.before);
+            let description = format!(
+                "{:.1}% of requests were served before the first fault, at least {:.1}% must be",
+                100.0 * summary.before,
+                100.0 * bounds.served_share
+            );
             violations.push(violation(0, description));
         }
         let last = last_fault_end(attempts).unwrap_or(0);
@@ -149,10 +158,12 @@
             Some(after) if after > bounds.recovery_ms => {
                 let most = bounds.recovery_ms;
                 let description =
-                    format!("whole again {after} ms after the last fault, {most} ms are the most");
+                    format!("service recovered {after} ms after the last fault, the limit is {most} ms");
                 violations.push(violation(last, description));
             }
-            None => violations.push(violation(last, "not whole again before the end".into())),
+            None => {
+                violations.push(violation(last, "service did not recover before the end of the run".into()))
+            }
             Some(_) => {}
         }
         violations
--- a/crates/fault-injection/src/checkers/resources.rs
+++ b/crates/fault-injection/src/checkers/resources.rs
@@ -1,32 +1,37 @@
-//! No node keeps descriptors, threads or memory after traffic, and each exits as it should.
+//! Nodes release descriptors, threads and memory after traffic, and exit with code 0 when asked to.
 
 use super::attempts::Attempts;
 use super::violation::{Checker, Violation};
 use crate::history::{Bounds, Event, History, ProcessEvent, ResourceUsage};
 use std::collections::HashSet;
 
-/// A thread that has read a file stays for ten seconds in case there is another.
-const SPARE_THREADS: u64 = 1;
+/// A thread of the pool for blocking file reads stays idle for ten seconds before it exits.
+const IDLE_POOL_THREADS: u64 = 1;
 
-/// Resources are released.
+/// Reports resources that a node did not release, and nodes that exited with an error.
 pub struct ResourceChecker;
 
-/// The resources that a node has kept beyond the bounds, in words.
-fn kept_resources(node: &str, before: &ResourceUsage, after: &ResourceUsage, bounds: &Bounds) -> Vec<String> {
-    let mut kept = Vec::new();
+/// A description of each resource that a node did not release within the limits.
+fn unreleased_resources(
+    node: &str,
+    before: &ResourceUsage,
+    after: &ResourceUsage,
+    bounds: &Bounds,
+) -> Vec<String> {
+    let mut unreleased = Vec::new();
     if after.descriptors > before.descriptors + bounds.descriptors {
         let (was, is) = (before.descriptors, after.descriptors);
-        kept.push(format!("{node} holds {is} descriptors after traffic, {was} before"));
+        unreleased.push(format!("{node} has {is} open descriptors after traffic, {was} before"));
     }
-    if after.threads > before.threads + SPARE_THREADS {
+    if after.threads > before.threads + IDLE_POOL_THREADS {
         let (was, is) = (before.threads, after.threads);
-        kept.push(format!("{node} has {is} threads after traffic, {was} before"));
+        unreleased.push(format!("{node} has {is} threads after traffic, {was} before"));
     }
     if after.memory_kib > before.memory_kib + bounds.memory_kib {
         let (was, is) = (before.memory_kib, after.memory_kib);
-        kept.push(format!("{node} holds {is} KiB after traffic, {was} before"));
+        unreleased.push(format!("{node} uses {is} KiB of memory after traffic, {was} KiB before"));
     }
-    kept
+    unreleased
 }
 
 impl Checker for ResourceChecker {
@@ -35,7 +40,7 @@
     }
 
     fn about(&self) -> &'static str {
-        "once traffic has ended no node holds more than before it, and each ends when told, with all answered"
+        "nodes release descriptors, threads and memory after traffic, and shut down cleanly when asked to"
     }
 
     fn check(&self, history: &History, _: &Attempts) -> Vec<Violation> {
@@ -45,7 +50,9 @@
         for (index, entry) in history.entries.iter().enumerate() {
             let node = entry.source.as_str();
             let descriptions = match &entry.event {
-                Event::ResourcesMeasured { before, after } => kept_resources(node, before, after, bounds),
+                Event::ResourcesMeasured { before, after } => {
+                    unreleased_resources(node, before, after, bounds)
+                }
                 Event::Process { event: ProcessEvent::Killed } => {
                     killed.insert(node);
                     continue;
@@ -57,7 +64,7 @@
                 Event::Process { event: ProcessEvent::Exited(code) }
                     if *code != 0 && !killed.contains(node) =>
                 {
-                    vec![format!("{node} ended with {code}")]
+                    vec![format!("{node} exited with code {code}")]
                 }
                 _ => continue,
             };
--- a/crates/fault-injection/src/checkers/responses.rs
+++ b/crates/fault-injection/src/checkers/responses.rs
@@ -1,15 +1,16 @@
-//! Rule 1: one final response, in time, to everything that was accepted, and nothing sent after it. A client that a faulty node
-//! or link kept waiting is no violation; a backend that starts what its client has long abandoned is one, whatever was
-//! faulty.
+//! Rule 1: each accepted request gets exactly one final response, in time, with no bytes after it. A missing
+//! response is excused by a fault of the node or of a link. A backend that starts a request long after its
+//! client has abandoned it is a violation, whatever faults were active.
 
 use super::attempts::{Attempt, AttemptEnd, Attempts, TimeSpan};
 use super::violation::{Checker, Violation};
 use crate::history::{History, Idempotency};
 
-/// For how long after a fault of its node or of a link an attempt may still go without a response, µs: what was in flight then.
+/// How long after the end of a fault a missing response is still excused, µs: the attempt may have been in
+/// flight during the fault.
 const AFTERMATH_US: u64 = 300_000;
 
-/// One final response, in time, and nothing after it.
+/// Reports missing and late responses, bytes after a response, and executions of abandoned requests.
 pub struct ResponseChecker;
 
 impl ResponseChecker {
@@ -22,18 +23,18 @@
         let Some((end_us, end)) = attempt.end else {
             return vec![self.violation(
                 attempt.sent_us,
-                format!("{id}: nothing became of it"),
+                format!("{id}: no outcome was recorded"),
                 &attempt.entries,
             )];
         };
         let mut violations = Vec::new();
         if let Some(entry) = attempt.unexpected_data {
-            let description = format!("{id}: more came behind its final answer");
+            let description = format!("{id}: bytes arrived after its final response");
             violations.push(self.violation(attempt.sent_us, description, &[entry]));
         }
         violations.extend(self.missing_response(attempt, attempts, end_us, end));
-        // Late for its client, by whatever delayed it: what has an effect must not start then. A backend is not to blame when
-        // the link to it was stalled; the plan's slack allows for that.
+        // Faults do not excuse late executions: a request with an effect must not start after its client has
+        // abandoned it, whatever delayed it. Time on a stalled link is covered by the plan's slack.
         if end != AttemptEnd::ConnectFailed && attempt.idempotency != Idempotency::Safe {
             violations.extend(self.late_executions(attempt, attempts, end_us, slack_us));
         }
@@ -49,11 +50,12 @@
     ) -> Option<Violation> {
         let Attempt { id, node, .. } = attempt;
         let description = match end {
-            AttemptEnd::TimedOut => format!("{id}: {node} gave no answer in time"),
-            AttemptEnd::ConnectionLost => format!("{id}: {node} closed without an answer"),
+            AttemptEnd::TimedOut => format!("{id}: {node} did not respond in time"),
+            AttemptEnd::ConnectionLost => format!("{id}: {node} closed the connection without a response"),
             AttemptEnd::Response(_) | AttemptEnd::ConnectFailed => return None,
         };
-        // A node that was paused between the sending and the deadline may not have run in between.
+        // The span reaches to the client's deadline even if the attempt ended earlier: a pause until then
+        // excuses it.
         let to_us = end_us.max(attempt.sent_us + attempt.timeout_us);
         let span = TimeSpan { from_us: attempt.sent_us, to_us };
         let with_aftermath = TimeSpan { from_us: span.from_us.saturating_sub(AFTERMATH_US), to_us };
@@ -69,13 +71,13 @@
         slack_us: u64,
     ) -> Vec<Violation> {
         let late = attempt.executions.iter().filter(|execution| {
-            execution.at_us > end_us + slack_us && !attempts.was_out_of_reach(attempt, execution.at_us)
+            execution.at_us > end_us + slack_us && !attempts.could_not_cancel(attempt, execution.at_us)
         });
         late.map(|execution| {
             let (id, backend) = (&attempt.id, &execution.backend);
             let late_ms = (execution.at_us - end_us) / 1000;
             let description =
-                format!("{id}: {backend} began it {late_ms} ms after it was over for its client");
+                format!("{id}: {backend} started it {late_ms} ms after it had ended for its client");
             let mut evidence = attempt.entries.clone();
             evidence.retain(|entry| *entry <= execution.entry);
             self.violation(execution.at_us, description, &evidence)
@@ -90,7 +92,7 @@
     }
 
     fn about(&self) -> &'static str {
-        "one final answer, in time, for all that was taken, and nothing sent after it"
+        "each accepted request gets one final response, in time, and no bytes follow it"
     }
 
     fn check(&self, history: &History, attempts: &Attempts) -> Vec<Violation> {
--- a/crates/fault-injection/src/checkers/violation.rs
+++ b/crates/fault-injection/src/checkers/violation.rs
@@ -1,31 +1,31 @@
-//! What a checker is, and what it reports.
+//! The interface of checkers, and the violations that they report.
 
 use super::attempts::Attempts;
 use crate::history::History;
 use serde::Serialize;
 
-/// A broken rule. Verdicts are written as JSON: `rename` keeps the names that the fields have there.
+/// A violation of a rule. Verdicts are written as JSON: `rename` keeps the keys stable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
     /// The name of the checker.
     pub checker: &'static str,
-    /// What happened, in a line.
+    /// What happened, in one line.
     #[serde(rename = "what")]
     pub description: String,
     /// When, µs since the start of the run.
     #[serde(rename = "t")]
     pub at_us: u64,
-    /// The indexes of the fewest entries of the history that show it.
+    /// The indexes of the entries of the history that show it, as few as possible.
     #[serde(rename = "story")]
     pub evidence: Vec<usize>,
 }
 
-/// Judges a history by one rule.
+/// Checks a history against one rule.
 pub trait Checker {
-    /// Its name.
+    /// Its name, which is a key in verdicts and reports.
     fn name(&self) -> &'static str;
 
-    /// Its rule, in a line.
+    /// Its rule, in one line.
     fn about(&self) -> &'static str;
 
     /// The violations of its rule.
--- a/crates/fault-injection/src/client_load.rs
+++ b/crates/fault-injection/src/client_load.rs
@@ -1,5 +1,5 @@
-//! The clients of a run: requests at times that do not depend on responses, over connections that are reused, with time-outs and
-//! retries through the next node. Records what becomes of each attempt; judges nothing.
+//! The open-loop clients of a run: they send requests at fixed intervals over pooled connections, with
+//! time-outs, and retry through the next node. The outcome of each attempt is recorded, not judged.
 
 use crate::history::{Event, Idempotency, ResponseKind};
 use crate::lock::lock;
@@ -15,25 +15,28 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A client waits a little longer than it says, so that a response at the last moment still finds it there.
+/// How much longer than its time-out a client waits, so that a response that is sent just in time still
+/// reaches it.
 const TIMEOUT_SLACK: Duration = Duration::from_millis(100);
 /// How long a client waits before it retries.
 const RETRY_DELAY: Duration = Duration::from_millis(30);
-/// Idle connections that are kept to a node.
+/// The largest number of idle connections to a node.
 const MAX_IDLE: usize = 64;
 /// The largest head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
-/// Client groups of one rate start apart by this part of the interval between requests, so that they do not send at once.
+/// Each client group starts later than the one before by this part of its interval between requests, so that
+/// groups of equal rates do not send at the same moments.
 const GROUP_OFFSET: f64 = 0.137;
 
 struct IdleConnection {
     stream: TcpStream,
-    /// The attempt that it was used for last.
+    /// The id of the last attempt on it.
     last_attempt: String,
 }
 
 impl IdleConnection {
-    /// Whether it may be reused: it is open, and nothing arrived after its last response. Records what did.
+    /// Whether it may be reused: it is open, and no bytes have arrived after its last response. Records such
+    /// bytes.
     fn is_reusable(&self, recorder: &Recorder) -> bool {
         match self.stream.try_read(&mut [0; 256]) {
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => true,
@@ -54,7 +57,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool for these nodes: for each its name, and where clients connect.
+    /// An empty pool for these nodes, each given by its name and the address that clients connect to.
     pub fn new(nodes: Vec<(String, SocketAddr)>) -> Self {
         let (names, addresses) = nodes.into_iter().unzip();
         ConnectionPool { names, addresses, idle: Mutex::default() }
@@ -64,7 +67,7 @@
         lock(&self.idle)
     }
 
-    /// An idle connection to a node that may be reused. Those that may not are closed.
+    /// Takes an idle connection to a node that may be reused, and closes those that may not.
     fn take_idle(&self, node: usize, recorder: &Recorder) -> Option<TcpStream> {
         let mut all = self.lock();
         let idle = all.entry(node).or_default();
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Closes the idle connections, and records those on which bytes arrived.
+    /// Closes the idle connections, and records those on which unexpected bytes have arrived.
     pub fn close(&self, recorder: &Recorder) {
         for connection in self.lock().drain().flat_map(|(_, idle)| idle) {
             connection.is_reusable(recorder);
@@ -97,12 +100,12 @@
     ConnectFailed,
 }
 
-/// In what state a response leaves its connection.
+/// The state of a connection after a response.
 #[derive(Clone, Copy, PartialEq)]
 enum ConnectionState {
     Reusable,
     Closed,
-    /// More bytes than the response have arrived.
+    /// Bytes have arrived after the end of the response.
     UnexpectedData,
 }
 
@@ -131,7 +134,8 @@
     let is_persistent = header("connection").is_none_or(|value| value != "close");
     let body_length = header("content-length").and_then(|length| length.parse::<usize>().ok());
     let Some(body_length) = body_length else {
-        // To the end of the connection: backends and nodes send a length where they keep it open.
+        // The body ends with the connection: backends and nodes send a length where they keep the connection
+        // open.
         while stream.read_buf(&mut bytes).await? > 0 {}
         return Ok(Response { status, connection: ConnectionState::Closed });
     };
@@ -151,13 +155,13 @@
 
 /// Sends the requests of one client group.
 pub struct LoadSource {
-    /// What is sent.
+    /// The group.
     pub clients: ClientGroup,
-    /// The index of the group in the plan, for request ids.
+    /// The index of the group in the plan, which is part of its request ids.
     pub group: usize,
-    /// Where it is sent.
+    /// The connections to the nodes.
     pub pool: Arc<ConnectionPool>,
-    /// Records what becomes of it.
+    /// Records the attempts and their outcomes.
     pub recorder: Recorder,
 }
 
@@ -173,7 +177,7 @@
 }
 
 impl LoadSource {
-    /// Sends requests for so long, and waits for the last response.
+    /// Sends requests for a duration, then waits until the outcome of each is known.
     pub async fn run(self: Arc<Self>, duration: Duration) {
         let start = Instant::now();
         let mut in_flight = JoinSet::new();
@@ -229,7 +233,7 @@
                 }
             },
         };
-        // From here on the node may receive it: the client's time runs.
+        // Recorded before the first byte is written: the node can't receive the attempt earlier than that.
         self.recorder.record("client", sent);
         let exchange = async {
             stream.write_all(text.as_bytes()).await?;
@@ -238,7 +242,8 @@
         match timeout(client_timeout + TIMEOUT_SLACK, exchange).await {
             Ok(Ok(response)) => AttemptOutcome::Response(self.accept_response(&attempt, stream, &response)),
             Ok(Err(_)) => {
-                // Closed before it is recorded, so that whatever is sent after that has had a close to see.
+                // Closed before the end is recorded: what a node forwards after the recorded time, it
+                // forwards after the close.
                 drop(stream);
                 self.recorder.record("client", Event::ConnectionLost { id: id.into() });
                 AttemptOutcome::ConnectionLost
@@ -251,7 +256,7 @@
         }
     }
 
-    /// Records a response, and keeps its connection if that may be reused.
+    /// Records a response, and returns its connection to the pool if it may be reused.
     fn accept_response(&self, attempt: &Attempt, stream: TcpStream, response: &Response) -> ResponseKind {
         let Response { status, connection } = *response;
         let kind = match status {
@@ -282,7 +287,7 @@
         }
     }
 
-    /// The bytes of an attempt.
+    /// The HTTP request of an attempt.
     fn request_text(&self, attempt: &Attempt) -> String {
         let (clients, id, request) = (&self.clients, attempt.id, attempt.request);
         let path = clients.path.replace("{n}", &attempt.number.to_string());
--- a/crates/fault-injection/src/datagram_relay.rs
+++ b/crates/fault-injection/src/datagram_relay.rs
@@ -1,5 +1,5 @@
-//! A relay for the datagrams of one directed link: each may be lost, duplicated, delayed, and so overtaken by later ones. All
-//! of it is drawn from a seed. It reads nothing of what it carries.
+//! A UDP relay for one directed link: datagrams may be lost, duplicated, delayed and so reordered. All random
+//! choices are drawn from a seed. The content is not parsed.
 
 use crate::lock::lock;
 use rand::{Rng, SeedableRng};
@@ -12,24 +12,25 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// The largest datagram that there is, in bytes.
+/// The size of the receive buffer, in bytes: at least that of the largest UDP datagram.
 const MAX_DATAGRAM: usize = 64 << 10;
 
-/// The conditions of a link for datagrams. By default every datagram arrives once and at once.
+/// Loss, duplication and delay on a link. By default every datagram arrives exactly once, without a delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NetworkConditions {
-    /// The share of datagrams that is lost, 0 to 1; 1 for a link that is cut.
+    /// The share of datagrams that is lost, 0 to 1; 1 for a link that is down.
     pub loss: f64,
-    /// The share of the others that arrives twice, 0 to 1.
+    /// The share of the datagrams that are not lost that arrives twice, 0 to 1.
     pub duplication: f64,
     /// The shortest delay.
     pub min_delay: Duration,
-    /// The longest delay. Where they differ, datagrams overtake each other.
+    /// The longest delay. Datagrams may be reordered if it differs from the shortest.
     pub max_delay: Duration,
 }
 
 impl NetworkConditions {
-    /// Draws the delays after which a datagram arrives: none, one or two.
+    /// Draws the delay of each copy of a datagram: none if it is lost, two if it is duplicated, otherwise
+    /// one.
     fn draw_arrivals(&self, rng: &mut Pcg64Mcg) -> std::vec::IntoIter<Duration> {
         let copies = if rng.random_bool(self.loss.clamp(0.0, 1.0)) {
             0
@@ -44,19 +45,19 @@
     }
 }
 
-/// A link for datagrams in one direction. Dropping it ends it, and loses what is on its way.
+/// A relayed link for datagrams in one direction. Dropping it stops it; datagrams in flight are lost.
 pub struct DatagramRelay {
-    /// Where the sender sends to.
+    /// The address that the sender sends to.
     pub address: SocketAddr,
     conditions: Arc<Mutex<NetworkConditions>>,
     _task: JoinSet<()>,
 }
 
 impl DatagramRelay {
-    /// A link to a target, without losses and delays.
+    /// Starts a relay to a target, with the default conditions.
     ///
     /// # Errors
-    /// There is no port to listen on.
+    /// No port of loopback can be bound.
     pub async fn start(target: SocketAddr, seed: u64) -> io::Result<Self> {
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await?);
         let address = socket.local_addr()?;
@@ -66,7 +67,8 @@
         Ok(DatagramRelay { address, conditions, _task: task })
     }
 
-    /// The conditions from now on. Datagrams that are on their way arrive as they were drawn.
+    /// Sets the conditions for datagrams received from now on. Those in flight keep the delays drawn for
+    /// them.
     pub fn set_conditions(&self, conditions: NetworkConditions) {
         *lock(&self.conditions) = conditions;
     }
@@ -90,7 +92,7 @@
                 if !delay.is_zero() {
                     sleep(delay).await;
                 }
-                // A target that is absent loses it, as in a network.
+                // An error is ignored: datagrams to a target that is down are lost, as in a network.
                 let _ = socket.send_to(&bytes, target).await;
             });
         }
--- a/crates/fault-injection/src/datagram_relay/tests.rs
+++ b/crates/fault-injection/src/datagram_relay/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `datagram_relay`, which see its private items.
+//! Tests of `datagram_relay` that use its private items.
 
 use super::*;
 use std::collections::BTreeMap;
 
 #[test]
-fn arrivals_are_drawn_from_the_seed_in_the_shares_of_the_conditions() {
+fn losses_duplicates_and_delays_follow_the_conditions_and_the_seed() {
     let conditions = NetworkConditions {
         loss: 0.2,
         duplication: 0.1,
@@ -18,14 +18,14 @@
     let all = drawn(1);
     assert_eq!(all, drawn(1));
     assert_ne!(all, drawn(2));
-    let mut times: BTreeMap<usize, u32> = BTreeMap::new();
+    let mut arrival_counts: BTreeMap<usize, u32> = BTreeMap::new();
     for arrivals in &all {
-        *times.entry(arrivals.len()).or_default() += 1;
-        assert!(arrivals.iter().all(|after| (conditions.min_delay..=conditions.max_delay).contains(after)));
+        *arrival_counts.entry(arrivals.len()).or_default() += 1;
+        assert!(arrivals.iter().all(|delay| (conditions.min_delay..=conditions.max_delay).contains(delay)));
     }
-    let share = |n: usize| f64::from(times[&n]) / 20_000.0;
-    assert!((share(0) - 0.2).abs() < 0.02 && (share(2) - 0.08).abs() < 0.01, "{times:?}");
-    // A link that is cut lets nothing through, one without faults all, once and at once.
+    let share = |n: usize| f64::from(arrival_counts[&n]) / 20_000.0;
+    assert!((share(0) - 0.2).abs() < 0.02 && (share(2) - 0.08).abs() < 0.01, "{arrival_counts:?}");
+    // With a loss of 1 nothing arrives; by default everything arrives once, without a delay.
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     let cut = NetworkConditions { loss: 1.0, ..conditions };
     assert!((0..1000).all(|_| cut.draw_arrivals(&mut rng).next().is_none()));
@@ -33,14 +33,14 @@
 }
 
 #[tokio::test]
-async fn datagrams_arrive_through_the_link_and_overtake_each_other_where_it_says_so() {
+async fn datagrams_arrive_in_full_and_are_reordered_by_differing_delays() {
     let target = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let relay = DatagramRelay::start(target.local_addr().expect("an address"), 7).await.expect("a relay");
     let sender = UdpSocket::bind("127.0.0.1:0").await.expect("a socket");
     let mut buffer = [0; 16];
-    sender.send_to(b"fair", relay.address).await.expect("sent");
+    sender.send_to(b"first", relay.address).await.expect("sent");
     let length = target.recv(&mut buffer).await.expect("it");
-    assert_eq!(&buffer[..length], b"fair");
+    assert_eq!(&buffer[..length], b"first");
     relay.set_conditions(NetworkConditions {
         max_delay: Duration::from_millis(40),
         duplication: 1.0,
@@ -57,6 +57,6 @@
     }
     let mut sorted = arrived.clone();
     sorted.sort_unstable();
-    assert!(sorted.iter().copied().eq((0..20).flat_map(|n| [n, n])), "each twice: {arrived:?}");
-    assert_ne!(arrived, sorted, "some overtook others");
+    assert!(sorted.iter().copied().eq((0..20).flat_map(|n| [n, n])), "not each exactly twice: {arrived:?}");
+    assert_ne!(arrived, sorted, "no datagram was reordered");
 }
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet of a run: backends, discovery for each node, a link between each two that connect, and the nodes' processes.
-//! Starts and breaks what it is asked to; decides nothing.
+//! The fleet of a run: test backends, a discovery server for each node, a relay for each link, and the
+//! processes of the nodes. Starts them and applies faults on request; when and to what is up to the caller.
 
 use crate::error::RunError;
 use crate::history::{Entry, Event, ProcessEvent, ResourceUsage};
@@ -23,33 +23,35 @@
 use test_servers::execution_log::{ExecutionLog, Observation};
 use test_servers::script::ScriptedBackend;
 
-/// How long a process may take to log that it listens, or to exit. On a busy machine that may well be seconds.
+/// How long a process may take to log its listen address, or to exit. On a busy machine either can take
+/// seconds.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
-/// The largest number of queued requests of a backend.
+/// The queue length of a backend.
 const BACKEND_QUEUE: u32 = 200;
 /// How often backends refresh their load reports.
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// How often the state of a process is polled until it is paused.
+/// The poll interval while waiting for a process to be paused.
 const PAUSE_POLL: Duration = Duration::from_micros(300);
-/// How often a link to discovery is polled until it is healthy.
+/// The poll interval while waiting for a link to discovery to be healthy.
 const LINK_POLL: Duration = Duration::from_millis(2);
-/// How often the resources of a process are polled until they are within their bounds.
+/// The poll interval while waiting for a process to release file descriptors.
 const RESOURCE_POLL: Duration = Duration::from_millis(20);
-/// How often a node is asked whether it is ready, and how long it may take to respond.
+/// The time between two readiness requests to a node.
 const READY_POLL: Duration = Duration::from_millis(10);
+/// How long a node may take to accept a connection, and to respond to a readiness request.
 const READY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What of a node changes with its starts and its notifications.
+/// The state of a node that restarts and notifications change.
 struct NodeState {
     process: Option<Process>,
     starts: u64,
-    /// Its resources once it was ready.
+    /// Its resources when it became ready.
     initial_resources: ResourceUsage,
-    /// The backends that it was notified drain.
+    /// The names of the backends whose drain it was notified of.
     draining: Vec<String>,
 }
 
-/// A node, its links and its own discovery.
+/// A node with its links and its own discovery server.
 pub struct Node {
     /// Its name.
     pub name: String,
@@ -57,7 +59,7 @@
     folder: ProcessFolder,
     /// The link that its clients use.
     pub client_link: Relay,
-    /// Its links to the backends, by their indexes.
+    /// Its links to the backends, by backend index.
     pub backend_links: Vec<Relay>,
     /// Its link to discovery.
     pub discovery_link: Relay,
@@ -65,7 +67,7 @@
     state: Mutex<NodeState>,
 }
 
-/// Everything that a run starts. Dropping it ends all of it.
+/// All processes, servers and links of a run. Dropping it stops them.
 pub struct Fleet {
     plan: Plan,
     seed: u64,
@@ -82,10 +84,10 @@
 }
 
 impl Fleet {
-    /// Starts everything. All nodes accept requests once this returns.
+    /// Starts backends, links and nodes. All nodes accept requests once this returns.
     ///
     /// # Errors
-    /// The system refuses something, or a node does not start.
+    /// A system call fails, or a node does not start.
     pub async fn start(plan: &Plan, seed: u64, programs: &Programs) -> Result<Fleet, RunError> {
         let clock = Clock::start();
         let (recorder, execution_log) = (Recorder::new(clock), Arc::new(ExecutionLog::default()));
@@ -99,7 +101,7 @@
                 bounds: plan.bounds.clone(),
             },
         );
-        let folder = TempDir::new().map_err(system_error("a folder"))?;
+        let folder = TempDir::new().map_err(system_error("create a temporary folder"))?;
         let backends = start_backends(plan, seed, clock, &execution_log).await?;
         let mut fleet = Fleet {
             plan: plan.clone(),
@@ -115,7 +117,7 @@
             let node = fleet.prepare_node(index).await?;
             fleet.nodes.push(node);
         }
-        // All at once, as after a power cut; each logs by itself that it listens.
+        // All nodes start at once, as after a power failure, before the first one is waited for.
         for node in &fleet.nodes {
             fleet.launch(node)?;
         }
@@ -130,24 +132,24 @@
         &self.nodes
     }
 
-    /// Records what is observed.
+    /// The recorder of the run.
     pub fn recorder(&self) -> &Recorder {
         &self.recorder
     }
 
-    /// A node with its links and its discovery, not started yet.
+    /// A node with its links and its discovery server, whose process is not started yet.
     async fn prepare_node(&self, index: usize) -> Result<Node, RunError> {
         let name = format!("node-{}", index + 1);
         let sites = &self.plan.backends.sites;
-        // Nothing listens at the discard port: the node's address is not known yet.
+        // A placeholder until the node has logged its address: the discard port, where nothing listens.
         let no_target = SocketAddr::from(([127, 0, 0, 1], 9));
-        let link_error = system_error("a link");
+        let link_error = system_error("start a relay");
         let mut backend_links = Vec::new();
         for backend in &self.backends {
             let on_connect = self.record_connections(&backend.config().name, &name);
             backend_links.push(Relay::start(backend.address, on_connect).await.map_err(&link_error)?);
         }
-        let discovery = Discovery::start().await.map_err(system_error("discovery"))?;
+        let discovery = Discovery::start().await.map_err(system_error("start a discovery server"))?;
         let on_connect = self.record_connections("discovery", &name);
         let discovery_link = Relay::start(discovery.address, on_connect).await.map_err(&link_error)?;
         let client_link = Relay::start(no_target, || {}).await.map_err(&link_error)?;
@@ -157,7 +159,8 @@
             index,
             nodes: self.plan.nodes,
         };
-        let folder = ProcessFolder::new(self.folder.path(), &name).map_err(system_error("a folder"))?;
+        let folder =
+            ProcessFolder::new(self.folder.path(), &name).map_err(system_error("create a node's folder"))?;
         let state = NodeState {
             process: None,
             starts: 0,
@@ -185,7 +188,7 @@
         move || recorder.record(&target, Event::Connected { node: node.clone() })
     }
 
-    /// The backends as a node reaches them.
+    /// All backends as a node reaches them.
     fn links_of(&self, node: &Node, draining: &[String]) -> Vec<BackendLink> {
         let links = self.backends.iter().zip(&node.backend_links);
         links
@@ -202,7 +205,7 @@
             .collect()
     }
 
-    /// Writes the file that a node reads, with what it is notified of now.
+    /// Writes the configuration file of a node, with the drains that it is notified of.
     fn write_node_file(&self, node: &Node, state: &NodeState) -> Result<(), RunError> {
         let links = self.links_of(node, &state.draining);
         let text = match &self.plan.node_kind {
@@ -215,15 +218,15 @@
                 node_files::platform_configuration(&node.position, sites, discovery, &endpoints, seed)
             }
         };
-        // Replaced as a whole: a node that reads it at this moment must not find half of it.
+        // Replaced by a rename: a node that reads the file at the same time must not see a partial one.
         let path = node.folder.path().join(node_files::node_command(&self.plan.node_kind).file);
         let new = path.with_extension("new");
         std::fs::write(&new, text)
             .and_then(|()| std::fs::rename(&new, &path))
-            .map_err(system_error("a node's file"))
+            .map_err(system_error("write a node's file"))
     }
 
-    /// Starts a node's process, and does not wait until it is ready.
+    /// Starts the process of a node, without waiting until it is ready.
     ///
     /// # Errors
     /// Its file can't be written, or its process can't be started.
@@ -246,21 +249,25 @@
         Ok(())
     }
 
-    /// Waits until a node that was launched accepts requests, and records it.
+    /// Waits until a launched node accepts requests, points its clients' link to it, and records it as ready.
     ///
     /// # Errors
-    /// It exits before, or takes too long.
+    /// It exits before that, or takes too long.
     pub fn wait_until_ready(&self, node: &Node) -> Result<(), RunError> {
         let mut state = lock(&node.state);
         let Some(process) = &state.process else { return Ok(()) };
         let Some(address) = process.wait_for_line(PROCESS_TIMEOUT, listen_address) else {
-            let last_line = process.log().last().cloned().unwrap_or_else(|| "nothing was said".into());
+            let last_line = process.log().last().cloned().unwrap_or_else(|| "it logged nothing".into());
             return Err(RunError::Node(node.name.clone(), last_line));
         };
-        // At another port after each start: the former may have been given to another process meanwhile. Its link stays.
+        // The port differs after each start: the system may have assigned the earlier one to another process
+        // meanwhile. The clients keep using the address of the relay.
         node.client_link.set_target(address);
         if self.plan.node_kind == NodeKind::Platform && !is_ready(address) {
-            return Err(RunError::Node(node.name.clone(), "it is not ready".into()));
+            return Err(RunError::Node(
+                node.name.clone(),
+                "it did not report that it is ready within 20 s".into(),
+            ));
         }
         if let Some(usage) = state.process.as_ref().and_then(Process::resource_usage) {
             state.initial_resources = usage;
@@ -273,7 +280,7 @@
         self.recorder.record(&node.name, Event::Process { event });
     }
 
-    /// Kills a node and waits for its end.
+    /// Kills a node and waits for its exit.
     pub fn kill(&self, node: &Node) {
         self.record_process(node, ProcessEvent::Killed);
         let process = lock(&node.state).process.take();
@@ -283,7 +290,8 @@
         }
     }
 
-    /// Asks a node to end and waits for that. One that does not end in time is killed, and recorded with code -1.
+    /// Asks a node to shut down, and waits for its exit. A node that does not exit in time is killed, and
+    /// recorded with the exit code -1.
     pub fn terminate(&self, node: &Node) {
         let process = lock(&node.state).process.take();
         let Some(mut process) = process else { return };
@@ -296,7 +304,7 @@
         self.record_process(node, ProcessEvent::Exited(code));
     }
 
-    /// Pauses a node, and returns once the system shows it as paused.
+    /// Pauses a node, and returns once the system shows its process as stopped.
     pub fn pause(&self, node: &Node) {
         let mut state = lock(&node.state);
         let Some(process) = &mut state.process else { return };
@@ -316,8 +324,9 @@
         }
     }
 
-    /// Notifies a node that a backend drains or is back. One whose link to discovery is broken is notified when that is
-    /// healthy.
+    /// Notifies a node that a backend drains or is in service again. On the platform the notification is sent
+    /// over the node's link to discovery: this waits until the link has no fault, and only then records the
+    /// notification.
     ///
     /// # Errors
     /// The node's file can't be written.
@@ -356,13 +365,13 @@
         Ok(())
     }
 
-    /// Publishes the state of a backend at a node's discovery.
+    /// Publishes the state of a backend on the discovery server of a node.
     fn publish(&self, node: &Node, backend: usize, lifecycle: Lifecycle, started_at_ms: u64) {
         let links = self.links_of(node, &[]);
         node.discovery.publish([node_files::endpoint(&links[backend], lifecycle, started_at_ms)]);
     }
 
-    /// A backend stops.
+    /// Stops a backend, and publishes to all nodes that it has terminated.
     pub fn stop_backend(&self, backend: usize) {
         for node in &self.nodes {
             self.publish(node, backend, Lifecycle::Terminated, 0);
@@ -370,7 +379,7 @@
         self.backends[backend].stop();
     }
 
-    /// A backend that was stopped is restarted, cold.
+    /// Restarts a stopped backend, cold, and publishes it to all nodes.
     pub fn restart_backend(&self, backend: usize) {
         self.backends[backend].restart();
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
@@ -379,19 +388,19 @@
         }
     }
 
-    /// The node that a participant names.
+    /// The node that a participant names; `None` if it does not name one.
     pub fn find_node(&self, participant: &Participant) -> Option<&Node> {
         self.nodes.iter().find(|node| matches!(participant, Participant::Named(name) if *name == node.name))
     }
 
-    /// The index of the backend that a participant names.
+    /// The index of the backend that a participant names; `None` if it does not name one.
     pub fn find_backend(&self, participant: &Participant) -> Option<usize> {
         self.backends.iter().position(
             |backend| matches!(participant, Participant::Named(name) if *name == backend.config().name),
         )
     }
 
-    /// Records the resources of each node, once they are within their bounds or the time is up.
+    /// Records the resources of each node, once its descriptors are within their bound or after the time-out.
     pub fn measure_resources(&self, timeout: Duration) {
         for node in &self.nodes {
             let state = lock(&node.state);
@@ -409,7 +418,7 @@
         }
     }
 
-    /// The last log lines of the nodes, by name.
+    /// The name and the last log lines of each node.
     pub fn logs(&self) -> Vec<(String, Vec<String>)> {
         let log = |node: &Node| {
             let state = lock(&node.state);
@@ -418,7 +427,7 @@
         self.nodes.iter().map(log).collect()
     }
 
-    /// What the backends have run and observed, as entries of a history.
+    /// The executions and crashes that the backends have observed, as entries of a history.
     pub fn backend_entries(&self) -> Vec<Entry> {
         let mut entries = Vec::new();
         for (id, executions) in self.execution_log.all_executions() {
@@ -464,18 +473,18 @@
         };
         let seed = seed ^ index as u64;
         let started = BackendServer::start(config, Vec::new(), seed, clock, execution_log.clone(), keys);
-        backends.push(started.await.map_err(system_error("a box"))?);
+        backends.push(started.await.map_err(system_error("start a backend"))?);
     }
     Ok(backends)
 }
 
-/// The address in a log line that says where a node listens.
+/// The address in the log line of a node that reports where it listens; `None` for other lines.
 fn listen_address(line: &str) -> Option<SocketAddr> {
     let (_, rest) = line.split_once("listens on ")?;
     rest.split(' ').next()?.trim_end_matches(':').parse().ok()
 }
 
-/// Whether a node responds that it is ready, within the time-out of a process.
+/// Polls the readiness endpoint of a node until it reports ready; `false` after the time-out of a process.
 fn is_ready(address: SocketAddr) -> bool {
     let request_readiness = || -> io::Result<bool> {
         let mut stream = TcpStream::connect_timeout(&address, READY_TIMEOUT)?;
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -1,38 +1,39 @@
-//! The history of a run: what was observed, by whom and when, a line of JSON each. It is enough to judge the run by.
+//! The history of a run: each observation with its source and time, stored as one JSON object a line. The
+//! checkers need no other input.
 
 use quick_error::quick_error;
 use serde::{Deserialize, Serialize};
 use std::io::{self, BufRead, Write};
 use std::time::Duration;
 
-// Histories are kept in files, and reports show their words: `rename` keeps the names that they have there.
+// Histories are stored in files, and reports show their keys and values: `rename` keeps these stable.
 
-/// How far a class of requests may be repeated.
+/// Whether the requests of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Idempotency {
-    /// Freely.
+    /// Any number of times.
     Safe,
-    /// Among the backends that recognize its idempotency key.
+    /// Only at backends that recognize its idempotency key as seen.
     Keyed,
-    /// Never.
+    /// At most once.
     Unsafe,
 }
 
-/// The response to an attempt, by its status.
+/// The class of a response, by its status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ResponseKind {
     /// 2xx.
     Served,
-    /// 429 or 503: a retry is safe.
+    /// 429 or 503: the request was not executed, so a retry is safe.
     #[serde(rename = "refused")]
     Rejected,
     /// Any other status.
     Failed,
 }
 
-/// A change of a process.
+/// A change of the state of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProcessEvent {
@@ -41,20 +42,20 @@
     /// It was paused (SIGSTOP).
     #[serde(rename = "stopped")]
     Paused,
-    /// It is resumed (SIGCONT).
+    /// It was resumed (SIGCONT).
     #[serde(rename = "woken")]
     Resumed,
     /// It was killed (SIGKILL).
     Killed,
-    /// It was asked to end (SIGTERM).
+    /// It was asked to shut down (SIGTERM).
     #[serde(rename = "told")]
     Terminating,
-    /// It has exited by itself with this code.
+    /// It exited, with its exit code or the negative number of the signal that ended it.
     #[serde(rename = "ended")]
     Exited(i32),
 }
 
-/// The resources of a process, as the system reports them.
+/// The resources of a process, as `/proc` reports them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct Holds")]
 pub struct ResourceUsage {
@@ -66,50 +67,51 @@
     pub memory_kib: u64,
 }
 
-/// The bounds that the checkers judge a run by.
+/// The limits that the checkers apply to a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Bounds {
-    /// For how long after it was notified a node may still send to a backend that drains, ms.
+    /// How long after a drain notification a node may still send requests to the draining backend, ms.
     pub grace_ms: u64,
-    /// How late a backend may start a request that its client has abandoned, ms: the time on the links and in their buffers.
+    /// How long after its client has abandoned a request a backend may still start it, ms. Covers the time
+    /// that bytes spend on links and in their buffers.
     pub slack_ms: u64,
-    /// How long after the last fault service must have recovered, ms.
+    /// How long after the last fault service may take to recover, ms.
     #[serde(rename = "recovers_ms")]
     pub recovery_ms: u64,
-    /// The share of requests, 0 to 1, that is to be served then.
+    /// The share of requests, 0 to 1, that must be served outside faults.
     #[serde(rename = "served")]
     pub served_share: f64,
-    /// Connections that all nodes may open to a backend within a second.
+    /// Connections that all nodes together may open to one backend within any second.
     pub connections_per_s: u64,
-    /// Connections that all nodes may open to discovery within any 100 ms.
+    /// Connections that all nodes together may open to discovery within any 100 ms.
     #[serde(rename = "calls_per_100ms")]
     pub discovery_calls_per_100ms: u64,
-    /// File descriptors that a node may have more at the end than at the start.
+    /// By how many a node's open file descriptors may grow from before traffic to after it.
     pub descriptors: u64,
-    /// Memory that it may have more, KiB.
+    /// By how much a node's resident memory may grow from before traffic to after it, KiB.
     pub memory_kib: u64,
-    /// How late the trial's own timers may be, ms.
+    /// How late the trial's own timers may be for a verdict to be valid, ms.
     #[serde(rename = "bears_ms")]
     pub max_lateness_ms: u64,
 }
 
-/// Something that was observed.
+/// An observation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
 pub enum Event {
-    /// The first line: what is run, and what it is judged by.
+    /// The first entry: the configuration of the run.
     #[serde(rename = "begun")]
     RunStarted {
         /// The plan's name.
         plan: String,
-        /// The seed of the draws.
+        /// The seed of all random choices.
         seed: u64,
-        /// The nodes, by name.
+        /// The names of the nodes.
         nodes: Vec<String>,
-        /// The backends, by name, with their sites.
+        /// The name and the site of each backend.
         #[serde(rename = "boxes")]
         backends: Vec<(String, String)>,
-        /// What it is judged by.
+        /// The limits that the checkers apply.
         bounds: Bounds,
     },
     /// A client sends an attempt of a request.
@@ -124,22 +126,22 @@
         node: String,
         /// The class of the request.
         class: String,
-        /// How far that may be repeated.
+        /// Whether requests of the class may be executed more than once.
         #[serde(rename = "repeat")]
         idempotency: Idempotency,
-        /// How long the client waits, ms.
+        /// How long the client waits for a response, ms.
         #[serde(rename = "patience_ms")]
         timeout_ms: u64,
     },
-    /// The response to an attempt is complete.
+    /// A client has received the complete response to an attempt.
     #[serde(rename = "answered")]
     ResponseReceived {
         /// The attempt.
         id: String,
-        /// The sort of response.
+        /// The class of the response.
         #[serde(rename = "how")]
         kind: ResponseKind,
-        /// The status.
+        /// The HTTP status code.
         status: u16,
     },
     /// The client of an attempt has timed out and closed the connection.
@@ -154,7 +156,7 @@
         /// The attempt.
         id: String,
     },
-    /// There was no connection for an attempt: nothing was sent.
+    /// No connection could be opened for an attempt: nothing was sent.
     #[serde(rename = "not-taken")]
     ConnectFailed {
         /// The attempt.
@@ -166,13 +168,13 @@
         /// The attempt.
         id: String,
     },
-    /// A backend has received an attempt, and runs or queues it.
+    /// A backend has received an attempt and executes or queues it.
     #[serde(rename = "began")]
     ExecutionStarted {
         /// The attempt.
         id: String,
     },
-    /// A backend that was warming up crashed of overload.
+    /// A backend crashed because it was overloaded while it warmed up.
     #[serde(rename = "fell-over")]
     BackendCrashed,
     /// A node was notified that a backend drains or is removed.
@@ -184,7 +186,7 @@
         #[serde(rename = "of")]
         backend: String,
     },
-    /// A node was notified that a backend is back.
+    /// A node was notified that a backend is in service again.
     #[serde(rename = "back")]
     ReturnNotified {
         /// The node.
@@ -207,36 +209,36 @@
         /// What it is.
         text: String,
     },
-    /// A fault is over.
+    /// A fault ends.
     #[serde(rename = "healed")]
     FaultEnded {
         /// Its index in the plan.
         #[serde(rename = "number")]
         fault: usize,
     },
-    /// A process has changed.
+    /// The state of a process has changed.
     Process {
-        /// How.
+        /// The change.
         #[serde(rename = "did")]
         event: ProcessEvent,
     },
-    /// The resources of a process once it was ready, and once traffic had ended.
+    /// The resources of a process when it became ready and after traffic had ended.
     #[serde(rename = "holds")]
     ResourcesMeasured {
-        /// Before traffic.
+        /// When it became ready.
         before: ResourceUsage,
-        /// After it.
+        /// After traffic.
         after: ResourceUsage,
     },
-    /// The first request is due.
+    /// Clients start to send requests.
     #[serde(rename = "traffic-began")]
     TrafficStarted,
-    /// The last request has been sent, and its outcome is known.
+    /// The outcomes of all requests are known.
     TrafficEnded,
-    /// The trial's own timers were late by this at most.
+    /// The maximum lateness of the trial's own timers during the run.
     #[serde(rename = "late")]
     TimersLate {
-        /// By how much, ms.
+        /// The maximum lateness, ms.
         by_ms: u64,
     },
 }
@@ -245,10 +247,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Line")]
 pub struct Entry {
-    /// Time since the start of the run, µs, by its monotonic clock.
+    /// Monotonic time since the start of the run, µs.
     #[serde(rename = "t")]
     pub at_us: u64,
-    /// Who observed it, or whom it concerns: a node, a backend, `discovery`, `client` or `rig` for the trial itself.
+    /// Who observed it, or whom it concerns: the name of a node or a backend, `discovery`, `client`, or `rig`
+    /// for the trial itself.
     #[serde(rename = "by")]
     pub source: String,
     /// What was observed.
@@ -257,7 +260,7 @@
 }
 
 impl Entry {
-    /// An entry of a time since the start of the run.
+    /// An entry at a time since the start of the run.
     pub fn new(at: Duration, source: impl Into<String>, event: Event) -> Self {
         Entry { at_us: at.as_micros() as u64, source: source.into(), event }
     }
@@ -272,19 +275,19 @@
             display("line {line}: {source}")
             source(source)
         }
-        /// A line is no entry.
+        /// A line is not a valid entry.
         Parse(line: usize, source: serde_json::Error) {
             display("line {line}: {source}")
             source(source)
         }
         /// The first entry is not [`Event::RunStarted`].
         NoBeginning {
-            display("line 1: not the beginning of a history")
+            display("line 1: a history must start with an entry `begun`")
         }
     }
 }
 
-/// The entries of a run, by time.
+/// The entries of a run, sorted by time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
     /// The entries.
@@ -292,13 +295,14 @@
 }
 
 impl History {
-    /// Sorts entries of several sources by time. Entries of one moment stay in their order.
+    /// Sorts the entries of several sources by time. The sort is stable: entries with equal times keep their
+    /// order.
     pub fn sorted(mut entries: Vec<Entry>) -> Self {
         entries.sort_by_key(|entry| entry.at_us);
         History { entries }
     }
 
-    /// Writes it, a line each.
+    /// Writes the entries, one JSON object a line.
     ///
     /// # Errors
     /// `to` can't be written.
@@ -310,10 +314,10 @@
         to.flush()
     }
 
-    /// Reads what [`History::write`] has written.
+    /// Reads a history as [`History::write`] writes it, and sorts it by time.
     ///
     /// # Errors
-    /// The first line that can't be read or is no entry, or a history without its beginning.
+    /// A line can't be read or is not a valid entry, or the first entry is not [`Event::RunStarted`].
     pub fn read(from: impl BufRead) -> Result<Self, HistoryError> {
         let mut entries = Vec::new();
         for (number, text) in (1..).zip(from.lines()) {
@@ -326,7 +330,7 @@
         }
     }
 
-    /// What the run is judged by.
+    /// The limits that the checkers apply; `None` without an entry [`Event::RunStarted`].
     pub fn bounds(&self) -> Option<&Bounds> {
         self.entries.iter().find_map(|entry| match &entry.event {
             Event::RunStarted { bounds, .. } => Some(bounds),
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,11 +1,15 @@
-//! Trials: many processes of the real program, the links between them broken by plan, and a verdict on what was recorded.
+//! Fault-injection trials: runs several processes of the real program, injects planned faults into the
+//! processes and the links between them, and checks the recorded history.
 //!
-//! [`plan`] is what a trial does, [`plan_reader`] reads it from TOML, [`shipped`] has the plans that come with the program.
-//! [`run`](run::run_plan) carries it out: [`process`] starts, pauses and ends processes, each under a [`supervisor`] and in
-//! a folder of its own ([`process_folder`]); [`relay`] is a link, [`datagram_relay`] one for datagrams; [`client_load`] is
-//! the traffic; [`fleet`] joins them, with the files of [`node_files`]; the [`recorder`] takes down what each of them
-//! observes. The resulting [`history`] is judged by the [`checkers`], which need nothing else. [`report`] shows it, and
-//! [`shrink`] looks for the smallest plan that still fails.
+//! - A trial is described by a [`plan`]; [`plan_reader`] reads plans from TOML and [`shipped`] holds the
+//!   built-in ones.
+//! - [`run`](run::run_plan) executes a plan on a [`fleet`]. A [`process`] runs under a [`supervisor`], in a
+//!   folder of its own ([`process_folder`]), from the files that [`node_files`] writes. A [`relay`] forwards
+//!   the TCP connections of a link and a [`datagram_relay`] its datagrams; [`client_load`] generates the
+//!   requests.
+//! - The [`recorder`] collects the observations of all of them into a [`history`]. The [`checkers`] judge a
+//!   history without any other input, and [`report`] renders it.
+//! - [`shrink`] reduces a failing plan to the smallest one that still fails.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/fault-injection/src/lock.rs
+++ b/crates/fault-injection/src/lock.rs
@@ -1,4 +1,5 @@
-//! A lock that stays usable after a task that held it has panicked: its contents are consistent after every change.
+//! Locks a mutex and ignores poisoning: every update leaves the guarded data consistent, so a panic of
+//! another holder does no harm.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
--- a/crates/fault-injection/src/node_files.rs
+++ b/crates/fault-injection/src/node_files.rs
@@ -1,5 +1,5 @@
-//! What a node is started from in a trial: the operator's file with its listeners and backends replaced, or the platform's
-//! configuration. Writes and starts nothing.
+//! The configuration files that a trial starts its nodes from: an operator's file with its listeners and
+//! backends replaced, or the platform's configuration. Only composes their texts; does no I/O.
 
 use crate::plan::NodeKind;
 use quick_error::quick_error;
@@ -7,15 +7,15 @@
 use test_servers::discovery::{Endpoint, Lifecycle};
 use toml::{Table, Value};
 
-/// Where nodes listen: each logs the port that it got.
+/// The listen address of nodes. Each logs the port that the system assigned.
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// Whether a node is notified that a backend drains.
+/// The state of a backend as a node is notified of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainState {
-    /// It serves.
+    /// It accepts requests.
     InService,
-    /// It drains.
+    /// It drains: it must not get new requests.
     Draining,
 }
 
@@ -26,9 +26,9 @@
     pub name: String,
     /// Its site.
     pub site: String,
-    /// Where the node's link to it begins.
+    /// The address of the relay between the node and the backend.
     pub address: SocketAddr,
-    /// Whether it drains.
+    /// Its state as the node is notified of it.
     pub drain_state: DrainState,
 }
 
@@ -39,9 +39,9 @@
     pub name: String,
     /// Its site.
     pub site: String,
-    /// Its index.
+    /// Its index, from 0.
     pub index: usize,
-    /// How many nodes there are.
+    /// The number of nodes.
     pub nodes: usize,
 }
 
@@ -50,7 +50,7 @@
 pub struct NodeCommand {
     /// The name of the file that it reads.
     pub file: &'static str,
-    /// Its arguments.
+    /// The command line arguments.
     pub arguments: &'static [&'static str],
 }
 
@@ -58,13 +58,13 @@
     /// Why an operator's file can't be used for a node.
     #[derive(Debug)]
     pub enum NodeFileError {
-        /// It is no TOML.
+        /// It is not valid TOML.
         Parse(source: toml::de::Error) {
             from()
             display("{source}")
             source(source)
         }
-        /// What became of it can't be written as TOML.
+        /// The changed file can't be written as TOML.
         Serialize(source: toml::ser::Error) {
             from()
             display("{source}")
@@ -73,10 +73,12 @@
     }
 }
 
-/// The operator's file for one node. Every cluster gets all backends of the trial in place of its own; all else is as it was.
+/// The operator's file for one node. All backends of the trial replace those of each cluster, and the node
+/// and listener settings are set for the trial. Admin and trace settings are removed; the rest of the file is
+/// unchanged.
 ///
 /// # Errors
-/// The text is no TOML.
+/// The text is not valid TOML.
 pub fn operator_file(
     text: &str,
     position: &NodePosition,
@@ -107,13 +109,13 @@
         });
         cluster.insert("box".into(), Value::Array(entries.collect()));
     }
-    // Two processes can't have one address for metrics, or one file for traces.
+    // The nodes run on one machine and can't share an admin address or a trace file.
     file.remove("admin");
     file.remove("trace");
     Ok(toml::to_string(&file)?)
 }
 
-/// The platform's configuration for one node. `endpoints` is the list that it starts with, as JSON.
+/// The platform's configuration for one node, as JSON. `endpoints` is the initial list of backends, as JSON.
 pub fn platform_configuration(
     position: &NodePosition,
     sites: &[String],
@@ -144,7 +146,7 @@
     .to_string()
 }
 
-/// A backend as discovery publishes it to one node.
+/// The entry of a backend in the list that discovery publishes to one node.
 pub fn endpoint(link: &BackendLink, lifecycle: Lifecycle, started_at_ms: u64) -> Endpoint {
     Endpoint {
         instance_id: link.name.clone(),
@@ -158,7 +160,7 @@
     }
 }
 
-/// How a node of this kind is started.
+/// The configuration file and the arguments of nodes of this kind.
 pub fn node_command(kind: &NodeKind) -> NodeCommand {
     match kind {
         NodeKind::File(_) => NodeCommand { file: "node.toml", arguments: &["run", "node.toml"] },
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -1,5 +1,5 @@
-//! The plan of a trial: a fleet, its traffic, the faults, and the bounds that the run is judged by. Reads no text and starts
-//! nothing.
+//! The plan of a trial: a fleet, its traffic, the faults, and the limits that the checkers apply. Data only;
+//! parsed by [`plan_reader`](crate::plan_reader) and executed by [`run`](crate::run).
 
 use crate::history::{Bounds, Idempotency};
 use rand::Rng;
@@ -8,59 +8,60 @@
 use std::time::Duration;
 use test_servers::backend_model::{ColdStart, ServiceTime};
 
-/// What a node is started from.
+/// The kind of configuration that nodes are started from.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeKind {
-    /// An operator's file, of which the listeners and the addresses of backends are replaced.
+    /// The text of an operator's file. Its listeners and backends are replaced for the trial.
     File(String),
-    /// The platform's configuration, with its list from discovery.
+    /// The platform's configuration; the list of backends comes from discovery.
     Platform,
 }
 
 /// The backends of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendGroup {
-    /// How many, named `box-1` on.
+    /// The number of backends. Their names are `box-1`, `box-2` and so on.
     pub count: usize,
-    /// Their sites, in turn.
+    /// Their sites, assigned round-robin.
     pub sites: Vec<String>,
-    /// Requests that one runs at once.
+    /// The number of requests that a backend executes concurrently.
     pub cores: u32,
-    /// How long a request takes.
+    /// The execution time of a request.
     pub service_time: ServiceTime,
-    /// Their slow start, if they have one.
+    /// How they warm up after a start; `None` if they have full capacity at once.
     pub cold_start: Option<ColdStart>,
-    /// For how long they recognize an idempotency key.
+    /// How long they remember an idempotency key.
     pub deduplication_window: Duration,
 }
 
-/// Clients that send requests of one class, at times that do not depend on responses.
+/// Open-loop clients that send requests of one class: the send times do not depend on responses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientGroup {
-    /// The class, for the history.
+    /// The class, as recorded in the history.
     pub class: String,
-    /// How far its requests may be repeated.
+    /// Whether its requests may be executed more than once.
     pub idempotency: Idempotency,
-    /// The method.
+    /// The HTTP method.
     pub method: String,
-    /// The path; `{n}` stands for the request's number.
+    /// The path; `{n}` is replaced by the number of the request.
     pub path: String,
-    /// Header fields beside those that the trial writes.
+    /// Additional header fields, as name and value.
     pub headers: Vec<(String, String)>,
-    /// Requests a second, over all nodes.
+    /// Requests per second, in total over all nodes.
     pub requests_per_s: f64,
     /// How long they wait for a response.
     pub timeout: Duration,
-    /// How often they retry, through the next node: after a rejection, and idempotent requests after any failure.
+    /// The number of retries, each through the next node: of every request after a rejection or a failed
+    /// connect, and of idempotent requests after any failure.
     pub max_retries: u32,
 }
 
-/// A range of durations from which one is drawn; with equal ends it is fixed.
+/// A range of durations from which one is drawn uniformly; fixed if both ends are equal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DurationRange {
-    /// The shortest.
+    /// The shortest duration.
     pub min: Duration,
-    /// The longest.
+    /// The longest duration.
     pub max: Duration,
 }
 
@@ -78,59 +79,59 @@
 /// What begins a fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultTrigger {
-    /// So long after traffic began.
+    /// A time after the start of traffic.
     At(DurationRange),
-    /// A node has been sent so many requests.
+    /// Clients have sent this number of attempts to a node.
     AfterRequests {
         /// The node's name.
         node: String,
-        /// How many requests.
+        /// The number of attempts.
         count: u64,
     },
-    /// So long after another fault began.
+    /// A time after the start of another fault.
     AfterFault {
         /// The other fault's index in the plan.
         fault: usize,
-        /// How long after it.
+        /// The time after its start.
         delay: DurationRange,
     },
 }
 
-/// Whom a fault concerns.
+/// What a fault applies to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Participant {
-    /// A node or a backend by its name.
+    /// The node or backend of this name.
     Named(String),
-    /// One of the nodes, as drawn.
+    /// A node that is drawn at random.
     AnyNode,
-    /// One of the backends, as drawn.
+    /// A backend that is drawn at random.
     AnyBackend,
-    /// The clients.
+    /// All clients.
     Clients,
-    /// Discovery.
+    /// The discovery service.
     Discovery,
 }
 
 /// A direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From the side that connects.
+    /// From the side that opened the connection.
     Request,
-    /// Towards the side that connects.
+    /// Towards the side that opened the connection.
     Response,
 }
 
-/// The directions of a link that a fault concerns.
+/// The directions of a link that a fault applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Directions {
-    /// One of them.
+    /// One direction.
     Only(Direction),
-    /// Both.
+    /// Both directions.
     Both,
 }
 
 impl Directions {
-    /// Whether a direction is among them.
+    /// Whether the fault applies to this direction.
     pub fn contain(self, direction: Direction) -> bool {
         match self {
             Directions::Only(only) => only == direction,
@@ -142,63 +143,65 @@
 /// A fault of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Bytes are held back until it is over; nothing is closed.
+    /// Bytes are held back until the fault ends, then delivered. Connections stay open.
     Stall(Directions),
-    /// Bytes are dropped, and connections are reset when it is over.
+    /// Bytes are dropped. Connections are reset when the fault ends.
     Drop(Directions),
     /// Bytes are delayed.
     Delay {
         /// The shortest delay.
         min: Duration,
-        /// The longest delay is longer by this.
+        /// The difference between the longest and the shortest delay.
         jitter: Duration,
     },
-    /// So many bytes a second pass.
+    /// The throughput of each direction of a connection is limited to this number of bytes per second.
     Throttle(u64),
-    /// Connections are reset now; bytes on their way are lost.
+    /// Open connections are reset once; bytes in flight are lost.
     Reset,
-    /// Connections are reset now, and new ones are refused.
+    /// Open connections are reset, and new ones are refused until the fault ends.
     Cut,
-    /// New connections are accepted and lead nowhere; open ones go on.
+    /// New connections are accepted but not forwarded, and reset when the fault ends. Open connections are
+    /// not affected until then.
     HalfOpen,
-    /// Connections are reset after so many more bytes of responses.
+    /// Each connection is reset after this number of further response bytes.
     CutAfter(u64),
 }
 
 /// What a fault does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
-    /// Kills a node (SIGKILL). With a duration, it is started again from its files when that is over.
+    /// Kills a node (SIGKILL). With a duration, the node is restarted from its files after it.
     Kill,
-    /// Ends a node (SIGTERM), and starts it again once it has exited.
+    /// Terminates a node (SIGTERM), and restarts it once it has exited.
     Restart,
-    /// Pauses a node (SIGSTOP), and resumes it (SIGCONT) when the fault is over.
+    /// Pauses a node (SIGSTOP), and resumes it (SIGCONT) when the fault ends.
     Pause,
-    /// Disturbs the links from each target to each of these.
+    /// Applies a fault to the links from each target to each participant of `to`.
     DisturbLinks {
-        /// Where the links lead.
+        /// The participants that accept the connections of the links.
         to: Vec<Participant>,
-        /// How they are disturbed.
+        /// The fault of the links.
         fault: LinkFault,
     },
-    /// A node is notified that these backends drain, and that they are back when the fault is over.
+    /// Notifies a node that these backends drain. With a duration, it is notified after it that they are in
+    /// service again.
     Drain(Vec<Participant>),
-    /// A backend stops, and is restarted cold when the fault is over.
+    /// Stops a backend, and restarts it cold when the fault ends.
     StopBackend,
 }
 
 /// A fault of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// What begins it.
+    /// When it starts.
     pub trigger: FaultTrigger,
     /// What it does.
     pub action: FaultAction,
-    /// Whom it concerns, all at once; for a link, the side that connects.
+    /// The participants it applies to, all at the same time; for a link, the side that connects.
     pub targets: Vec<Participant>,
-    /// How long it lasts; `None` for the rest of the run.
+    /// How long it lasts; `None` until traffic ends.
     pub duration: Option<DurationRange>,
-    /// Over what time links recover one after another; zero for all at once.
+    /// The period over which links recover one after another; zero if all recover at once.
     pub recovery_time: Duration,
 }
 
@@ -207,23 +210,23 @@
 pub struct Plan {
     /// Its name.
     pub name: String,
-    /// What it shows, in a line.
+    /// What it tests, in one line.
     pub about: String,
-    /// How many nodes, named `node-1` on.
+    /// The number of nodes. Their names are `node-1`, `node-2` and so on.
     pub nodes: usize,
-    /// What they are started from.
+    /// The kind of configuration that they are started from.
     pub node_kind: NodeKind,
     /// The backends.
     pub backends: BackendGroup,
-    /// The traffic.
+    /// The clients.
     pub clients: Vec<ClientGroup>,
     /// How long traffic lasts.
     pub traffic_duration: Duration,
     /// The faults.
     pub faults: Vec<Fault>,
-    /// How many of the faults a run has, drawn at random; `None` for all.
+    /// How many of the faults are drawn at random for a run; `None` for all.
     pub sampled_faults: Option<usize>,
-    /// What the run is judged by.
+    /// The limits that the checkers apply.
     pub bounds: Bounds,
 }
 
@@ -233,13 +236,13 @@
         (1..=self.nodes).map(|number| format!("node-{number}")).collect()
     }
 
-    /// The names of its backends, each with its site.
+    /// The name and the site of each backend.
     pub fn backend_names(&self) -> Vec<(String, String)> {
         let sites = self.backends.sites.iter().cycle();
         (1..=self.backends.count).zip(sites).map(|(n, site)| (format!("box-{n}"), site.clone())).collect()
     }
 
-    /// The same plan with everything random drawn. The same seed draws the same.
+    /// The plan with all random choices made. The result depends only on the plan and the seed.
     pub fn draw(&self, seed: u64) -> Plan {
         let mut rng = Pcg64Mcg::new(u128::from(seed) << 64 | 0x7219_a1b5);
         let mut plan = self.clone();
@@ -269,7 +272,7 @@
         plan
     }
 
-    /// Replaces `AnyNode` and `AnyBackend` by names, and leaves each name once.
+    /// Replaces `AnyNode` and `AnyBackend` by names, and removes duplicates.
     fn draw_names(&self, participants: &mut Vec<Participant>, rng: &mut Pcg64Mcg) {
         for participant in participants.iter_mut() {
             let name = match participant {
@@ -284,7 +287,8 @@
     }
 }
 
-// Operators see the following words in verdicts, histories and lists of faults: they stay as they are.
+// The following texts are stored in histories as descriptions of faults, and shown in lists of faults: they
+// are stable.
 
 impl fmt::Display for Participant {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
--- a/crates/fault-injection/src/plan_reader.rs
+++ b/crates/fault-injection/src/plan_reader.rs
@@ -1,5 +1,5 @@
-//! Reads a plan from TOML: every fault of the text in one pass, with its place, as an operator's file is read. Opens no file but
-//! the one that its caller reads for it.
+//! Reads a plan from TOML. All errors of the text are reported in one pass with their positions, as for an
+//! operator's file. Other files are read only through a callback.
 
 mod faults;
 mod names;
@@ -17,26 +17,28 @@
 use toml::de::{DeTable, DeValue};
 use values::{ZeroDuration, duration, duration_range, or_default, push};
 
-/// The operator's file of the nodes in plans that name none.
+/// The operator's file of nodes in plans that do not name one.
 pub const NODE: &str = include_str!("../../../deploy/trials/node.toml");
-/// As many processes as run on one machine beside the trial itself.
+/// The largest number of nodes: as many processes as one machine runs beside the trial itself.
 const MAX_NODES: u64 = 100;
+/// The largest number of backends.
 const MAX_BACKENDS: u64 = 100;
-/// More faults are a mistake, or a plan that nobody reads.
+/// The largest number of faults to draw. A higher one is most likely a mistake.
 const MAX_FAULTS: usize = 200;
 /// The largest number of cores of a backend.
 const MAX_CORES: u64 = 1000;
 /// The largest number of retries of a request.
 const MAX_RETRIES: u64 = 5;
-/// The largest bound on connections, calls and descriptors.
+/// The largest limit on connections, discovery calls and descriptors.
 const MAX_COUNT: u64 = 1_000_000;
 /// The largest size in bytes.
 const MAX_BYTES: u64 = 1 << 40;
 
-/// Reads a plan. `read_file` reads an operator's file that the plan names; its error is shown with the place.
+/// Reads a plan. `read_file` reads the operator's file that the plan names; its error is reported at the
+/// position of the name.
 ///
 /// # Errors
-/// The faults of the text, by their places.
+/// All errors of the text, sorted by position.
 pub fn read_plan<E: fmt::Display>(
     text: &str,
     read_file: impl Fn(&str) -> Result<String, E>,
@@ -46,7 +48,7 @@
         Ok(table) => read_top_level(table.get_ref(), table.span(), &read_file, &mut report),
         Err(e) => {
             let at = e.span().unwrap_or(0..0);
-            push(&mut report, Code::Syntax, at, e.message().to_string(), "write TOML");
+            push(&mut report, Code::Syntax, at, e.message().to_string(), "fix the TOML syntax");
             None
         }
     };
@@ -76,7 +78,7 @@
     let clients = read::tables(top.get("clients"), "clients", report);
     let clients: Vec<_> = clients.into_iter().filter_map(|section| read_clients(section, report)).collect();
     if clients.is_empty() && report.is_empty() {
-        let help = "add a table `[[clients]]` with `class`, `path` and `rate`";
+        let help = "add a table `[[clients]]` with `class`, `repeat`, `path` and `rate`";
         push(report, Code::MissingKey, 0..0, "the plan has no clients".into(), help);
     }
     let names = Names { nodes: count, backends: backends.as_ref().map_or(0, |backends| backends.count) };
@@ -91,7 +93,7 @@
     if let Some(draw) = &draw
         && draw.value as usize > fault_count
     {
-        let what = format!("{} faults are to be drawn, and there are {fault_count}", draw.value);
+        let what = format!("`draw` is {}, but the plan has {fault_count} faults", draw.value);
         push(report, Code::NumberRange, draw.span.clone(), what, "draw fewer, or add faults");
     }
     top.finish(report);
@@ -121,7 +123,7 @@
     let file = section.get("file").and_then(|v| read::text(v, report));
     let kind = match (is_platform, file) {
         (true, Some(file)) => {
-            let what = "a node of the platform has no operator's file".to_string();
+            let what = "nodes of the platform do not read an operator's file".to_string();
             let help = "leave `file` out, or write `kind = \"file\"`";
             push(report, Code::Choice, file.span, what, help);
             NodeKind::Platform
@@ -131,7 +133,7 @@
         (false, Some(file)) => match read_file(&file.value) {
             Ok(text) => NodeKind::File(text),
             Err(error) => {
-                let help = "name a file, as seen from the plan's folder";
+                let help = "write a path relative to the folder of the plan";
                 push(report, Code::NotAFile, file.span, error.to_string(), help);
                 NodeKind::File(String::new())
             }
@@ -194,8 +196,14 @@
     if let Some(path) = &path
         && (!path.value.starts_with('/') || path.value.contains([' ', '\r', '\n']))
     {
-        let what = format!("{:?} is no path", path.value);
-        push(report, Code::PathForm, path.span.clone(), what, "write `/`, and no spaces");
+        let what = format!("{:?} is not a path", path.value);
+        push(
+            report,
+            Code::PathForm,
+            path.span.clone(),
+            what,
+            "start it with `/`, and leave out spaces and line breaks",
+        );
     }
     let headers = read_headers(&mut section, report);
     let rate = section.need("rate", "\"40/s\"", report).and_then(|v| read::rate(v, report));
@@ -222,13 +230,19 @@
     let Some(value) = section.get("headers") else { return headers };
     let DeValue::Table(table) = value.get_ref() else {
         let help = "write `headers = { x-account = \"semarang\" }`";
-        push(report, Code::WrongType, value.span(), "this is no table of headers".into(), help);
+        push(report, Code::WrongType, value.span(), "the headers are not a table".into(), help);
         return headers;
     };
     for (name, value) in table.iter() {
         let Some(text) = read::text(value, report) else { continue };
         if text.value.contains(['\r', '\n']) {
-            push(report, Code::HeaderForm, text.span, "a header of two lines".into(), "write it in one");
+            push(
+                report,
+                Code::HeaderForm,
+                text.span,
+                "a header value with a line break".into(),
+                "write it on one line",
+            );
         } else {
             headers.push((name.get_ref().to_string(), text.value));
         }
--- a/crates/fault-injection/src/plan_reader/faults.rs
+++ b/crates/fault-injection/src/plan_reader/faults.rs
@@ -1,4 +1,4 @@
-//! Reads the faults of a plan.
+//! Reads the `[[fault]]` tables of a plan.
 
 use super::MAX_BYTES;
 use super::names::{Names, PlacedParticipant, is_backend, is_node, name_list};
@@ -12,67 +12,73 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The largest number of requests after which a fault begins.
+/// The largest number of requests that may trigger a fault.
 const MAX_REQUESTS: u64 = 1_000_000;
 
-/// The value of `do`.
+/// The fault that the value of `do` names.
 #[derive(Clone, Copy, PartialEq)]
-enum FaultWord {
+enum FaultKeyword {
     Kill,
     Restart,
-    Stop,
+    Pause,
     Drain,
-    Leave,
-    Link(LinkWord),
+    StopBackend,
+    Link(LinkKeyword),
 }
 
+/// The link fault that the value of `do` names.
 #[derive(Clone, Copy, PartialEq)]
-enum LinkWord {
-    Hold,
-    Lose,
+enum LinkKeyword {
+    Stall,
+    Drop,
     Delay,
-    Slow,
+    Throttle,
     Reset,
     Cut,
     HalfOpen,
     CutAfter,
 }
 
-const WORDS: [(&str, FaultWord); 13] = [
-    ("kill", FaultWord::Kill),
-    ("restart", FaultWord::Restart),
-    ("stop", FaultWord::Stop),
-    ("drain", FaultWord::Drain),
-    ("leave", FaultWord::Leave),
-    ("hold", FaultWord::Link(LinkWord::Hold)),
-    ("lose", FaultWord::Link(LinkWord::Lose)),
-    ("delay", FaultWord::Link(LinkWord::Delay)),
-    ("slow", FaultWord::Link(LinkWord::Slow)),
-    ("reset", FaultWord::Link(LinkWord::Reset)),
-    ("cut", FaultWord::Link(LinkWord::Cut)),
-    ("half-open", FaultWord::Link(LinkWord::HalfOpen)),
-    ("cut-after", FaultWord::Link(LinkWord::CutAfter)),
+const KEYWORDS: [(&str, FaultKeyword); 13] = [
+    ("kill", FaultKeyword::Kill),
+    ("restart", FaultKeyword::Restart),
+    ("stop", FaultKeyword::Pause),
+    ("drain", FaultKeyword::Drain),
+    ("leave", FaultKeyword::StopBackend),
+    ("hold", FaultKeyword::Link(LinkKeyword::Stall)),
+    ("lose", FaultKeyword::Link(LinkKeyword::Drop)),
+    ("delay", FaultKeyword::Link(LinkKeyword::Delay)),
+    ("slow", FaultKeyword::Link(LinkKeyword::Throttle)),
+    ("reset", FaultKeyword::Link(LinkKeyword::Reset)),
+    ("cut", FaultKeyword::Link(LinkKeyword::Cut)),
+    ("half-open", FaultKeyword::Link(LinkKeyword::HalfOpen)),
+    ("cut-after", FaultKeyword::Link(LinkKeyword::CutAfter)),
 ];
 
-/// The keys of a fault, each read by itself.
+/// The values of a fault's keys, not yet checked against each other.
 struct FaultFields<'t> {
-    /// The place of the fault.
+    /// The position of the fault's table in the text.
     span: Range<usize>,
-    word: Option<Located<FaultWord>>,
+    keyword: Option<Located<FaultKeyword>>,
     targets: Vec<PlacedParticipant>,
     at: Option<DurationRange>,
-    taken: Option<Located<u64>>,
-    by: Option<Located<String>>,
-    after: Option<Located<u64>>,
-    lasts: Option<DurationRange>,
+    /// The value of `taken`.
+    request_count: Option<Located<u64>>,
+    /// The value of `by`.
+    counting_node: Option<Located<String>>,
+    /// The value of `after`: the number of another fault, from 1.
+    after_fault: Option<Located<u64>>,
+    /// The value of `lasts`.
+    duration: Option<DurationRange>,
     to: Vec<Value<'t>>,
-    gradually: Option<Located<Duration>>,
+    /// The value of `gradually`.
+    recovery_time: Option<Located<Duration>>,
     directions: Directions,
     delay: Option<DurationRange>,
     bytes: Option<Located<u64>>,
 }
 
-/// Reads one fault. `fault_count` is the number of faults that the plan has.
+/// Reads one fault; `None` if it is invalid. `fault_count` is the number of faults in the plan.
 pub(super) fn read_fault(
     section: Section,
     names: &Names,
@@ -82,27 +88,33 @@
 ) -> Option<Fault> {
     let mut fields = FaultFields::read(section, names, fault_count, report);
     let trigger = fields.trigger(names, report)?;
-    let word = fields.word.as_ref()?.value;
+    let keyword = fields.keyword.as_ref()?.value;
     let to = names.resolve_all(std::mem::take(&mut fields.to), report);
-    fields.check_targets(word, report);
-    let action = match word {
-        FaultWord::Kill => FaultAction::Kill,
-        FaultWord::Restart => FaultAction::Restart,
-        FaultWord::Stop => FaultAction::Pause,
-        FaultWord::Leave => FaultAction::StopBackend,
-        FaultWord::Drain => fields.drain(to, report)?,
-        FaultWord::Link(word) => fields.disturb_links(word, to, node_kind, report)?,
+    fields.check_targets(keyword, report);
+    let action = match keyword {
+        FaultKeyword::Kill => FaultAction::Kill,
+        FaultKeyword::Restart => FaultAction::Restart,
+        FaultKeyword::Pause => FaultAction::Pause,
+        FaultKeyword::StopBackend => FaultAction::StopBackend,
+        FaultKeyword::Drain => fields.drain(to, report)?,
+        FaultKeyword::Link(keyword) => fields.disturb_links(keyword, to, node_kind, report)?,
     };
     if fields.targets.is_empty() {
         return None;
     }
-    if let (Some(gradually), false) = (&fields.gradually, matches!(word, FaultWord::Link(_))) {
-        let help = "leave it out: it says how links heal";
-        push(report, Code::Choice, gradually.span.clone(), "this fault is of no link".into(), help);
+    if let (Some(recovery_time), false) = (&fields.recovery_time, matches!(keyword, FaultKeyword::Link(_))) {
+        let help = "leave it out";
+        push(
+            report,
+            Code::Choice,
+            recovery_time.span.clone(),
+            "`gradually` applies only to faults of links".into(),
+            help,
+        );
     }
-    let recovery_time = fields.gradually.map_or(Duration::ZERO, |time| time.value);
+    let recovery_time = fields.recovery_time.map_or(Duration::ZERO, |time| time.value);
     let targets = participants(fields.targets);
-    Some(Fault { trigger, action, targets, duration: fields.lasts, recovery_time })
+    Some(Fault { trigger, action, targets, duration: fields.duration, recovery_time })
 }
 
 fn participants(placed: Vec<PlacedParticipant>) -> Vec<Participant> {
@@ -112,16 +124,16 @@
 impl<'t> FaultFields<'t> {
     fn read(mut section: Section<'t>, names: &Names, fault_count: usize, report: &mut Report) -> Self {
         let span = section.span.clone();
-        let word = section.need("do", "\"kill\"", report).and_then(|v| read::choice(v, &WORDS, report));
+        let keyword = section.need("do", "\"kill\"", report).and_then(|v| read::choice(v, &KEYWORDS, report));
         let targets = section.need("of", "[\"node-1\"]", report).and_then(|v| name_list(v, report));
         let targets = names.resolve_all(targets.unwrap_or_default(), report);
         let at = section.get("at").and_then(|v| duration_range(v, ZeroDuration::Allowed, report));
-        let taken = section.get("taken").and_then(|v| read::count(v, (1, MAX_REQUESTS), report));
-        let by = section.get("by").and_then(|v| read::text(v, report));
-        let after = section.get("after").and_then(|v| read::count(v, (1, fault_count as u64), report));
-        let lasts = section.get("lasts").and_then(|v| duration_range(v, ZeroDuration::Rejected, report));
+        let request_count = section.get("taken").and_then(|v| read::count(v, (1, MAX_REQUESTS), report));
+        let counting_node = section.get("by").and_then(|v| read::text(v, report));
+        let after_fault = section.get("after").and_then(|v| read::count(v, (1, fault_count as u64), report));
+        let duration = section.get("lasts").and_then(|v| duration_range(v, ZeroDuration::Rejected, report));
         let to = section.get("to").and_then(|v| name_list(v, report)).unwrap_or_default();
-        let gradually = section.get("gradually").and_then(|v| read::duration(v, false, report));
+        let recovery_time = section.get("gradually").and_then(|v| read::duration(v, false, report));
         let directions = [
             ("there", Directions::Only(Direction::Request)),
             ("back", Directions::Only(Direction::Response)),
@@ -135,15 +147,15 @@
         section.finish(report);
         FaultFields {
             span,
-            word,
+            keyword,
             targets,
             at,
-            taken,
-            by,
-            after,
-            lasts,
+            request_count,
+            counting_node,
+            after_fault,
+            duration,
             to,
-            gradually,
+            recovery_time,
             directions,
             delay,
             bytes,
@@ -151,48 +163,58 @@
     }
 
     fn trigger(&self, names: &Names, report: &mut Report) -> Option<FaultTrigger> {
-        match (self.at, &self.taken, &self.by, &self.after) {
+        match (self.at, &self.request_count, &self.counting_node, &self.after_fault) {
             (Some(at), None, None, None) => Some(FaultTrigger::At(at)),
             (at, None, None, Some(number)) => Some(FaultTrigger::AfterFault {
                 fault: number.value as usize - 1,
                 delay: at.unwrap_or(DurationRange::fixed(Duration::ZERO)),
             }),
-            (None, Some(taken), Some(by), None) => match names.resolve(by, report)? {
+            (None, Some(count), Some(node_name), None) => match names.resolve(node_name, report)? {
                 Participant::Named(node) if node.starts_with("node-") => {
-                    Some(FaultTrigger::AfterRequests { node, count: taken.value })
+                    Some(FaultTrigger::AfterRequests { node, count: count.value })
                 }
                 _ => {
-                    let what = "only a node takes requests".into();
-                    push(report, Code::Choice, by.span.clone(), what, "name a node");
+                    let what = "`by` must name a node".into();
+                    push(report, Code::Choice, node_name.span.clone(), what, "name a node, such as `node-1`");
                     None
                 }
             },
             _ => {
-                let help = "write `at = \"2s\"`, or `taken = 200` with `by = \"node-1\"`, or `after = 1` with or without `at`";
-                let what = "when this fault begins is not said, or twice".into();
+                let help = "write `at = \"2s\"`, `taken = 200` with `by = \"node-1\"`, \
+                            or `after = 1` with or without `at`";
+                let what = "this fault needs exactly one trigger".into();
                 push(report, Code::MissingKey, self.span.clone(), what, help);
                 None
             }
         }
     }
 
-    /// Reports targets that the fault can't concern.
-    fn check_targets(&self, word: FaultWord, report: &mut Report) {
-        let is_possible: fn(&Participant) -> bool = match word {
-            FaultWord::Leave => is_backend,
-            FaultWord::Link(_) => |target| is_node(target) || *target == Participant::Clients,
+    /// Reports targets that the fault can't apply to.
+    fn check_targets(&self, keyword: FaultKeyword, report: &mut Report) {
+        let is_possible: fn(&Participant) -> bool = match keyword {
+            FaultKeyword::StopBackend => is_backend,
+            FaultKeyword::Link(_) => |target| is_node(target) || *target == Participant::Clients,
             _ => is_node,
         };
-        let help =
-            if word == FaultWord::Leave { "name a box" } else { "name a node, or `clients` for a link" };
+        let help = if keyword == FaultKeyword::StopBackend {
+            "name a backend, such as `box-1`"
+        } else {
+            "name a node; a fault of a link may also name `clients`"
+        };
         for target in self.targets.iter().filter(|target| !is_possible(&target.participant)) {
-            push(report, Code::Choice, target.span.clone(), "this can't befall it".into(), help);
+            push(
+                report,
+                Code::Choice,
+                target.span.clone(),
+                format!("this fault does not apply to {}", target.participant),
+                help,
+            );
         }
     }
 
     fn drain(&self, to: Vec<PlacedParticipant>, report: &mut Report) -> Option<FaultAction> {
         if to.is_empty() || !to.iter().all(|to| is_backend(&to.participant)) {
-            let what = "which box drains is not said".into();
+            let what = "`to` must name the backends that drain".into();
             push(report, Code::MissingKey, self.span.clone(), what, "add `to = \"box-1\"`");
             return None;
         }
@@ -201,47 +223,47 @@
 
     fn disturb_links(
         &self,
-        word: LinkWord,
+        keyword: LinkKeyword,
         to: Vec<PlacedParticipant>,
         node_kind: &NodeKind,
         report: &mut Report,
     ) -> Option<FaultAction> {
         if to.is_empty() {
             let help = "add `to = \"box-1\"`, a node for `clients`, or `discovery`";
-            let what = "where the link leads is not said".into();
+            let what = "this fault of a link has no `to`".into();
             push(report, Code::MissingKey, self.span.clone(), what, help);
             return None;
         }
         let from_clients = self.targets.iter().any(|target| target.participant == Participant::Clients);
         for PlacedParticipant { participant, span } in &to {
             if from_clients != is_node(participant) || *participant == Participant::Clients {
-                let help = "clients connect to nodes; nodes to boxes and to discovery";
+                let help = "clients connect to nodes, and nodes connect to backends and to discovery";
                 push(report, Code::Choice, span.clone(), "there is no such link".into(), help);
             }
             if *participant == Participant::Discovery && *node_kind != NodeKind::Platform {
                 let help = "write `kind = \"platform\"` for the nodes";
-                let what = "nodes from a file call no discovery".into();
+                let what = "nodes that are started from a file do not connect to discovery".into();
                 push(report, Code::Choice, span.clone(), what, help);
             }
         }
-        let fault = self.link_fault(word, report)?;
+        let fault = self.link_fault(keyword, report)?;
         Some(FaultAction::DisturbLinks { to: participants(to), fault })
     }
 
-    fn link_fault(&self, word: LinkWord, report: &mut Report) -> Option<LinkFault> {
-        match word {
-            LinkWord::Hold => Some(LinkFault::Stall(self.directions)),
-            LinkWord::Lose => Some(LinkFault::Drop(self.directions)),
-            LinkWord::Reset => Some(LinkFault::Reset),
-            LinkWord::Cut => Some(LinkFault::Cut),
-            LinkWord::HalfOpen => Some(LinkFault::HalfOpen),
-            LinkWord::Delay => {
+    fn link_fault(&self, keyword: LinkKeyword, report: &mut Report) -> Option<LinkFault> {
+        match keyword {
+            LinkKeyword::Stall => Some(LinkFault::Stall(self.directions)),
+            LinkKeyword::Drop => Some(LinkFault::Drop(self.directions)),
+            LinkKeyword::Reset => Some(LinkFault::Reset),
+            LinkKeyword::Cut => Some(LinkFault::Cut),
+            LinkKeyword::HalfOpen => Some(LinkFault::HalfOpen),
+            LinkKeyword::Delay => {
                 let DurationRange { min, max } =
                     self.required(self.delay, "delay", "[\"20ms\", \"60ms\"]", report)?;
                 Some(LinkFault::Delay { min, jitter: max - min })
             }
-            LinkWord::Slow => Some(LinkFault::Throttle(self.required_bytes(report)?)),
-            LinkWord::CutAfter => Some(LinkFault::CutAfter(self.required_bytes(report)?)),
+            LinkKeyword::Throttle => Some(LinkFault::Throttle(self.required_bytes(report)?)),
+            LinkKeyword::CutAfter => Some(LinkFault::CutAfter(self.required_bytes(report)?)),
         }
     }
 
@@ -250,7 +272,7 @@
         self.required(bytes, "bytes", "\"16KiB\"", report)
     }
 
-    /// The value of a key that the fault needs; a missing one is reported.
+    /// A required value; a missing one is reported with an example.
     fn required<T>(&self, value: Option<T>, key: &str, example: &str, report: &mut Report) -> Option<T> {
         if value.is_none() {
             let what = format!("this fault has no `{key}`");
--- a/crates/fault-injection/src/plan_reader/names.rs
+++ b/crates/fault-injection/src/plan_reader/names.rs
@@ -1,4 +1,4 @@
-//! The names of participants in a plan.
+//! Resolves the names of participants in a plan.
 
 use super::values::push;
 use crate::plan::Participant;
@@ -8,20 +8,20 @@
 use std::ops::Range;
 use toml::de::DeValue;
 
-/// How many participants a plan has of each sort.
+/// The numbers of nodes and backends of a plan, which determine the valid names.
 pub(super) struct Names {
     pub(super) nodes: usize,
     pub(super) backends: usize,
 }
 
-/// A participant, and where the text names it.
+/// A participant, with the position of its name in the text.
 pub(super) struct PlacedParticipant {
     pub(super) participant: Participant,
     pub(super) span: Range<usize>,
 }
 
 impl Names {
-    /// The participant of a name; an unknown name is reported.
+    /// Resolves a name; an unknown one is reported.
     pub(super) fn resolve(&self, name: &Located<String>, report: &mut Report) -> Option<Participant> {
         match name.value.as_str() {
             "any-node" => return Some(Participant::AnyNode),
@@ -36,15 +36,15 @@
         if is_node || is_backend {
             return Some(Participant::Named(name.value.clone()));
         }
-        let help = format!(
-            "there are `node-1` to `node-{}`, `box-1` to `box-{}`, `any-node`, `any-box`, `clients`, `discovery`",
-            self.nodes, self.backends
-        );
-        push(report, Code::Choice, name.span.clone(), format!("nobody is called {:?}", name.value), &help);
+        let nodes = format!("`node-1` to `node-{}`", self.nodes);
+        let backends = format!("`box-1` to `box-{}`", self.backends);
+        let help =
+            format!("valid names are {nodes}, {backends}, `any-node`, `any-box`, `clients` and `discovery`");
+        push(report, Code::Choice, name.span.clone(), format!("unknown name {:?}", name.value), &help);
         None
     }
 
-    /// The participants of a list of names; faulty ones are reported and left out.
+    /// Resolves a list of names; invalid ones are reported and left out.
     pub(super) fn resolve_all(&self, names: Vec<Value>, report: &mut Report) -> Vec<PlacedParticipant> {
         let resolved = names.into_iter().filter_map(|value| {
             let text = read::text(value, report)?;
@@ -54,7 +54,7 @@
     }
 }
 
-/// The values of a list of names, which may be one name.
+/// The values of a list of names. A single string stands for a list of one.
 pub(super) fn name_list<'t>(value: Value<'t>, report: &mut Report) -> Option<Vec<Value<'t>>> {
     match value.get_ref() {
         DeValue::String(_) => Some(vec![value]),
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -1,5 +1,5 @@
-//! A process of the program: started, paused, resumed, ended and killed through a supervisor, so that none outlives the trial.
-//! Waits for what the process logs, never for time alone.
+//! Starts, pauses, resumes, terminates and kills a process through a [`supervisor`](crate::supervisor), so
+//! that no process outlives the trial. Callers wait for log lines and exits instead of fixed times.
 
 use crate::history::ResourceUsage;
 use crate::lock::lock;
@@ -11,41 +11,41 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The number of last log lines that are retained.
+/// The number of log lines that are guaranteed to be retained; older ones are discarded.
 const RETAINED_LINES: usize = 400;
-/// How long a supervisor may take to start its process.
+/// How long the supervisor may take to report that its process has started.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Variables that would change a node's configuration; a process does not inherit them.
+/// Environment variables that a process does not inherit, because they would change a node's configuration.
 const CLEARED_VARIABLES: [&str; 6] =
     ["ROUTER_CONFIG", "ROUTER_LISTEN", "ROUTER_NAME", "ROUTER_DISCOVERY", "ROUTER_CONSOLE", "TMPDIR"];
-/// The streams of a supervisor: its reports, and the process's log.
+/// The number of streams that are read from a supervisor: its reports, and the log of the process.
 const STREAMS: u32 = 2;
 
 /// The programs of a trial.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The supervisor and its arguments, after which the program and its arguments are added.
+    /// The supervisor's command line. The program to supervise and its arguments are appended.
     pub supervisor: Vec<OsString>,
     /// The program of a node.
     pub node: PathBuf,
-    /// Environment variables of nodes beside those that configure them.
+    /// Additional environment variables of nodes.
     pub variables: Vec<(OsString, OsString)>,
 }
 
-/// What is started.
+/// The command line and the environment of a process to start.
 #[derive(Clone, Debug, Default)]
 pub struct Launch {
     /// The program.
     pub program: PathBuf,
     /// Its arguments.
     pub arguments: Vec<OsString>,
-    /// Its environment variables, beside those that it inherits.
+    /// Environment variables in addition to the inherited ones.
     pub variables: Vec<(OsString, OsString)>,
     /// Its working directory.
     pub folder: PathBuf,
 }
 
-/// What is known of a process.
+/// The state of a process as its streams have shown it so far.
 #[derive(Default)]
 struct Status {
     log: Vec<String>,
@@ -75,14 +75,14 @@
     }
 }
 
-/// A process that was started. Dropping it kills it and waits for its end.
+/// A started process. Dropping it kills the process and waits for its exit.
 pub struct Process {
     shared: Arc<Shared>,
     supervisor: Child,
     commands: Option<ChildStdin>,
 }
 
-/// Reads a stream line by line until its end, on a thread of its own, whatever bytes are in it.
+/// Reads a stream line by line until its end, on a thread of its own. Invalid UTF-8 is replaced.
 fn follow(from: impl Read + Send + 'static, shared: Arc<Shared>, read_line: fn(&mut Status, String)) {
     std::thread::spawn(move || {
         let mut from = BufReader::new(from);
@@ -115,20 +115,23 @@
 }
 
 impl Process {
-    /// Starts a process, and returns once it runs.
+    /// Starts a process, and returns once the supervisor has reported its process id.
     ///
     /// # Errors
     /// The supervisor or the program can't be started.
     pub fn start(programs: &Programs, launch: &Launch) -> io::Result<Process> {
-        let (supervisor, arguments) =
-            programs.supervisor.split_first().ok_or_else(|| io::Error::other("no keeper"))?;
+        let (supervisor, arguments) = programs
+            .supervisor
+            .split_first()
+            .ok_or_else(|| io::Error::other("no supervisor command is configured"))?;
         let mut command = Command::new(supervisor);
         command.args(arguments).arg(&launch.program).args(&launch.arguments).current_dir(&launch.folder);
         for name in CLEARED_VARIABLES {
             command.env_remove(name);
         }
         command.envs(launch.variables.iter().cloned());
-        // Ctrl-C at a terminal reaches the trial alone: a supervisor ends its process when the trial has ended.
+        // In a process group of its own, the supervisor gets no Ctrl-C from the terminal: only the trial
+        // does, and the supervisor kills its process once the trial has ended.
         command.process_group(0);
         let mut supervisor =
             command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn()?;
@@ -144,14 +147,17 @@
         let started = process.wait_for(START_TIMEOUT, |status| match (&status.pid, &status.start_error) {
             (Some(_), _) => Some(Ok(())),
             (_, Some(reason)) => Some(Err(io::Error::other(reason.clone()))),
-            _ if status.ended_streams == STREAMS => Some(Err(io::Error::other("its keeper has ended"))),
+            _ if status.ended_streams == STREAMS => {
+                Some(Err(io::Error::other("the supervisor exited before the process started")))
+            }
             _ => None,
         });
-        started.unwrap_or_else(|| Err(io::Error::other("its keeper says nothing")))?;
+        started
+            .unwrap_or_else(|| Err(io::Error::other("the supervisor did not report a start within 20 s")))?;
         Ok(process)
     }
 
-    /// Waits until something is found in the status; `None` after the time-out.
+    /// Waits until `find` returns a value; `None` after the time-out.
     fn wait_for<T>(&self, timeout: Duration, mut find: impl FnMut(&Status) -> Option<T>) -> Option<T> {
         let deadline = Instant::now() + timeout;
         let mut status = self.shared.lock();
@@ -164,8 +170,8 @@
         }
     }
 
-    /// Waits for a log line, from the start on, in which something is found. `None` if the process ends before, or after the
-    /// time-out.
+    /// Waits for a log line for which `find` returns a value, starting with the oldest retained line. `None`
+    /// if the process exits before that, or after the time-out.
     pub fn wait_for_line<T>(&self, timeout: Duration, find: impl Fn(&str) -> Option<T>) -> Option<T> {
         let mut read_lines = 0;
         let found = self.wait_for(timeout, |status| {
@@ -178,23 +184,23 @@
         found.flatten()
     }
 
-    /// The process id, while it runs.
+    /// The process id; `None` once it has exited.
     pub fn pid(&self) -> Option<u32> {
         let status = self.shared.lock();
         status.pid.filter(|_| status.exit_code.is_none())
     }
 
-    /// The exit code, or a signal's number with a minus, once it has ended.
+    /// The exit code, or the negative number of the signal that ended it; `None` while it runs.
     pub fn exit_code(&self) -> Option<i32> {
         self.shared.lock().exit_code
     }
 
-    /// Waits for its end, and returns the exit code; `None` after the time-out.
+    /// Waits for its exit and returns [`Process::exit_code`]; `None` after the time-out.
     pub fn wait_for_exit(&self, timeout: Duration) -> Option<i32> {
         self.wait_for(timeout, |status| status.exit_code)
     }
 
-    /// The last lines of its log.
+    /// The last lines that it logged, at most 400.
     pub fn log(&self) -> Vec<String> {
         let status = self.shared.lock();
         status.log[status.log.len().saturating_sub(RETAINED_LINES)..].to_vec()
@@ -202,7 +208,7 @@
 
     fn command(&mut self, word: &str) {
         if let Some(commands) = &mut self.commands {
-            // A supervisor that has exited has ended its process before.
+            // Fails only if the supervisor has exited, which it does after its process.
             let _ = commands.write_all(format!("{word}\n").as_bytes()).and_then(|()| commands.flush());
         }
     }
@@ -232,7 +238,7 @@
         self.command("kill");
     }
 
-    /// Its resources now; `None` if it does not run.
+    /// Its current resources; `None` if it does not run.
     pub fn resource_usage(&self) -> Option<ResourceUsage> {
         let folder = PathBuf::from(format!("/proc/{}", self.pid()?));
         let descriptors = std::fs::read_dir(folder.join("fd")).ok()?.count() as u64;
@@ -244,7 +250,7 @@
         Some(ResourceUsage { descriptors, threads: figure("Threads")?, memory_kib: figure("VmRSS")? })
     }
 
-    /// Whether the system has paused it: state `T`.
+    /// Whether the system shows it as stopped: state `T` in `/proc`.
     pub fn is_paused(&self) -> bool {
         let stat = self.pid().and_then(|pid| std::fs::read_to_string(format!("/proc/{pid}/stat")).ok());
         stat.is_some_and(|stat| stat.rsplit(") ").next().is_some_and(|state| state.starts_with('T')))
@@ -253,7 +259,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // The supervisor kills the process at the end of its input.
+        // Closing its standard input has the supervisor kill the process.
         self.commands = None;
         let _ = self.supervisor.wait();
     }
--- a/crates/fault-injection/src/process_folder.rs
+++ b/crates/fault-injection/src/process_folder.rs
@@ -1,22 +1,22 @@
-//! The folder of a process, and in what condition the next start finds it.
+//! The working folder of a process, and the condition in which the next start of the process finds it.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// In what condition a folder is left for the next start of its process.
+/// The condition of a folder at the next start of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FolderCondition {
-    /// As the process left it.
+    /// All files as the process left them.
     Unchanged,
-    /// Without files.
+    /// No files.
     Empty,
-    /// As it was at the last [`ProcessFolder::take_snapshot`].
+    /// The files of the last [`ProcessFolder::take_snapshot`]; no files if there was none.
     Snapshot,
-    /// With every second file only, and of each of those the first half.
+    /// Every second file of each folder deleted, and the others truncated to half their length.
     Damaged,
 }
 
-/// A process's own folder.
+/// The working folder of a process.
 #[derive(Debug)]
 pub struct ProcessFolder {
     path: PathBuf,
@@ -24,22 +24,22 @@
 }
 
 impl ProcessFolder {
-    /// A new one within another folder.
+    /// Creates a folder within `parent`, unless it is there already.
     ///
     /// # Errors
-    /// It can't be made.
+    /// It can't be created.
     pub fn new(parent: &Path, name: &str) -> io::Result<Self> {
         let (path, snapshot) = (parent.join(name), parent.join(format!("{name}.copy")));
         std::fs::create_dir_all(&path)?;
         Ok(ProcessFolder { path, snapshot })
     }
 
-    /// Its path.
+    /// The path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Copies it as it is now, in place of an earlier snapshot.
+    /// Copies the folder as it is now. Replaces an earlier snapshot.
     ///
     /// # Errors
     /// A file can't be copied.
@@ -48,7 +48,7 @@
         copy_recursively(&self.path, &self.snapshot)
     }
 
-    /// Brings it into a condition for the next start. Its process must not run.
+    /// Prepares the folder for the next start. The process must not run.
     ///
     /// # Errors
     /// A file can't be copied, removed or truncated.
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -1,6 +1,6 @@
-//! A relay for one directed link: clients reach the target through it, and its faults are injected here. Bytes that are in the
-//! relay when a link breaks are lost; those that it holds back continue when the fault is over. It reads nothing of what it
-//! carries.
+//! A TCP relay for one directed link: clients connect to the target through it, and link faults are injected
+//! here. Bytes that are in the relay when a connection is reset are lost; bytes that a stall holds back are
+//! delivered after it. The content is not parsed.
 
 mod link_faults;
 mod pump;
@@ -20,11 +20,11 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// How long a target on this machine that accepts connections takes at most.
+/// How long a target on this machine takes at most to accept a connection, unless it accepts none.
 const CONNECT_TIME: Duration = Duration::from_millis(100);
-/// How often it is checked whether a client that waits for its connection has left.
+/// The poll interval for the departure of a client whose connection the target has not accepted yet.
 const DISCONNECT_POLL: Duration = Duration::from_millis(2);
-/// How soon a port that could not be bound is tried again.
+/// The time between two attempts to bind the port again after a cut.
 const BIND_RETRY: Duration = Duration::from_millis(5);
 
 struct Shared {
@@ -34,9 +34,9 @@
     on_connect: Box<dyn Fn() + Send + Sync>,
 }
 
-/// A link. Dropping it closes all its connections.
+/// A relayed link. Dropping it closes its listener and all its connections.
 pub struct Relay {
-    /// Where clients of the link connect.
+    /// The address that clients of the link connect to.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     last_fault: Mutex<LinkFaultId>,
@@ -44,10 +44,11 @@
 }
 
 impl Relay {
-    /// A link to a target, without faults. `on_connect` is called for each connection that the target has accepted.
+    /// Starts a relay to a target, without faults. `on_connect` is called for each connection that the target
+    /// accepts.
     ///
     /// # Errors
-    /// There is no port to listen on.
+    /// No port of loopback can be bound.
     pub async fn start(
         target: SocketAddr,
         on_connect: impl Fn() + Send + Sync + 'static,
@@ -64,12 +65,12 @@
         Ok(Relay { address, shared, last_fault: Mutex::default(), _task: task })
     }
 
-    /// New connections lead to another target from now on.
+    /// Sets the target of new connections. Open ones keep theirs.
     pub fn set_target(&self, target: SocketAddr) {
         *lock(&self.shared.target) = target;
     }
 
-    /// Injects a fault, beside others that there may be. Returns what ends it.
+    /// Injects a fault in addition to those that are active. Returns its id for [`Relay::heal`].
     pub fn inject(&self, fault: LinkFault) -> LinkFaultId {
         let mut last = lock(&self.last_fault);
         let id = last.next();
@@ -78,12 +79,12 @@
         id
     }
 
-    /// Whether it has no fault.
+    /// Whether no fault is active.
     pub fn is_healthy(&self) -> bool {
         self.shared.faults.borrow().is_empty()
     }
 
-    /// Ends a fault.
+    /// Ends a fault. Does nothing if it is not active.
     pub fn heal(&self, id: LinkFaultId) {
         self.shared.faults.send_modify(|faults| faults.remove(id));
     }
@@ -120,7 +121,7 @@
     }
 }
 
-/// Makes the close of a connection a reset.
+/// Makes the next close of a connection send a reset (a linger time of zero).
 fn reset(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
@@ -145,7 +146,8 @@
     let Ok(target) = connected else { return reset(&client) };
     let _ = target.set_nodelay(true);
     (shared.on_connect)();
-    // Descriptors of its own, to reset the connections whoever has the halves.
+    // Duplicated descriptors, as the halves of the streams are moved into the pumps: with them the linger
+    // time can still be set before the sockets are closed.
     let duplicate = |stream: &TcpStream| socket2::SockRef::from(stream).try_clone();
     let handles = [duplicate(&client), duplicate(&target)];
     if pump_both_ways(client, target, faults, resets).await == PumpEnd::Broken {
@@ -155,9 +157,10 @@
     }
 }
 
-/// Waits until a client leaves that waits for its connection: the relay had to accept before the target could.
-/// One that only closes its side at once, after all that it sends, has not left: a target that accepts does so before this
-/// looks.
+/// Waits until a client gives up while the target has not accepted its connection yet. The relay has accepted
+/// the client before it connects to the target, so the client sees an open connection. The first check is
+/// delayed because a client that half-closes right after its request has not given up; a target that accepts
+/// has done so by then.
 async fn wait_for_departure(client: &TcpStream) {
     sleep(CONNECT_TIME).await;
     while !client.ready(Interest::READABLE).await.is_ok_and(|ready| ready.is_read_closed()) {
@@ -165,7 +168,7 @@
     }
 }
 
-/// Carries both directions until both have ended, or one is broken, or the link is reset.
+/// Forwards both directions until both have ended, one is broken, or the link is reset.
 async fn pump_both_ways(
     client: TcpStream,
     target: TcpStream,
--- a/crates/fault-injection/src/relay/link_faults.rs
+++ b/crates/fault-injection/src/relay/link_faults.rs
@@ -1,12 +1,13 @@
-//! The faults of a link at a moment, and what they mean together for its bytes.
+//! The active faults of a link, and their combined effect on its bytes.
 
 use crate::plan::{Direction, LinkFault};
 use std::time::Duration;
 
-/// Multiples of it lie evenly in any range, without a pattern that a protocol could fall into step with.
+/// The fractional parts of its multiples are spread evenly over 0 to 1 without a period that a protocol could
+/// synchronize with.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
-/// Names a fault of a link, to end it.
+/// The id of an injected fault, with which it is ended. Unique within its link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkFaultId(u64);
 
@@ -16,11 +17,11 @@
     }
 }
 
-/// The faults of a link now.
+/// The faults that are active on a link.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LinkFaults {
     active: Vec<(LinkFaultId, LinkFault)>,
-    /// Increased whenever open connections are to be reset.
+    /// A counter that is increased whenever open connections must be reset.
     resets: u64,
 }
 
@@ -33,7 +34,7 @@
     }
 
     pub(super) fn remove(&mut self, id: LinkFaultId) {
-        // A connection that has lost bytes carries nothing that could still be understood.
+        // Bytes are missing from its open connections, so they can't continue.
         let is_lossy = |fault: &LinkFault| matches!(fault, LinkFault::Drop(_) | LinkFault::HalfOpen);
         let lost_bytes = self.active.iter().any(|(known, fault)| *known == id && is_lossy(fault));
         self.resets += u64::from(lost_bytes);
@@ -44,7 +45,8 @@
         self.active.is_empty()
     }
 
-    /// How often open connections were to be reset so far.
+    /// The counter of resets of open connections. A connection is reset once it differs from when it was
+    /// opened.
     pub(super) fn resets(&self) -> u64 {
         self.resets
     }
@@ -65,7 +67,7 @@
         self.any(|fault| matches!(fault, LinkFault::Drop(directions) if directions.contain(direction)))
     }
 
-    /// The delay of a chunk by its number in its direction: spread evenly over the range, and the same in each run.
+    /// The delay of a chunk, by its number in its direction. Deterministic, and spread evenly over the range.
     pub(super) fn delay(&self, chunk_number: u64) -> Duration {
         let part = (chunk_number as f64 * GOLDEN_RATIO).fract();
         let delay_of = |fault: &LinkFault| match fault {
@@ -75,12 +77,12 @@
         self.active.iter().map(|(_, fault)| delay_of(fault)).sum()
     }
 
-    /// The lowest limit of throughput, bytes a second.
+    /// The lowest throughput limit, in bytes per second.
     pub(super) fn throttle(&self) -> Option<u64> {
         self.min(|fault| if let LinkFault::Throttle(rate) = fault { Some(*rate) } else { None })
     }
 
-    /// After how many more bytes of responses connections are reset.
+    /// After how many further response bytes a connection is reset, the least of all active faults.
     pub(super) fn cut_after(&self) -> Option<u64> {
         self.min(|fault| if let LinkFault::CutAfter(bytes) = fault { Some(*bytes) } else { None })
     }
--- a/crates/fault-injection/src/relay/pump.rs
+++ b/crates/fault-injection/src/relay/pump.rs
@@ -1,4 +1,4 @@
-//! Carries the bytes of one direction of a connection, subject to the faults of the link.
+//! Forwards the bytes of one direction of a connection, subject to the faults of the link.
 
 use super::link_faults::LinkFaults;
 use crate::plan::Direction;
@@ -9,29 +9,30 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// The largest chunk that is read at once, in bytes.
+/// The size of the read buffer, and so the largest chunk, in bytes.
 const CHUNK: usize = 16 << 10;
-/// Chunks that may be in flight in one direction. Beyond that the sender is held back, as by a full window.
+/// The number of chunks that may be queued in one direction. Beyond that the relay stops reading, so that the
+/// sender is subject to backpressure, as with a full TCP window.
 const MAX_IN_FLIGHT: usize = 64;
-/// A throttled direction writes the bytes of this part of a second at once.
+/// A throttled direction writes in portions of this part of a second.
 const THROTTLE_PARTS: u64 = 20;
 
 /// How one direction ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum PumpEnd {
-    /// Its sender has closed, and the close was passed on.
+    /// The sender has closed its side, and the close was forwarded.
     Complete,
-    /// In another way.
+    /// With an error, or by a fault of the link.
     Broken,
 }
 
-/// Bytes, and when they are due at the receiver.
+/// Bytes that were read, and when they are to be written.
 struct Chunk {
     due: Instant,
     bytes: Vec<u8>,
 }
 
-/// Carries one direction: each chunk is read on arrival, and written when it is due.
+/// Forwards one direction: reads each chunk on arrival, and writes it when it is due.
 pub(super) async fn pump(
     from: OwnedReadHalf,
     to: OwnedWriteHalf,
@@ -41,7 +42,8 @@
     let (chunks, due_chunks) = mpsc::channel::<Chunk>(MAX_IN_FLIGHT);
     let reader = read_chunks(from, chunks, faults.clone(), direction);
     let writer = Writer { to, faults, direction, written: 0, cut_at: None };
-    // An end of the reader lets the writer drain what is in flight; an end of the writer leaves no receiver to read for.
+    // After the end of the reader the writer still writes the queued chunks. After the end of the writer
+    // nothing can be delivered, so the reader is dropped.
     let (mut reader, mut writer) = (pin!(reader), pin!(writer.write_chunks(due_chunks)));
     let mut reader_ended = false;
     loop {
@@ -85,16 +87,17 @@
     to: OwnedWriteHalf,
     faults: watch::Receiver<LinkFaults>,
     direction: Direction,
-    /// Bytes so far.
+    /// The number of bytes written so far.
     written: u64,
-    /// After how many bytes the connection is reset.
+    /// The value of `written` at which a fault resets the connection; `None` without such a fault.
     cut_at: Option<u64>,
 }
 
 impl Writer {
     async fn write_chunks(mut self, mut chunks: mpsc::Receiver<Chunk>) -> PumpEnd {
         while let Some(Chunk { due, bytes }) = chunks.recv().await {
-            // The runtime's timer is exact to a millisecond or two, which undelayed chunks would pay as well.
+            // Chunks without a delay skip the sleep: the runtime's timer would delay them by a millisecond or
+            // two.
             if due > Instant::now() {
                 sleep_until(due).await;
             }
@@ -119,7 +122,7 @@
                 let now = self.faults.borrow();
                 (now.throttle(), now.cut_after().filter(|_| direction == Direction::Response))
             };
-            // Counted from the start of the fault, not from the start of the connection.
+            // Bytes are counted from the start of the fault, not of the connection.
             self.cut_at = cut_after.map(|bytes| self.cut_at.unwrap_or(self.written + bytes));
             let until_cut = self.cut_at.map_or(usize::MAX, |at| (at - self.written.min(at)) as usize);
             let at_once = throttle.map_or(rest.len(), |rate| (rate / THROTTLE_PARTS).max(1) as usize);
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -1,5 +1,5 @@
-//! A run as one page that needs nothing else: the verdict, a timeline of faults over what was served, rejected, late and failed,
-//! tables of nodes and backends, and the evidence of each violation. Judges nothing.
+//! Renders a run as a self-contained HTML page: the verdict, charts of the outcomes of attempts with the
+//! faults as a timeline, tables of nodes and backends, and the entries that show each violation.
 
 mod charts;
 
@@ -12,17 +12,17 @@
 use std::fmt::{self, Write};
 use std::io;
 
-/// Violations that are shown with their evidence; the others are counted.
+/// The number of violations that are shown with their evidence; further ones are only counted.
 const MAX_SHOWN_VIOLATIONS: usize = 10;
 
-/// The outcomes of attempts, in the order of their columns and curves.
-const OUTCOMES: [&str; 4] = ["served", "refused", "failed", "no answer"];
+/// The names of the outcomes of attempts, in the order of table columns and curves.
+const OUTCOMES: [&str; 4] = ["served", "rejected", "failed", "no response"];
 
-/// How many attempts had each of the [`OUTCOMES`].
+/// The number of attempts with each of the [`OUTCOMES`].
 type OutcomeCounts = [u64; OUTCOMES.len()];
 
 quick_error! {
-    /// Why a page can't be made.
+    /// Why a page can't be rendered.
     #[derive(Debug)]
     pub enum ReportError {
         /// A chart can't be drawn.
@@ -31,7 +31,7 @@
             display("{source}")
             source(source)
         }
-        /// The text can't be written.
+        /// The HTML can't be formatted.
         Text(source: fmt::Error) {
             from()
             display("{source}")
@@ -54,7 +54,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// An entry of a history as a line of text.
+/// An entry of a history as one line of text: its time, its source, and its fields under their stored names.
 pub fn entry_text(entry: &Entry) -> String {
     let fields = serde_json::to_value(&entry.event).unwrap_or_default();
     let mut words = vec![fields["what"].as_str().unwrap_or_default().replace('-', " ")];
@@ -64,7 +64,7 @@
     format!("{:9.3} s  {:<10} {}", entry.at_us as f64 / 1e6, entry.source, words.join(", "))
 }
 
-/// The entries that show a violation, as lines of text.
+/// The entries that show a violation, each as [`entry_text`].
 pub fn evidence_lines(history: &History, violation: &Violation) -> Vec<String> {
     violation.evidence.iter().filter_map(|index| history.entries.get(*index)).map(entry_text).collect()
 }
@@ -73,14 +73,15 @@
     share.map_or("–".into(), |share| format!("{:.1}%", 100.0 * share))
 }
 
-/// A summary of service in a line.
+/// A service summary in one line.
 pub fn summary_text(summary: &ServiceSummary) -> String {
     let recovery = match summary.recovered_after_ms {
-        Some(ms) => format!("whole again after {ms} ms"),
-        None => "not whole again".into(),
+        Some(ms) => format!("recovered after {ms} ms"),
+        None => "not recovered".into(),
     };
     format!(
-        "served {} before, {} during, {} after; {recovery}; worst second at a box {}",
+        "served {} before, {} during, {} after the faults; {recovery}; \
+         at most {} requests per second at one backend",
         percent(Some(summary.before)),
         percent(summary.during),
         percent(summary.after),
@@ -108,7 +109,10 @@
         Verdict::Passed => "passed".to_string(),
         Verdict::Failed { violations } => format!("failed: {} violations", violations.len()),
         Verdict::NoVerdict { late_ms, max_lateness_ms } => {
-            format!("no verdict: the rig was late by {late_ms} ms, {max_lateness_ms} ms are borne")
+            format!(
+                "no verdict: timers of the trial were up to {late_ms} ms late, \
+                 the plan allows {max_lateness_ms} ms"
+            )
         }
     };
     write!(
@@ -129,8 +133,8 @@
         nodes.entry(&attempt.node).or_default()[outcome_index(attempt)] += 1;
     }
     let rows: Vec<_> = nodes.into_iter().map(|(node, counts)| (node.to_string(), counts.to_vec())).collect();
-    write_table(page, "Tries by node", &rows, &OUTCOMES)?;
-    // Executions and connections.
+    write_table(page, "Attempts by node", &rows, &OUTCOMES)?;
+    // The numbers of executions and connections.
     let mut targets: BTreeMap<&str, [u64; 2]> = BTreeMap::new();
     for entry in &history.entries {
         match &entry.event {
@@ -141,7 +145,7 @@
     }
     let rows: Vec<_> =
         targets.into_iter().map(|(name, counts)| (name.to_string(), counts.to_vec())).collect();
-    write_table(page, "At boxes and discovery", &rows, &["began", "connections"])
+    write_table(page, "Backends and discovery", &rows, &["executions", "connections"])
 }
 
 fn write_violations(page: &mut String, history: &History, violations: &[Violation]) -> fmt::Result {
@@ -157,7 +161,7 @@
     Ok(())
 }
 
-/// The page of a run, as HTML.
+/// The HTML page of a run.
 ///
 /// # Errors
 /// A chart can't be drawn.
--- a/crates/fault-injection/src/report/charts.rs
+++ b/crates/fault-injection/src/report/charts.rs
@@ -1,4 +1,4 @@
-//! The charts of a page, as SVG.
+//! The charts of a report page, as SVG.
 
 use super::{OUTCOMES, OutcomeCounts, ReportError, outcome_index};
 use crate::checkers::Attempts;
@@ -8,23 +8,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// The time that a point of a curve stands for, µs.
+/// The time between two points of a curve, µs.
 const STEP_US: u64 = 250_000;
-/// Nodes that get a chart of their own; all are in the table.
+/// The number of nodes with a chart of their own. The table has all nodes.
 const MAX_NODE_CHARTS: usize = 12;
 /// The colours of the [`OUTCOMES`].
 const OUTCOME_COLOURS: [RGBColor; OUTCOMES.len()] =
     [RGBColor(30, 130, 76), RGBColor(200, 140, 20), RGBColor(190, 40, 40), RGBColor(90, 60, 150)];
-/// The width of a chart, and of the parts beside its curves, in pixels.
+/// The width of a chart, in pixels.
 const WIDTH: u32 = 960;
-const LEFT: f64 = 60.0;
-const RIGHT: f64 = 10.0;
-/// The height of a fault's row, in pixels.
-const FAULT_ROW: u32 = 18;
-/// Multiples of it, as hues, are easy to tell apart.
+/// The widths of the margins beside the plot area, in pixels.
+const LEFT_MARGIN: f64 = 60.0;
+const RIGHT_MARGIN: f64 = 10.0;
+/// The height of the row of a fault, in pixels.
+const FAULT_ROW_HEIGHT: u32 = 18;
+/// The hue of each curve differs from the one before by this, close to the golden ratio, so that hues are
+/// distinct.
 const HUE_STEP: f64 = 0.618;
 
-/// A fault of the timeline.
+/// A fault on the timeline.
 struct FaultBar {
     from_us: u64,
     to_us: u64,
@@ -45,14 +47,14 @@
     last: u64,
 }
 
-/// What is drawn in one chart.
+/// The contents of one chart.
 struct Chart<'a> {
     title: &'a str,
     curves: Vec<Curve>,
     steps: StepRange,
-    /// The height without the faults, in pixels.
+    /// The height without the timeline of faults, in pixels.
     height: u32,
-    /// The faults below the curves.
+    /// The faults of the timeline below the curves.
     faults: &'a [FaultBar],
 }
 
@@ -74,7 +76,7 @@
     bars.into_values().collect()
 }
 
-/// The outcomes of attempts by the step in which they were sent, a curve each; of one node or of all.
+/// A curve for each outcome: the attempts with it by the step in which they were sent, of one node or of all.
 fn outcome_curves(attempts: &Attempts, node: Option<&str>) -> Vec<Curve> {
     let mut steps: BTreeMap<u64, OutcomeCounts> = BTreeMap::new();
     let sent = attempts.by_id.values().filter(|attempt| node.is_none_or(|node| attempt.node == node));
@@ -89,7 +91,7 @@
     (0..OUTCOMES.len()).map(curve).collect()
 }
 
-/// Requests that backends start, a curve each.
+/// A curve for each backend: the executions that it started by step.
 fn backend_curves(history: &History) -> Vec<Curve> {
     let mut backends: BTreeMap<&str, BTreeMap<u64, u64>> = BTreeMap::new();
     for entry in &history.entries {
@@ -120,7 +122,7 @@
         let (height, faults) = (self.height, self.faults);
         let mut svg = String::new();
         {
-            let size = (WIDTH, height + FAULT_ROW * faults.len() as u32);
+            let size = (WIDTH, height + FAULT_ROW_HEIGHT * faults.len() as u32);
             let area = SVGBackend::with_string(&mut svg, size).into_drawing_area();
             area.fill(&WHITE)?;
             let (upper, lower) = area.split_vertically(height);
@@ -154,16 +156,16 @@
     }
 }
 
-/// Draws a bar for each fault, a row each.
+/// Draws the timeline: a bar for each fault, one a row.
 fn draw_faults(area: &Area, faults: &[FaultBar], seconds: &Range<f64>) -> Result<(), ReportError> {
-    let width = f64::from(WIDTH) - LEFT - RIGHT;
+    let width = f64::from(WIDTH) - LEFT_MARGIN - RIGHT_MARGIN;
     let x = |at_us: u64| {
         let part = (at_us as f64 / 1e6 - seconds.start) / (seconds.end - seconds.start);
-        (LEFT + width * part.clamp(0.0, 1.0)) as i32
+        (LEFT_MARGIN + width * part.clamp(0.0, 1.0)) as i32
     };
     for (row, FaultBar { from_us, to_us, text }) in faults.iter().enumerate() {
         let (left, right) = (x(*from_us), x(*to_us));
-        let y = 4 + FAULT_ROW as i32 * row as i32;
+        let y = 4 + FAULT_ROW_HEIGHT as i32 * row as i32;
         let corners = [(left, y), (right.max(left + 2), y + 12)];
         area.draw(&Rectangle::new(corners, RED.mix(0.3).filled()))?;
         area.draw(&Text::new(text.clone(), (left + 4, y), ("sans-serif", 12)))?;
@@ -171,20 +173,22 @@
     Ok(())
 }
 
-/// All charts: of all nodes with the faults, of each node, and of the backends. None for a history without attempts.
+/// All charts: of all nodes together with the faults, of single nodes, and of the backends. Empty for a
+/// history without attempts.
 pub(super) fn charts(history: &History, attempts: &Attempts) -> Result<String, ReportError> {
     let curves = outcome_curves(attempts, None);
     let sent_in = || curves[0].points.keys().copied();
     let (Some(first), Some(last)) = (sent_in().min(), sent_in().max()) else { return Ok(String::new()) };
     let steps = StepRange { first, last };
     let faults = fault_bars(history);
-    let mut page = Chart { title: "tries a second", curves, steps, height: 300, faults: &faults }.draw()?;
+    let mut page =
+        Chart { title: "attempts per second", curves, steps, height: 300, faults: &faults }.draw()?;
     let nodes: BTreeSet<&str> = attempts.by_id.values().map(|attempt| attempt.node.as_str()).collect();
     for node in nodes.into_iter().take(MAX_NODE_CHARTS) {
         let curves = outcome_curves(attempts, Some(node));
         page += &Chart { title: node, curves, steps, height: 150, faults: &[] }.draw()?;
     }
     let curves = backend_curves(history);
-    page += &Chart { title: "begun at boxes", curves, steps, height: 220, faults: &[] }.draw()?;
+    page += &Chart { title: "executions per second", curves, steps, height: 220, faults: &[] }.draw()?;
     Ok(page)
 }
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -1,5 +1,5 @@
-//! One run of a plan: the fleet is started, traffic goes, faults are injected when they are due, everything ends, and what was
-//! recorded becomes one history. Judges nothing.
+//! Executes one run of a plan: starts the fleet, sends requests, injects each fault when it is due, shuts
+//! down, and returns the recorded history. Does not judge it.
 
 use crate::client_load::{ConnectionPool, LoadSource};
 use crate::error::RunError;
@@ -15,32 +15,32 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How often it is checked whether a fault that waits for requests is due.
+/// The poll interval of a fault that is triggered by a number of requests.
 const TRIGGER_POLL: Duration = Duration::from_millis(2);
 /// How long nodes may take to release resources once traffic has ended.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(4);
-/// The threads of the clients, links and backends.
+/// The number of threads that run the clients, links and backends.
 const WORKER_THREADS: usize = 2;
-/// How long tasks that are left at the end of a run may take.
+/// How long tasks that still run at the end may take to finish.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a run has produced.
+/// The result of a run.
 pub struct RunOutput {
-    /// What was recorded.
+    /// All that was recorded, sorted by time.
     pub history: History,
-    /// The last log lines of the nodes, by name.
+    /// The name and the last log lines of each node.
     pub logs: Vec<(String, Vec<String>)>,
 }
 
-/// Runs a plan with everything random in it drawn by a seed.
+/// Runs a plan. The seed determines all random choices of the plan.
 ///
 /// # Errors
-/// The run could not take place.
+/// The fleet can't be started, or a node can't be restarted or notified during the run.
 pub fn run_plan(plan: &Plan, seed: u64, programs: &Programs) -> Result<RunOutput, RunError> {
     let plan = plan.draw(seed);
     let runtime =
         tokio::runtime::Builder::new_multi_thread().worker_threads(WORKER_THREADS).enable_all().build();
-    let runtime = runtime.map_err(|e| RunError::System("a runtime", e))?;
+    let runtime = runtime.map_err(|e| RunError::System("create the async runtime", e))?;
     let output = runtime.block_on(run_drawn_plan(&plan, seed, programs));
     runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
     output
@@ -102,7 +102,7 @@
     let ended = tokio::task::spawn_blocking(move || {
         fleet.measure_resources(RELEASE_TIMEOUT);
         let logs = fleet.logs();
-        // At once, as each may take as long as its slowest response.
+        // In parallel, as each may take as long as its slowest response.
         std::thread::scope(|scope| {
             for node in fleet.nodes() {
                 scope.spawn(|| fleet.terminate(node));
@@ -119,7 +119,7 @@
     fault: Fault,
     /// Its index in the plan.
     index: usize,
-    /// When each fault of the plan began.
+    /// When each fault of the plan began, by index; `None` until then.
     starts: Arc<Vec<watch::Sender<Option<Instant>>>>,
     traffic_ended: watch::Receiver<bool>,
 }
@@ -137,7 +137,7 @@
         result
     }
 
-    /// Waits until the fault is due. `false` if traffic ends before.
+    /// Waits until the fault is due. Returns `false` if traffic ends before that.
     async fn wait_until_due(&self) -> bool {
         let due = async {
             match &self.fault.trigger {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Waits until the fault is over: after its duration, or when traffic has ended.
+    /// Waits until the fault is over: until its duration has passed or traffic has ended, whichever is first.
     async fn wait_for_end(&self) {
         let mut traffic_ended = self.traffic_ended.clone();
         match self.fault.duration {
@@ -222,7 +222,7 @@
             let backends = backends.iter().filter_map(|backend| self.fleet.find_backend(backend));
             pairs.extend(backends.map(|backend| (*node, backend)));
         }
-        // All are notified; the first error is returned.
+        // A failed notification does not keep the others from being sent; the first error is returned.
         let mut result = Ok(());
         for (node, backend) in &pairs {
             let notified = self.fleet.notify_drain_state(node, *backend, DrainState::Draining).await;
@@ -263,8 +263,8 @@
     }
 }
 
-/// Does something with several nodes at once, each on a thread of its own: none waits for the pause or the end of another. The
-/// runtime's other threads go on.
+/// Runs a blocking action for several nodes in parallel, a thread each, so that the fault begins at all of
+/// them at once. The runtime's other threads continue.
 fn for_each_node(nodes: &[&Node], action: impl Fn(&Node) + Sync) {
     tokio::task::block_in_place(|| {
         std::thread::scope(|scope| {
@@ -275,7 +275,7 @@
     });
 }
 
-/// Starts nodes again, from nothing but their files.
+/// Restarts nodes from the files that are left in their folders, and waits until they are ready.
 fn start_again(fleet: &Fleet, nodes: &[&Node]) -> Result<(), RunError> {
     tokio::task::block_in_place(|| {
         nodes.iter().try_for_each(|node| fleet.launch(node))?;
--- a/crates/fault-injection/src/shipped.rs
+++ b/crates/fault-injection/src/shipped.rs
@@ -1,6 +1,6 @@
-//! The plans that come with the program, from `deploy/trials`.
+//! The built-in plans, compiled in from `deploy/trials`.
 
-/// The plans as TOML, each with its name.
+/// The name and the TOML text of each built-in plan.
 pub const PLANS: [(&str, &str); 10] = [
     ("killed", include_str!("../../../deploy/trials/killed.toml")),
     ("stalled", include_str!("../../../deploy/trials/stalled.toml")),
@@ -14,7 +14,7 @@
     ("draws", include_str!("../../../deploy/trials/draws.toml")),
 ];
 
-/// The TOML of a plan, by its name.
+/// The TOML text of the built-in plan of this name; `None` if there is none.
 pub fn plan_text(name: &str) -> Option<&'static str> {
     PLANS.iter().find(|(known, _)| *known == name).map(|(_, text)| *text)
 }
--- a/crates/fault-injection/src/shrink.rs
+++ b/crates/fault-injection/src/shrink.rs
@@ -1,15 +1,15 @@
-//! Looks for the smallest plan that still fails: without faults, nodes, backends and time that are not needed for it. Runs nothing
-//! itself; its caller says whether a plan still fails.
+//! Reduces a failing plan: removes faults, clients, nodes, backends and time for as long as the plan still
+//! fails. Does not run plans itself: a callback tells whether a plan fails.
 
 use crate::plan::{DurationRange, Fault, FaultAction, FaultTrigger, Participant, Plan};
 use std::time::Duration;
 
-/// The shortest that traffic becomes.
+/// Traffic is shortened only while half of it is at least this long.
 const MIN_TRAFFIC: Duration = Duration::from_secs(1);
 
-/// A plan that is a step smaller.
+/// A plan that is smaller by one step.
 struct Candidate {
-    /// What was changed, in words.
+    /// The reduction, as shown to the operator.
     step: String,
     plan: Plan,
 }
@@ -22,7 +22,8 @@
     fault.targets.iter().chain(to)
 }
 
-/// The highest number of a node or a backend that the faults name; 1 if they name none.
+/// The highest number of a node or backend that the faults name, by the prefix of its name; 1 if they name
+/// none.
 fn highest_number(plan: &Plan, prefix: &str) -> usize {
     let number = |name: &str| name.strip_prefix(prefix).and_then(|number| number.parse().ok());
     let named = plan.faults.iter().flat_map(participants).filter_map(|participant| match participant {
@@ -36,7 +37,8 @@
     named.chain(triggering).max().unwrap_or(1)
 }
 
-/// A plan without one of its faults; those that waited for it begin when they would have.
+/// The plan without one fault. Faults that were triggered by it start at the same time as before, if that is
+/// known; otherwise their delay counts from the start of traffic.
 fn without_fault(plan: &Plan, index: usize) -> Plan {
     let mut smaller = plan.clone();
     let removed = smaller.faults.remove(index);
@@ -58,7 +60,8 @@
     smaller
 }
 
-/// Plans that are a step smaller, the largest steps first.
+/// The plans that are smaller by one step: without a fault, without a client group, with fewer nodes, fewer
+/// backends, or shorter traffic, in this order.
 fn candidates(plan: &Plan) -> Vec<Candidate> {
     let mut all = Vec::new();
     for (index, fault) in plan.faults.iter().enumerate() {
@@ -91,8 +94,9 @@
     all
 }
 
-/// Shrinks a drawn plan for as long as `fails` returns true for a smaller one, within so many runs. `on_step` gets each step
-/// that was kept, in words.
+/// Shrinks a drawn plan greedily: takes the first smaller plan for which `fails` returns true, until there is
+/// none or `fails` was called `max_runs` times. `on_step` is called with a description of each reduction that
+/// was kept.
 pub fn shrink(
     plan: &Plan,
     max_runs: usize,
--- a/crates/fault-injection/src/shrink/tests.rs
+++ b/crates/fault-injection/src/shrink/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `shrink`, which see its private items.
+//! Tests of `shrink` that use its private items.
 
 use super::*;
 use crate::plan_reader;
@@ -8,10 +8,10 @@
 }
 
 #[test]
-fn what_a_failure_does_not_need_is_removed_and_what_waited_for_it_keeps_its_time() {
+fn unneeded_parts_are_removed_and_faults_triggered_by_a_removed_fault_keep_their_start() {
     let fails = |plan: &Plan| {
-        let stop = plan.faults.iter().any(|fault| fault.action == FaultAction::Pause);
-        stop && plan.clients.iter().any(|clients| clients.class == "correct")
+        let has_pause = plan.faults.iter().any(|fault| fault.action == FaultAction::Pause);
+        has_pause && plan.clients.iter().any(|clients| clients.class == "correct")
     };
     let mut steps = 0;
     let small = shrink(&plan(), 100, fails, |_| steps += 1);
@@ -23,7 +23,7 @@
         "{:?} {steps}",
         small.traffic_duration
     );
-    // The bound on runs holds, and a plan that did not fail is never the result.
+    // `max_runs` is respected, and a plan that did not fail is never returned.
     assert_eq!(shrink(&plan(), 0, |_| true, |_| {}), plan());
     assert_eq!(shrink(&plan(), 100, |_| false, |_| {}), plan());
 }
--- a/crates/fault-injection/src/supervisor.rs
+++ b/crates/fault-injection/src/supervisor.rs
@@ -1,5 +1,7 @@
-//! The supervisor of one process: its parent, which kills it when the trial ends, in whichever way. It reads commands from its
-//! standard input, which the trial keeps open, and reports on its standard output what became of the process.
+//! The supervisor of one process. It is the parent of the process, and kills it when its own standard input
+//! closes: the trial holds the other end open, so that the process never outlives the trial, however that
+//! ends. Commands arrive on standard input, a line each; standard output reports `pid N`, then `ended CODE`,
+//! or `failed REASON`.
 
 use rustix::process::{Pid, PidfdFlags, Signal, pidfd_open, pidfd_send_signal};
 use std::ffi::OsString;
@@ -8,7 +10,7 @@
 use std::os::unix::process::ExitStatusExt;
 use std::process::{Child, Command, ExitCode, ExitStatus, Stdio};
 
-/// The signals by the command that sends them.
+/// The commands, each with the signal that it sends to the process.
 const COMMANDS: [(&str, Signal); 5] = [
     ("stop", Signal::STOP),
     ("wake", Signal::CONT),
@@ -17,25 +19,27 @@
     ("reload", Signal::HUP),
 ];
 
-/// The exit code, or the signal's number with a minus.
+/// The exit code, or the negative number of the signal that ended the process.
 fn exit_code(status: ExitStatus) -> i32 {
     status.code().or(status.signal().map(|signal| -signal)).unwrap_or(-1)
 }
 
 fn open_pidfd(child: &Child) -> std::io::Result<OwnedFd> {
     let pid = i32::try_from(child.id()).ok().and_then(Pid::from_raw);
-    let pid = pid.ok_or_else(|| std::io::Error::other("a process without a number"))?;
-    // The child is not reaped before this returns, so that the id is still its own.
+    let pid = pid.ok_or_else(|| std::io::Error::other("the child process has an invalid process id"))?;
+    // The child has not been reaped yet, so its id can't have been reused.
     Ok(pidfd_open(pid, PidfdFlags::empty())?)
 }
 
 fn report(text: &str) {
-    // Nobody reads it once the trial has ended, which the end of the input shows as well.
+    // Writing fails once the trial has ended. The end of standard input shows that too, so the error is
+    // ignored.
     let mut out = std::io::stdout().lock();
     let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
 }
 
-/// Starts a program and supervises it until it or the standard input has ended. The result is the code for this process.
+/// Starts a program and supervises it until it exits or standard input closes. Returns the exit code of the
+/// supervisor: a failure only if the program could not be started.
 pub fn supervise(program: &OsString, arguments: &[OsString]) -> ExitCode {
     let started = Command::new(program).args(arguments).stdin(Stdio::null()).stdout(Stdio::null()).spawn();
     let mut child = match started {
@@ -58,13 +62,14 @@
     let waiting = std::thread::spawn(move || {
         let status = child.wait();
         report(&format!("ended {}\n", status.map_or(-1, exit_code)));
-        // Nothing is left to supervise, and the end of this process closes the standard output.
+        // The main thread may still block on standard input. Exiting also closes standard output, which tells
+        // the trial that no report follows.
         std::process::exit(0);
     });
     for line in std::io::stdin().lock().lines() {
         let Ok(line) = line else { break };
         if let Some((_, signal)) = COMMANDS.iter().find(|(command, _)| *command == line) {
-            // A process that has ended needs no signal.
+            // Fails only if the process has already exited.
             let _ = pidfd_send_signal(process.as_fd(), *signal);
         }
     }
--- a/crates/fault-injection/tests/culprits.rs
+++ b/crates/fault-injection/tests/culprits.rs
@@ -1,4 +1,5 @@
-//! Each checker finds its planted violation through the whole path: processes of a stand-in node that breaks exactly that rule.
+//! End-to-end tests of the checkers: runs trials with processes of a test node that violates exactly one
+//! rule, and checks that the checker of that rule, and no other, reports it.
 
 use fault_injection::checkers::{Verdict, judge};
 use fault_injection::history::History;
@@ -23,24 +24,25 @@
 rate = "20/s"
 "#;
 
-fn programs(breaks: &str) -> Programs {
+fn programs(misbehaviour: &str) -> Programs {
     let standin = env!("CARGO_BIN_EXE_trial-standin");
     Programs {
         supervisor: vec![standin.into(), "keep".into()],
         node: standin.into(),
-        variables: vec![("CULPRIT".into(), breaks.into())],
+        variables: vec![("CULPRIT".into(), misbehaviour.into())],
     }
 }
 
-/// The checkers that find something where stand-ins break this, and what they say.
-fn found(breaks: &str, more: &str) -> (BTreeSet<&'static str>, Vec<String>) {
+/// Runs a trial with nodes of this misbehaviour and a plan with these additional lines. Returns the names of
+/// the checkers that report a violation, and the descriptions of all violations.
+fn run_trial(misbehaviour: &str, more: &str) -> (BTreeSet<&'static str>, Vec<String>) {
     let plan = plan_reader::read_plan(&format!("{PLAN}{more}"), |_| Err("none")).expect("a plan");
     for seed in 1..=3 {
-        let finished = run::run_plan(&plan, seed, &programs(breaks)).expect("a run");
-        let verdict = judge(&finished.history);
-        // Judged again from what was written of it, it is the same.
+        let output = run::run_plan(&plan, seed, &programs(misbehaviour)).expect("a run");
+        let verdict = judge(&output.history);
+        // The stored history gets the same verdict as the one in memory.
         let mut text = Vec::new();
-        finished.history.write(&mut text).expect("written");
+        output.history.write(&mut text).expect("written");
         let again = History::read(&text[..]).expect("a history");
         assert_eq!(judge(&again), verdict);
         match verdict {
@@ -49,71 +51,77 @@
                 let names = violations.iter().map(|violation| violation.checker).collect();
                 return (names, violations.into_iter().map(|violation| violation.description).collect());
             }
-            // The machine was busy with something else.
+            // The machine was too busy: try the next seed.
             Verdict::NoVerdict { .. } => {}
         }
     }
     panic!("the machine is too busy for any verdict");
 }
 
-/// A stand-in ends by the signal, not when it is told, and has a thread for each connection: none of what is looked for here.
-fn is_a_stand_ins(what: &str) -> bool {
-    what.ends_with("ended with -15") || what.contains("threads after traffic")
+/// Whether a violation is expected of every test node: it does not handle SIGTERM, and has a thread for each
+/// connection.
+fn is_expected_of_test_node(description: &str) -> bool {
+    description.ends_with("exited with code -15") || description.contains("threads after traffic")
 }
 
-fn only(breaks: &str, more: &str, checker: &'static str, word: &str) {
-    let (mut names, said) = found(breaks, more);
-    let said: Vec<_> = said.into_iter().filter(|what| !is_a_stand_ins(what)).collect();
-    if !said.iter().any(|what| what.contains("descriptors")) {
+/// Checks that only this checker reports violations, and that all their descriptions contain a text.
+fn check_only(misbehaviour: &str, more: &str, checker: &'static str, text: &str) {
+    let (mut names, descriptions) = run_trial(misbehaviour, more);
+    let descriptions: Vec<_> =
+        descriptions.into_iter().filter(|description| !is_expected_of_test_node(description)).collect();
+    if !descriptions.iter().any(|description| description.contains("descriptors")) {
         names.remove("leftovers");
     }
-    assert_eq!(names, BTreeSet::from([checker]), "{said:?}");
-    assert!(said.iter().all(|what| what.contains(word)), "{said:?}");
+    assert_eq!(names, BTreeSet::from([checker]), "{descriptions:?}");
+    assert!(descriptions.iter().all(|description| description.contains(text)), "{descriptions:?}");
 }
 
 #[test]
 fn a_correct_node_breaks_no_rule() {
-    let (_, said) = found("nothing", "");
-    assert!(said.iter().all(|what| is_a_stand_ins(what)), "{said:?}");
+    let (_, descriptions) = run_trial("nothing", "");
+    assert!(descriptions.iter().all(|description| is_expected_of_test_node(description)), "{descriptions:?}");
 }
 
 #[test]
 fn a_node_that_does_not_respond_is_found() {
-    only("silent", "[bounds]\nserved = \"70%\"", "answers", "gave no answer in time");
+    check_only("silent", "[bounds]\nserved = \"70%\"", "answers", "did not respond in time");
 }
 
 #[test]
 fn a_node_that_closes_without_a_response_is_found() {
-    only("lost", "[bounds]\nserved = \"70%\"", "answers", "closed without an answer");
+    check_only("lost", "[bounds]\nserved = \"70%\"", "answers", "closed the connection without a response");
 }
 
 #[test]
 fn a_node_that_sends_bytes_after_its_response_is_found() {
-    only("extra", "", "answers", "more came behind its final answer");
+    check_only("extra", "", "answers", "bytes arrived after its final response");
 }
 
 #[test]
 fn a_node_that_forwards_an_abandoned_request_is_found() {
-    // A stall of the other node excuses that it does not answer, and not that it sends on.
-    let (names, said) = found("late", "[bounds]\nserved = \"70%\"");
-    assert!(names.contains("answers"), "{said:?}");
-    assert!(said.iter().any(|what| what.contains("after it was over for its client")), "{said:?}");
+    // Clients time out too, so other violations may be reported along with the late execution.
+    let (names, descriptions) = run_trial("late", "[bounds]\nserved = \"70%\"");
+    assert!(names.contains("answers"), "{descriptions:?}");
+    assert!(
+        descriptions.iter().any(|description| description.contains("after it had ended for its client")),
+        "{descriptions:?}"
+    );
 }
 
 #[test]
 fn a_node_that_forwards_an_effect_twice_is_found() {
-    only("twice", "", "effects", "must not run twice");
+    check_only("twice", "", "effects", "not idempotent, but started at");
 }
 
 #[test]
-fn a_node_that_rejects_what_has_run_is_found() {
-    only("refused", "[bounds]\nserved = \"70%\"", "effects", "refused as harmless to try again");
+fn a_node_that_rejects_an_executed_request_is_found() {
+    check_only("refused", "[bounds]\nserved = \"70%\"", "effects", "rejected as not executed");
 }
 
 #[test]
 fn a_node_that_sends_to_a_draining_backend_is_found() {
     let drain = "[bounds]\ngrace = \"500ms\"\n[[fault]]\ndo = \"drain\"\nof = \"node-1\"\nto = \"box-1\"\nat = \"1s\"\n";
-    only("nothing", drain, "drains", "after node-1 was told that it drains");
+    check_only("nothing", drain, "drains", "after node-1 was notified of its drain");
 }
 
 #[test]
@@ -124,25 +132,25 @@
         "service = \"150ms\", cores = 2, cold = { share = 0.1, warm-after = \"20s\" }",
     );
     let plan = plan_reader::read_plan(&format!("{text}{more}"), |_| Err("none")).expect("a plan");
-    let finished = run::run_plan(&plan, 1, &programs("cold")).expect("a run");
-    let Verdict::Failed { violations } = judge(&finished.history) else { panic!("nothing was found") };
+    let output = run::run_plan(&plan, 1, &programs("cold")).expect("a run");
+    let Verdict::Failed { violations } = judge(&output.history) else { panic!("no violation was found") };
     let cold: Vec<_> =
         violations.iter().filter(|v| v.checker == "cold").map(|v| v.description.as_str()).collect();
-    assert_eq!(cold, ["box-1 was cold and fell over"], "{violations:?}");
+    assert_eq!(cold, ["box-1 crashed of overload while it warmed up"], "{violations:?}");
 }
 
 #[test]
 fn a_node_that_leaks_connections_is_found() {
-    only("leak", "", "leftovers", "");
+    check_only("leak", "", "leftovers", "");
 }
 
 #[test]
 fn nodes_that_open_bursts_of_connections_are_found() {
-    only("herd", "[bounds]\nconnections = 200", "load", "connections within a second");
+    check_only("herd", "[bounds]\nconnections = 200", "load", "connections were opened within 1 s");
 }
 
 #[test]
 fn a_node_that_does_not_recover_is_found() {
     let stop = "[[fault]]\ndo = \"stop\"\nof = \"node-1\"\nat = \"500ms\"\nlasts = \"500ms\"\n";
-    only("sulk", stop, "recovery", "not whole again");
+    check_only("sulk", stop, "recovery", "service did not recover");
 }
