--- a/crates/fault-injection/tests/golden_histories.rs
+++ b/crates/fault-injection/tests/golden_histories.rs
@@ -1,9 +1,10 @@
-//! Histories of trials and what is made of them, held against golden files: every line of a history both ways, verdicts and
-//! service as JSON, the lines and the page that are shown, and the words between a trial and the supervisor of a process.
-//! `GOLDEN=write cargo test -p fault-injection --test golden_histories` writes the files below `tests/golden/histories` anew.
+//! Golden file tests of histories: every kind of line written and read, verdicts and service summaries as
+//! JSON, the texts and pages that are rendered, and the protocol between a trial and the supervisor of a
+//! process. `GOLDEN=write cargo test -p fault-injection --test golden_histories` rewrites the files below
+//! `tests/golden/histories`.
 //!
-//! Histories are made here, with times of their own, so that nothing varies; only the id of a supervised process is replaced by
-//! `<pid>`.
+//! The histories are constructed here with fixed times, so that the results are reproducible. The id of a
+//! supervised process is replaced by `<pid>`.
 
 use fault_injection::checkers::{Attempts, ServiceSummary, Verdict, Violation, all, judge, service_summary};
 use fault_injection::history::{
@@ -48,7 +49,7 @@
     ResourceUsage { descriptors, threads, memory_kib }
 }
 
-/// One line of each sort, and of each word that a line may hold.
+/// An entry of each kind, and for each value of an enum that an entry may contain.
 fn every_entry() -> Vec<Entry> {
     let id = || "r-1".to_string();
     let mut events = vec![
@@ -92,8 +93,8 @@
     times.zip(events).map(|(at, (source, event))| Entry::new(at, source, event)).collect()
 }
 
-/// The sorts of lines: a new one has to be named here and to be among the lines above.
-fn sort(entry: &Entry) -> &'static str {
+/// The kind of an entry. A new kind must be added here, to [`KINDS`] and to [`every_entry`].
+fn kind(entry: &Entry) -> &'static str {
     match &entry.event {
         Event::RunStarted { .. } => "begun",
         Event::AttemptSent { idempotency: Idempotency::Safe, .. } => "sent safe",
@@ -128,7 +129,8 @@
     }
 }
 
-const SORTS: usize = 28;
+/// The number of kinds of entries.
+const KINDS: usize = 28;
 
 fn written(history: &History) -> String {
     let mut bytes = Vec::new();
@@ -137,22 +139,22 @@
 }
 
 #[test]
-fn every_entry_of_a_history_is_written_and_read_as_it_was() {
-    let lines = every_entry();
-    let sorts: BTreeSet<_> = lines.iter().map(sort).collect();
-    assert_eq!(sorts.len(), SORTS, "{sorts:?}");
-    let history = History { entries: lines };
+fn every_kind_of_entry_is_written_read_and_rendered_as_in_the_golden_files() {
+    let entries = every_entry();
+    let kinds: BTreeSet<_> = entries.iter().map(kind).collect();
+    assert_eq!(kinds.len(), KINDS, "{kinds:?}");
+    let history = History { entries };
     golden_files::check("histories/every_line.jsonl", &written(&history));
     let golden = golden_files::read("histories/every_line.jsonl");
     let read = History::read(golden.as_bytes()).expect("a history");
     assert_eq!(read, history);
     assert_eq!(written(&read), golden);
-    let aloud: String = history.entries.iter().map(|entry| report::entry_text(entry) + "\n").collect();
-    golden_files::check("histories/every_line_aloud.txt", &aloud);
+    let text: String = history.entries.iter().map(|entry| report::entry_text(entry) + "\n").collect();
+    golden_files::check("histories/every_line_as_text.txt", &text);
 }
 
 #[test]
-fn invalid_histories_are_rejected_in_the_same_words() {
+fn errors_of_invalid_histories_match_the_golden_file() {
     let first = written(&History { entries: every_entry() }).lines().next().expect("a line").to_string();
     let mut text = String::new();
     for bad in [
@@ -168,11 +170,12 @@
             + "
 ");
     }
-    golden_files::check("histories/refused.txt", &text);
+    golden_files::check("histories/invalid_histories.txt", &text);
 }
 
-/// A run, as it would be seen: requests to two nodes every 20 ms, a node that is killed for a while, and perhaps troubles.
-fn run(troubles: bool) -> History {
+/// The history of a run: a request every 20 ms, to two nodes in turn, of which one is killed for 500 ms. It
+/// may contain violations of all rules.
+fn run(with_violations: bool) -> History {
     let ms = Duration::from_millis;
     let mut lines =
         vec![Entry::new(ms(0), "rig", run_started()), Entry::new(ms(5), "rig", Event::TrafficStarted)];
@@ -209,14 +212,15 @@
         ),
         Entry::new(ms(3300), "rig", Event::TimersLate { by_ms: 3 }),
     ]);
-    if troubles {
+    if with_violations {
         let served =
             |id: &str| Event::ResponseReceived { id: id.into(), kind: ResponseKind::Served, status: 200 };
-        let refused =
+        let rejected =
             |id: &str| Event::ResponseReceived { id: id.into(), kind: ResponseKind::Rejected, status: 503 };
-        let began = |id: &str| Event::ExecutionStarted { id: id.into() };
+        let started = |id: &str| Event::ExecutionStarted { id: id.into() };
         lines.extend([
-            // Rule 1: late, lost, nothing at all, something behind the answer, begun after its client had gone.
+            // Rule 1: a time-out, a lost connection, no outcome, bytes after the response, and an execution
+            // after the client has left.
             Entry::new(ms(1900), "client", sent("late", "late", "node-2", "look", Idempotency::Safe)),
             Entry::new(ms(2900), "client", Event::TimedOut { id: "late".into() }),
             Entry::new(ms(1901), "client", sent("lost", "lost", "node-2", "look", Idempotency::Safe)),
@@ -227,24 +231,24 @@
             Entry::new(ms(1921), "client", Event::UnexpectedData { id: "extra".into() }),
             Entry::new(ms(1904), "client", sent("begun", "begun", "node-2", "correct", Idempotency::Unsafe)),
             Entry::new(ms(1930), "client", Event::ConnectionLost { id: "begun".into() }),
-            Entry::new(ms(2300), "box-2", began("begun")),
-            // Rule 2: twice, twice under a key, refused though a box has it.
+            Entry::new(ms(2300), "box-2", started("begun")),
+            // Rule 2: two executions, two executions under one key, and a rejection after an execution.
             Entry::new(ms(2000), "client", sent("twice", "twice", "node-1", "correct", Idempotency::Unsafe)),
-            Entry::new(ms(2003), "box-1", began("twice")),
-            Entry::new(ms(2004), "box-2", began("twice")),
+            Entry::new(ms(2003), "box-1", started("twice")),
+            Entry::new(ms(2004), "box-2", started("twice")),
             Entry::new(ms(2010), "client", served("twice")),
             Entry::new(ms(2001), "client", sent("keyed", "keyed", "node-1", "submit", Idempotency::Keyed)),
-            Entry::new(ms(2005), "box-1", began("keyed")),
-            Entry::new(ms(2006), "box-2", began("keyed")),
+            Entry::new(ms(2005), "box-1", started("keyed")),
+            Entry::new(ms(2006), "box-2", started("keyed")),
             Entry::new(ms(2011), "client", served("keyed")),
             Entry::new(
                 ms(2002),
                 "client",
                 sent("refused", "refused", "node-1", "correct", Idempotency::Unsafe),
             ),
-            Entry::new(ms(2007), "box-1", began("refused")),
-            Entry::new(ms(2012), "client", refused("refused")),
-            // Rule 3, and a box that is there again in time.
+            Entry::new(ms(2007), "box-1", started("refused")),
+            Entry::new(ms(2012), "client", rejected("refused")),
+            // Rule 3: a drain with requests after the grace period, and one that ends before it.
             Entry::new(
                 ms(20),
                 "rig",
@@ -265,9 +269,9 @@
                 "rig",
                 Event::ReturnNotified { node: "node-2".into(), backend: "box-2".into() },
             ),
-            // Rule 4.
+            // Rule 4: a backend crashes while it warms up.
             Entry::new(ms(2100), "box-2", Event::BackendCrashed),
-            // Left behind.
+            // Resources that are not released, and an exit with an error.
             Entry::new(
                 ms(3210),
                 "node-2",
@@ -284,7 +288,7 @@
                 Event::Connected { node: "node-1".into() },
             ));
         }
-        // Not whole again: everything that was sent at the end failed.
+        // No recovery: all requests at the end fail.
         for number in 0..40u64 {
             let (id, at) = (format!("f-{number}"), ms(2500 + 10 * number));
             lines.push(Entry::new(at, "client", sent(&id, &id, "node-2", "look", Idempotency::Safe)));
@@ -298,22 +302,22 @@
     History::sorted(lines)
 }
 
-/// A run that the rig was too late for.
+/// A run whose timers were too late for a verdict.
 fn late() -> History {
     let late = Entry::new(Duration::from_millis(9), "rig", Event::TimersLate { by_ms: 900 });
     History { entries: vec![Entry::new(Duration::ZERO, "rig", run_started()), late] }
 }
 
 #[test]
-fn histories_are_judged_and_shown_as_they_were() {
+fn verdicts_summaries_and_pages_match_the_golden_files() {
     for (name, history) in [("passed", run(false)), ("failed", run(true)), ("late", late())] {
         let verdict = judge(&history);
-        let sort = match &verdict {
+        let result = match &verdict {
             Verdict::Passed => "passed",
             Verdict::Failed { .. } => "failed",
             Verdict::NoVerdict { .. } => "late",
         };
-        assert_eq!(sort, name, "{verdict:?}");
+        assert_eq!(result, name, "{verdict:?}");
         let summary: ServiceSummary = service_summary(&history, &Attempts::of(&history));
         let mut text = format!("exit code {}\n", verdict.exit_code());
         text += &(serde_json::to_string_pretty(&verdict).expect("JSON") + "\n");
@@ -331,7 +335,7 @@
             assert_eq!(
                 checkers,
                 all().iter().map(|checker| checker.name()).collect(),
-                "each has found something"
+                "each checker reports a violation"
             );
         }
         golden_files::check(&format!("histories/{name}.txt"), &text);
@@ -340,29 +344,31 @@
             &report::page(&history, &verdict).expect("a page"),
         );
     }
-    let about: String =
+    let rules: String =
         all().iter().map(|checker| format!("{}: {}\n", checker.name(), checker.about())).collect();
-    golden_files::check("histories/checkers.txt", &about);
+    golden_files::check("histories/checkers.txt", &rules);
 }
 
-/// Event a keeper is told and says, for each end of a process.
+/// The commands and reports of a supervisor, for each way in which its process can end.
 #[test]
-fn a_supervisor_reads_and_reports_what_it_did() {
+fn commands_and_reports_of_a_supervisor_match_the_golden_file() {
     let mut text = String::new();
-    for (words, script) in [
+    for (commands, script) in [
         (&["stop", "wake", "kill"][..], "exec sleep 60"),
         (&["dance", "end"], "exec sleep 60"),
         (&["reload"], "exec sleep 60"),
         (&[], "exit 7"),
     ] {
-        text += &format!("# sh -c {script:?}\n{}", supervised(words, &["sh", "-c", script]));
+        text += &format!("# sh -c {script:?}\n{}", supervise(commands, &["sh", "-c", script]));
     }
-    text += &format!("# the input ends\n{}", supervised(&["<end>"], &["sleep", "60"]));
-    text += &format!("# no program\n{}", supervised(&[], &["/no/such/program"]));
-    golden_files::check("histories/keeper.txt", &text);
+    text += &format!("# the input ends\n{}", supervise(&["<end>"], &["sleep", "60"]));
+    text += &format!("# no program\n{}", supervise(&[], &["/no/such/program"]));
+    golden_files::check("histories/supervisor.txt", &text);
 }
 
-fn supervised(words: &[&str], program: &[&str]) -> String {
+/// Runs a program under a supervisor, sends it commands, and returns both sides of the conversation and the
+/// exit code. `<end>` closes the supervisor's input.
+fn supervise(commands: &[&str], program: &[&str]) -> String {
     let mut supervisor = Command::new(env!("CARGO_BIN_EXE_trial-standin"))
         .arg("keep")
         .args(program)
@@ -373,26 +379,26 @@
     let mut input = supervisor.stdin.take().expect("its input");
     let mut lines = BufReader::new(supervisor.stdout.take().expect("its output")).lines();
     let mut text = String::new();
-    let mut say = |text: &mut String| {
+    let mut read_report = |text: &mut String| {
         let line = lines.next()?.expect("a line");
         let words: Vec<_> = line.split(' ').collect();
         let line = if words[0] == "pid" { "pid <pid>".to_string() } else { line };
         *text += &format!("out {line}\n");
         Some(())
     };
-    say(&mut text);
-    for word in words {
-        text += &format!("in  {word}\n");
-        if *word != "<end>" {
-            // One that has ended meanwhile reads nothing.
-            let _ = input.write_all(format!("{word}\n").as_bytes());
+    read_report(&mut text);
+    for command in commands {
+        text += &format!("in  {command}\n");
+        if *command != "<end>" {
+            // Fails if the supervisor has exited already.
+            let _ = input.write_all(format!("{command}\n").as_bytes());
         }
     }
-    if words == ["<end>"] {
+    if commands == ["<end>"] {
         drop(input);
-        while say(&mut text).is_some() {}
+        while read_report(&mut text).is_some() {}
     } else {
-        while say(&mut text).is_some() {}
+        while read_report(&mut text).is_some() {}
         drop(input);
     }
     let status = supervisor.wait().expect("it ends");
--- a/crates/fault-injection/tests/golden_plans.rs
+++ b/crates/fault-injection/tests/golden_plans.rs
@@ -1,10 +1,10 @@
-//! Plans of trials, held against golden files: what a plan's file is read as, what is drawn from it by a seed, how faults are
-//! shown, what each error says with its code and place, and the files that nodes are started from.
-//! `GOLDEN=write cargo test -p fault-injection --test golden_plans` writes the files below `tests/golden/plans` anew, except the `.toml`
-//! files, which are written by hand.
+//! Golden file tests of plans: the values that are read from plan files, the random choices for a seed, the
+//! descriptions of faults, the errors with their codes and positions, and the files that nodes are started
+//! from. `GOLDEN=write cargo test -p fault-injection --test golden_plans` rewrites the files below
+//! `tests/golden/plans`, except the `.toml` files, which are inputs.
 //!
-//! What was read is shown in fixed words: a rename of a type or field changes this file and no golden one. Only the lines that
-//! begin with `shown` hold what the program itself shows.
+//! The values are formatted here, with the key words of plan files, so that renaming a type or field does not
+//! change a golden file. Only lines that begin with `shown` contain texts that the program itself formats.
 
 use fault_injection::history::{Bounds, Idempotency};
 use fault_injection::node_files::{self, BackendLink, DrainState, NodePosition};
@@ -49,7 +49,7 @@
     many.iter().map(participant).collect::<Vec<_>>().join(" + ")
 }
 
-fn way(directions: Directions) -> &'static str {
+fn directions(directions: Directions) -> &'static str {
     match directions {
         Directions::Only(Direction::Request) => "there",
         Directions::Only(Direction::Response) => "back",
@@ -59,8 +59,8 @@
 
 fn link_fault(fault: &LinkFault) -> String {
     match fault {
-        LinkFault::Stall(which) => format!("hold {}", way(*which)),
-        LinkFault::Drop(which) => format!("lose {}", way(*which)),
+        LinkFault::Stall(affected) => format!("hold {}", directions(*affected)),
+        LinkFault::Drop(affected) => format!("lose {}", directions(*affected)),
         LinkFault::Delay { min, jitter } => format!("delay {} and {} more", ns(*min), ns(*jitter)),
         LinkFault::Throttle(bytes) => format!("slow {bytes}"),
         LinkFault::Reset => "reset".into(),
@@ -188,7 +188,7 @@
     lines.extend(groups.iter().map(clients));
     for each in faults {
         lines.push(fault(each));
-        // As `trial run` and `trial shrink` show it.
+        // The texts in histories and in the output of `trial shrink`.
         lines.push(format!("shown {each}"));
         lines.push(format!("shown {}", each.trigger));
     }
@@ -207,17 +207,17 @@
 fn read(text: &str) -> Result<Vec<String>, String> {
     plan(text).map(|plan| lines(&plan)).map_err(|faults| {
         let places = Lines::of(text);
-        let said = faults.iter().map(|Diagnostic { code, message, span, also, help }| {
+        let errors = faults.iter().map(|Diagnostic { code, message, span, also, help }| {
             let place = places.position(span.start);
             let also: Vec<_> = also.iter().map(|(_, what)| what).collect();
             format!("{code} line {} column {}: {message}; {help} {also:?}\n", place.line, place.column)
         });
-        said.collect()
+        errors.collect()
     })
 }
 
 #[test]
-fn plans_are_read_as_they_were() {
+fn values_of_plans_match_the_golden_files() {
     for (name, text) in PLANS {
         let lines = read(text).unwrap_or_else(|e| panic!("{name}: {e}"));
         golden_files::check(&format!("plans/{name}.txt"), &(lines.join("\n") + "\n"));
@@ -231,11 +231,11 @@
     golden_files::check("plans/shipped.txt", &shipped.join("\n"));
 }
 
-/// Every fault is in the whole plan, by what it is once it is read.
+/// Guards the other tests, which use this plan for full coverage.
 #[test]
-fn the_whole_plan_has_every_fault() {
+fn the_full_plan_has_every_kind_of_fault() {
     let plan = plan(FULL).expect("a plan");
-    let word = |fault: &Fault| match &fault.action {
+    let kind = |fault: &Fault| match &fault.action {
         FaultAction::Kill => "kill",
         FaultAction::Restart => "restart",
         FaultAction::Pause => "stop",
@@ -252,13 +252,13 @@
             LinkFault::CutAfter(_) => "cut-after",
         },
     };
-    let words: BTreeSet<_> = plan.faults.iter().map(word).collect();
-    assert_eq!(words.len(), 13, "{words:?}");
+    let kinds: BTreeSet<_> = plan.faults.iter().map(kind).collect();
+    assert_eq!(kinds.len(), 13, "{kinds:?}");
 }
 
-/// What is left to chance is settled by a seed, to the nanosecond.
+/// The random choices depend on the plan and the seed alone, with durations exact to the nanosecond.
 #[test]
-fn plans_are_drawn_as_they_were() {
+fn drawn_plans_match_the_golden_file() {
     let mut text = String::new();
     for (name, plan_text) in [("full", Some(FULL)), ("draws", shipped::plan_text("draws"))] {
         let plan = plan(plan_text.expect("a plan")).expect("a plan");
@@ -269,25 +269,28 @@
     golden_files::check("plans/drawn.txt", &text);
 }
 
-fn beside(text: &str, full: &[String]) -> String {
+/// The errors of a plan, or the differences of its values from the full plan.
+fn compare_with_full(text: &str, full: &[String]) -> String {
     match read(text) {
         Err(error) => error.lines().map(|line| format!("  {line}\n")).collect(),
         Ok(lines) if lines == full => "  no change\n".into(),
         Ok(lines) => {
-            let gone = full.iter().filter(|line| !lines.contains(line)).map(|line| format!("  - {line}\n"));
-            let new = lines.iter().filter(|line| !full.contains(line)).map(|line| format!("  + {line}\n"));
-            gone.chain(new).collect()
+            let removed =
+                full.iter().filter(|line| !lines.contains(line)).map(|line| format!("  - {line}\n"));
+            let added = lines.iter().filter(|line| !full.contains(line)).map(|line| format!("  + {line}\n"));
+            removed.chain(added).collect()
         }
     }
 }
 
+/// The full plan with one line replaced.
 fn with_line(number: usize, line: &str) -> String {
     FULL.lines().enumerate().map(|(at, old)| format!("{}\n", if at == number { line } else { old })).collect()
 }
 
-/// Each key left out, misspelt and of another type: its default or the faults that are found.
+/// Each key left out, misspelt and with a value of another type: its default, or the errors.
 #[test]
-fn each_key_of_a_plan_means_what_it_meant() {
+fn defaults_and_errors_of_each_key_match_the_golden_file() {
     let full = read(FULL).expect("a plan");
     let mut text = String::new();
     for (number, line) in FULL.lines().enumerate().filter(|(_, line)| line.contains(" = ")) {
@@ -299,7 +302,7 @@
             ("as true", format!("{key} = true")),
             ("as a number", format!("{key} = -1")),
         ] {
-            text += &format!("{place}, {about}\n{}", beside(&with_line(number, &changed), &full));
+            text += &format!("{place}, {about}\n{}", compare_with_full(&with_line(number, &changed), &full));
         }
     }
     for (number, line) in FULL.lines().enumerate().filter(|(_, line)| line.starts_with('[')) {
@@ -307,14 +310,14 @@
         text += &format!(
             "line {}: {line}, misspelt\n{}",
             number + 1,
-            beside(&with_line(number, &misspelt), &full)
+            compare_with_full(&with_line(number, &misspelt), &full)
         );
     }
     golden_files::check("plans/keys.txt", &text);
 }
 
 #[test]
-fn invalid_plans_are_rejected_in_the_same_words() {
+fn errors_of_invalid_plans_match_the_golden_file() {
     let changes = [
         ("to = \"discovery\"", "to = \"box-1\""),
         ("kind = \"platform\"", "kind = \"platform\"\nfile = \"other.toml\""),
@@ -347,17 +350,21 @@
     let mut text = String::new();
     for (good, bad) in changes {
         assert!(FULL.contains(good), "{good}");
-        text += &format!("{good:?} as {bad:?}\n{}", beside(&FULL.replacen(good, bad, 1), &full));
+        text += &format!("{good:?} as {bad:?}\n{}", compare_with_full(&FULL.replacen(good, bad, 1), &full));
     }
     let least = PLANS[1].1;
     let without_clients = least.split("[[clients]]").next().expect("a beginning");
-    text += &format!("no clients\n{}nothing\n{}", beside(without_clients, &full), beside("", &full));
-    golden_files::check("plans/no_sense.txt", &text);
+    text += &format!(
+        "no clients\n{}nothing\n{}",
+        compare_with_full(without_clients, &full),
+        compare_with_full("", &full)
+    );
+    golden_files::check("plans/invalid_plans.txt", &text);
 }
 
-/// The files and words with which nodes are started.
+/// The configuration files and the arguments of nodes, and the entries of backends in discovery.
 #[test]
-fn nodes_are_started_from_the_same_files() {
+fn configurations_and_arguments_of_nodes_match_the_golden_files() {
     let position = NodePosition { name: "node-2".into(), site: "srondol".into(), index: 1, nodes: 3 };
     let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let link = |name: &str, site: &str, port, drain_state| BackendLink {
@@ -377,7 +384,7 @@
     );
     golden_files::check("plans/node.toml.txt", &file.expect("a file"));
     golden_files::check(
-        "plans/node_refused.txt",
+        "plans/invalid_node_file.txt",
         &node_files::operator_file("x = ", &position, &links).expect_err("no TOML").to_string(),
     );
     let sites = ["tembalang".to_string(), "srondol".to_string()];
--- a/crates/fault-injection/tests/plans.rs
+++ b/crates/fault-injection/tests/plans.rs
@@ -1,5 +1,5 @@
-//! Plans are read as a whole or rejected with every fault and its place, and are drawn the same by the same seed; a history that is
-//! written is judged as it was.
+//! Plans are read completely, or rejected with the positions of all errors, and drawn reproducibly from a
+//! seed. A stored history gets the same verdict as the original.
 
 use fault_injection::checkers::judge;
 use fault_injection::history::{Bounds, Entry, Event, History, Idempotency, ProcessEvent, ResponseKind};
@@ -9,7 +9,7 @@
 use route_config::diagnostic::{Code, Lines};
 
 #[test]
-fn every_plan_that_ships_is_read_and_names_itself() {
+fn every_built_in_plan_is_valid_and_has_its_own_name() {
     for (name, text) in shipped::PLANS {
         let plan = plan_reader::read_plan(text, |_| Err("none"))
             .unwrap_or_else(|faults| panic!("{name}: {faults:?}"));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_fault_is_found_in_one_pass_with_its_place() {
+fn all_errors_of_a_plan_are_found_in_one_pass_with_their_positions() {
     let text = r#"
 name = "x"
 length = "8"
@@ -56,29 +56,38 @@
     ] {
         assert!(found.contains(&expected), "{expected:?} in {found:?}");
     }
-    let refused = |text: &str, words: &str| {
-        let faults = plan_reader::read_plan(text, |_| Err("no such file")).expect_err(words);
-        assert!(faults.iter().any(|fault| fault.message.contains(words)), "{words}: {faults:?}");
+    let assert_rejected = |text: &str, message: &str| {
+        let faults = plan_reader::read_plan(text, |_| Err("no such file")).expect_err(message);
+        assert!(faults.iter().any(|fault| fault.message.contains(message)), "{message}: {faults:?}");
     };
-    let whole = "name = \"x\"\nlength = \"2s\"\nnodes = { count = 2 }\nboxes = { count = 1 }\n\
+    let valid = "name = \"x\"\nlength = \"2s\"\nnodes = { count = 2 }\nboxes = { count = 1 }\n\
                  [[clients]]\nclass = \"a\"\nrepeat = \"safe\"\npath = \"/a\"\nrate = \"1/s\"\n";
-    assert!(plan_reader::read_plan(whole, |_| Err("none")).is_ok());
-    let add = |more: &str| format!("{whole}[[fault]]\n{more}\n");
-    refused("nodes = {", "");
-    refused(&add("do = \"hold\"\nof = \"node-1\"\nto = \"discovery\"\nat = \"1s\""), "call no discovery");
-    refused(&add("do = \"hold\"\nof = \"clients\"\nto = \"box-1\"\nat = \"1s\""), "no such link");
-    refused(&add("do = \"hold\"\nof = \"node-1\"\nat = \"1s\""), "where the link leads");
-    refused(&add("do = \"slow\"\nof = \"node-1\"\nto = \"box-1\"\nat = \"1s\""), "no `bytes`");
-    refused(
-        &add("do = \"kill\"\nof = \"node-1\"\nat = \"1s\"\ntaken = 5\nby = \"node-1\""),
-        "when this fault begins",
+    assert!(plan_reader::read_plan(valid, |_| Err("none")).is_ok());
+    let with_fault = |more: &str| format!("{valid}[[fault]]\n{more}\n");
+    assert_rejected("nodes = {", "");
+    assert_rejected(
+        &with_fault("do = \"hold\"\nof = \"node-1\"\nto = \"discovery\"\nat = \"1s\""),
+        "do not connect to discovery",
     );
-    refused(&add("do = \"leave\"\nof = \"node-1\"\nat = \"1s\""), "can't befall");
-    refused(&whole.replace("count = 2", "count = 2, file = \"other.toml\""), "no such file");
+    assert_rejected(
+        &with_fault("do = \"hold\"\nof = \"clients\"\nto = \"box-1\"\nat = \"1s\""),
+        "no such link",
+    );
+    assert_rejected(
+        &with_fault("do = \"hold\"\nof = \"node-1\"\nat = \"1s\""),
+        "this fault of a link has no `to`",
+    );
+    assert_rejected(&with_fault("do = \"slow\"\nof = \"node-1\"\nto = \"box-1\"\nat = \"1s\""), "no `bytes`");
+    assert_rejected(
+        &with_fault("do = \"kill\"\nof = \"node-1\"\nat = \"1s\"\ntaken = 5\nby = \"node-1\""),
+        "exactly one trigger",
+    );
+    assert_rejected(&with_fault("do = \"leave\"\nof = \"node-1\"\nat = \"1s\""), "does not apply to node-1");
+    assert_rejected(&valid.replace("count = 2", "count = 2, file = \"other.toml\""), "no such file");
 }
 
 #[test]
-fn the_same_seed_draws_the_same_and_nothing_stays_open() {
+fn a_seed_draws_a_plan_reproducibly_and_completely() {
     let plan = plan_reader::read_plan(shipped::plan_text("draws").expect("a plan"), |_| Err("none"))
         .expect("a plan");
     let mut distinct = std::collections::HashSet::new();
@@ -101,7 +110,7 @@
         }
         distinct.insert(format!("{:?}", drawn.faults));
     }
-    assert!(distinct.len() > 190, "{} different draws", distinct.len());
+    assert!(distinct.len() > 190, "only {} different draws", distinct.len());
 }
 
 fn bounds() -> Bounds {
@@ -156,9 +165,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(50))]
 
-    /// Whatever was seen, what is written of it is judged as it was, in whichever order it was written.
+    /// Random entries, in any order: the stored history gets the same verdict as the original.
     #[test]
-    fn a_history_that_was_written_is_judged_as_it_was(
+    fn a_stored_history_gets_the_same_verdict(
         drawn in proptest::collection::vec((0u64..3_000_000, any::<u8>(), any::<u8>(), any::<u8>()), 0..120),
     ) {
         let run_started = Event::RunStarted {
@@ -182,7 +191,7 @@
 }
 
 #[test]
-fn a_history_without_its_beginning_is_none_and_a_bad_line_is_named() {
+fn a_history_without_its_first_entry_or_with_an_invalid_line_is_rejected() {
     assert!(History::read(&b""[..]).is_err());
     let e = History::read(&b"{\"t\":1,\"by\":\"rig\",\"what\":\"traffic-began\"}\nx\n"[..]).expect_err("bad");
     assert!(e.to_string().starts_with("line 2:"), "{e}");
--- a/crates/fault-injection/tests/processes.rs
+++ b/crates/fault-injection/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Supervised processes: their logs are read, they are paused and resumed, and none outlives its trial.
+//! Supervised processes can be paused, resumed and ended, their logs are read, and none outlives its handle.
 
 use fault_injection::process::{Launch, Process, Programs};
 use fault_injection::process_folder::{FolderCondition, ProcessFolder};
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-const LONG: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn programs() -> Programs {
     let standin = env!("CARGO_BIN_EXE_trial-standin");
@@ -23,18 +23,18 @@
     Process::start(&programs(), &launch).expect("a process")
 }
 
-fn runs(pid: u32) -> bool {
+fn exists(pid: u32) -> bool {
     Path::new(&format!("/proc/{pid}")).exists()
 }
 
-fn descriptors() -> usize {
+fn open_descriptors() -> usize {
     std::fs::read_dir("/proc/self/fd").expect("descriptors").count()
 }
 
 #[test]
-fn two_hundred_starts_and_kills_leave_nothing() {
+fn two_hundred_starts_and_ends_leave_no_process_and_no_descriptor() {
     let folder = TempDir::new().expect("a folder");
-    let before = descriptors();
+    let before = open_descriptors();
     let mut pids = Vec::new();
     for round in 0..20 {
         let mut all: Vec<_> = (0..10).map(|_| shell("echo up >&2; exec sleep 600", folder.path())).collect();
@@ -47,44 +47,47 @@
                     process.kill();
                 }
                 2 => process.terminate(),
-                _ => continue, // dropped as it runs
+                _ => continue, // dropped while it runs
             }
-            assert!(process.wait_for_exit(LONG).is_some_and(|code| code < 0));
+            assert!(process.wait_for_exit(TIMEOUT).is_some_and(|code| code < 0));
             assert_eq!(process.pid(), None);
         }
     }
     assert_eq!(pids.len(), 200);
-    assert!(pids.into_iter().all(|pid| !runs(pid)));
-    // The threads that followed the logs end with them.
-    let begun = Instant::now();
-    while descriptors() > before + 4 && begun.elapsed() < LONG {
+    assert!(pids.into_iter().all(|pid| !exists(pid)));
+    // The threads that read the logs close their descriptors a little later.
+    let start = Instant::now();
+    while open_descriptors() > before + 4 && start.elapsed() < TIMEOUT {
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(descriptors() <= before + 4, "{} descriptors, {before} before", descriptors());
+    assert!(open_descriptors() <= before + 4, "{} descriptors, {before} before", open_descriptors());
     let path = folder.path().to_path_buf();
-    folder.close().expect("the folder goes");
+    folder.close().expect("the folder is removed");
     assert!(!path.exists());
 }
 
 #[test]
-fn the_log_and_the_exit_code_of_a_process_are_known() {
+fn log_lines_exit_codes_and_the_paused_state_of_a_process_are_reported() {
     let folder = TempDir::new().expect("a folder");
     let mut process = shell("echo first >&2; echo listens on 7 >&2; read x < /dev/zero", folder.path());
-    assert_eq!(process.wait_for_line(LONG, |line| line.strip_prefix("listens on ")?.parse().ok()), Some(7));
+    assert_eq!(
+        process.wait_for_line(TIMEOUT, |line| line.strip_prefix("listens on ")?.parse().ok()),
+        Some(7)
+    );
     assert_eq!(process.exit_code(), None);
     assert!(process.resource_usage().is_some_and(|usage| usage.descriptors > 0 && usage.threads == 1));
     process.pause();
-    let begun = Instant::now();
-    while !process.is_paused() && begun.elapsed() < LONG {}
+    let start = Instant::now();
+    while !process.is_paused() && start.elapsed() < TIMEOUT {}
     assert!(process.is_paused());
     process.resume();
-    while process.is_paused() && begun.elapsed() < LONG {}
+    while process.is_paused() && start.elapsed() < TIMEOUT {}
     assert!(!process.is_paused());
     process.terminate();
-    assert_eq!(process.wait_for_exit(LONG), Some(-15));
+    assert_eq!(process.wait_for_exit(TIMEOUT), Some(-15));
     let process = shell("echo gone >&2; exit 3", folder.path());
-    assert_eq!(process.wait_for_exit(LONG), Some(3));
-    assert_eq!(process.wait_for_line(LONG, |line| (line == "never").then_some(())), None);
+    assert_eq!(process.wait_for_exit(TIMEOUT), Some(3));
+    assert_eq!(process.wait_for_line(TIMEOUT, |line| (line == "never").then_some(())), None);
     assert_eq!(process.log(), ["gone"]);
     let launch =
         Launch { program: "/nowhere/at/all".into(), folder: folder.path().into(), ..Launch::default() };
@@ -93,9 +96,9 @@
 }
 
 #[test]
-fn a_folder_is_left_unchanged_as_in_a_snapshot_damaged_or_empty() {
-    let within = TempDir::new().expect("a folder");
-    let folder = ProcessFolder::new(within.path(), "node-1").expect("a folder");
+fn a_folder_can_be_unchanged_restored_from_a_snapshot_damaged_or_emptied() {
+    let parent = TempDir::new().expect("a folder");
+    let folder = ProcessFolder::new(parent.path(), "node-1").expect("a folder");
     let write = |name: &str, text: &str| std::fs::write(folder.path().join(name), text).expect("written");
     let read = |name: &str| std::fs::read_to_string(folder.path().join(name)).ok();
     write("a", "1234");
--- a/crates/marlwinch/tests/trials.rs
+++ b/crates/marlwinch/tests/trials.rs
@@ -133,7 +133,8 @@
     let output = command(&["trial", "run", plan.path(), "--report", &folder]);
     let said = String::from_utf8_lossy(&output.stdout).into_owned();
     assert_eq!(output.status.code(), Some(1), "{said}");
-    assert!(said.contains("load: box-1 was opened"), "{said}");
+    assert!(said.contains("load: box-1: "), "{said}");
+    assert!(said.contains(" connections were opened within 1 s, the limit is 0"), "{said}");
     let page = std::fs::read_to_string(format!("{folder}/strict-1.html")).expect("a page");
     assert!(page.contains("<svg") && page.contains("failed: 1 violations"));
     let history = format!("{folder}/strict-1.jsonl");
