--- a/crates/fleet-demo/src/backend.rs
+++ b/crates/fleet-demo/src/backend.rs
@@ -283,7 +283,7 @@
     spawn_local(async move {
         let _slot = slot;
         tokio::time::sleep(request.prefill_time).await;
-        for number in request.resume_after.unwrap_or(0) + 1..=kind.events() {
+        for number in request.resume_after.unwrap_or(0) + 1..=kind.event_count() {
             tokio::time::sleep(backend.event_interval()).await;
             let event = format!("id: {number}\ndata: {} {}\n\n", request.id, backend.instance);
             if frames.send(event.into()).await.is_err() {
--- a/crates/fleet-demo/src/clients.rs
+++ b/crates/fleet-demo/src/clients.rs
@@ -197,7 +197,7 @@
         &self,
         request: &OutgoingRequest,
     ) -> Result<(Connection, Response<Incoming>), DemoError> {
-        let peer = self.state.topology.entry(request.frontend);
+        let peer = self.state.topology.client_address(request.frontend);
         loop {
             let idle = self.take_idle(request.frontend);
             let was_idle = idle.is_some();
--- a/crates/fleet-demo/src/error.rs
+++ b/crates/fleet-demo/src/error.rs
@@ -1,5 +1,7 @@
 //! Errors of the demonstration.
 
+use crate::operator::ACKNOWLEDGE_TIMEOUT;
+use crate::run::READY_TIMEOUT;
 use quick_error::quick_error;
 use std::net::SocketAddrV4;
 
@@ -37,11 +39,11 @@
         }
         /// Not every frontend became ready in time.
         NotReady {
-            display("not all frontends were ready within 30 s")
+            display("not all frontends were ready within {:?}", READY_TIMEOUT)
         }
         /// A configuration was not acknowledged in time; with its generation.
         NotAcknowledged(generation: u64) {
-            display("no coordinator acknowledged configuration {generation} within 20 s")
+            display("no coordinator acknowledged configuration {generation} within {ACKNOWLEDGE_TIMEOUT:?}")
         }
     }
 }
--- a/crates/fleet-demo/src/fleet.rs
+++ b/crates/fleet-demo/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Starts, kills and restarts the processes of the fleet during a run.
 
 use crate::DemoError;
-use crate::processes::{EndedProcess, Processes, shut_down};
+use crate::processes::{ExitedProcess, Processes, shut_down};
 use crate::state::DemoState;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -71,7 +71,7 @@
         }
         println!(
             "  marlwinch status {} shows the state of the core. Ctrl-C stops the fleet.\n",
-            self.state.topology.control(0)
+            self.state.topology.control_address(0)
         );
     }
 
@@ -118,7 +118,7 @@
     /// Records and schedules the restart of processes that exited without being killed by the scenario: a
     /// user killed them, or they failed.
     fn record_exits(&self) {
-        for EndedProcess { index, code } in self.processes.borrow().ended() {
+        for ExitedProcess { index, code } in self.processes.borrow().exited() {
             if self.pending_restarts.borrow().iter().any(|restart| restart.index == index) {
                 continue;
             }
--- a/crates/fleet-demo/src/monitoring.rs
+++ b/crates/fleet-demo/src/monitoring.rs
@@ -22,7 +22,7 @@
 
 /// Checks the readiness of a frontend periodically, until dropped.
 pub async fn poll_readiness(state: Rc<DemoState>, frontend: usize) {
-    let (address, mut failed_checks) = (state.topology.readiness(frontend), MAX_FAILED_CHECKS);
+    let (address, mut failed_checks) = (state.topology.readiness_address(frontend), MAX_FAILED_CHECKS);
     loop {
         let reply = http::call(address, http::get(address, "/api/ready"), RESPONSE_TIMEOUT).await;
         failed_checks = if reply.is_ok_and(|reply| reply.status == 200) { 0 } else { failed_checks + 1 };
@@ -52,7 +52,7 @@
 
 /// Fetches the status of a coordinator; `None` if it does not reply with JSON.
 async fn fetch_status(state: &DemoState, number: usize) -> Option<Value> {
-    let address = state.topology.control(number);
+    let address = state.topology.control_address(number);
     let reply = http::call(address, http::get(address, "/api/status"), RESPONSE_TIMEOUT).await.ok()?;
     serde_json::from_slice(&reply.body).ok()
 }
--- a/crates/fleet-demo/src/node_settings.rs
+++ b/crates/fleet-demo/src/node_settings.rs
@@ -29,11 +29,11 @@
     platform: SocketAddrV4,
     start: ClusterStart,
 ) -> String {
-    let mut settings = common_settings(topology, topology.coordinator(number), platform);
+    let mut settings = common_settings(topology, topology.coordinator_ip(number), platform);
     settings["node_name"] = json!(coordinator_name(number));
     settings["machine_class"] = json!("core");
     settings["zone"] = json!(ZONES[number % ZONES.len()]);
-    settings["listen"] = json!({"control": topology.control(number).to_string()});
+    settings["listen"] = json!({"control": topology.control_address(number).to_string()});
     settings["counts_for_quorum"] = json!(true);
     settings["bootstrap"] = json!(start == ClusterStart::Bootstrap);
     settings["data_dir"] = json!(data);
@@ -42,17 +42,18 @@
 
 /// The settings of a frontend, as JSON. Its agent and its data plane share them.
 pub fn frontend_settings(topology: &Topology, number: usize, platform: SocketAddrV4) -> String {
-    let (entry, readiness) = (topology.entry(number), topology.readiness(number));
-    let mut settings = common_settings(topology, topology.frontend(number), platform);
+    let (client_address, readiness) = (topology.client_address(number), topology.readiness_address(number));
+    let mut settings = common_settings(topology, topology.frontend_ip(number), platform);
     settings["node_name"] = json!(frontend_name(number));
     settings["machine_class"] = json!("frontend");
     settings["zone"] = json!(ZONES[number % ZONES.len()]);
-    settings["listen"] = json!({"frontend": entry.to_string(), "readiness": readiness.to_string()});
+    settings["listen"] = json!({"frontend": client_address.to_string(), "readiness": readiness.to_string()});
     settings.to_string()
 }
 
 fn common_settings(topology: &Topology, ip: Ipv4Addr, platform: SocketAddrV4) -> Value {
-    let seeds: Vec<String> = (0..COORDINATORS).map(|number| topology.control(number).to_string()).collect();
+    let seeds: Vec<String> =
+        (0..COORDINATORS).map(|number| topology.control_address(number).to_string()).collect();
     let drain_ms = DRAIN_BOUND.as_millis() as u64;
     let config_apply_ms = CONFIG_APPLY_BOUND.as_millis() as u64;
     json!({"ip": ip, "region": "loopback", "internal_port_range": INTERNAL_PORTS, "seed_nodes": seeds,
--- a/crates/fleet-demo/src/operator.rs
+++ b/crates/fleet-demo/src/operator.rs
@@ -19,7 +19,7 @@
 /// The wait before a call is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How long a change may take to be acknowledged.
-const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(20);
+pub(crate) const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long each coordinator may take at the end of the run to return a configuration.
 const READ_BACK_TIMEOUT: Duration = Duration::from_secs(8);
 /// The steps between generations, used in turn: generations increase, but need not be consecutive.
@@ -85,7 +85,7 @@
     base: u64,
     document: &str,
 ) -> Result<Acknowledgement, DemoError> {
-    let peer = state.topology.control(coordinator);
+    let peer = state.topology.control_address(coordinator);
     let request = Request::post("/api/Config.Replace")
         .header("host", peer.to_string())
         .header("x-base-revision", base)
@@ -121,7 +121,7 @@
 }
 
 async fn read_document(state: &Rc<DemoState>, coordinator: usize) -> ReadDocument {
-    let peer = state.topology.control(coordinator);
+    let peer = state.topology.control_address(coordinator);
     match http::call(peer, http::get(peer, "/api/Config.Describe"), RESPONSE_TIMEOUT).await {
         Ok(reply) if reply.status == 200 => {
             ReadDocument::Received(String::from_utf8_lossy(&reply.body).into_owned())
--- a/crates/fleet-demo/src/outgoing_request.rs
+++ b/crates/fleet-demo/src/outgoing_request.rs
@@ -43,7 +43,7 @@
             let tokens: u32 = blocks.filter_map(|block| block.split_once(':')?.1.parse::<u32>().ok()).sum();
             request = request
                 .header("x-model", "m")
-                .header("x-token-usage", format!("{tokens},{}", self.kind.events() * TOKENS_PER_EVENT))
+                .header("x-token-usage", format!("{tokens},{}", self.kind.event_count() * TOKENS_PER_EVENT))
                 .header("x-prompt-prefix", prompt);
         }
         request.body(Full::new(self.body.clone())).unwrap_or_default()
--- a/crates/fleet-demo/src/processes.rs
+++ b/crates/fleet-demo/src/processes.rs
@@ -29,7 +29,7 @@
 
 /// A process that has exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EndedProcess {
+pub struct ExitedProcess {
     /// Its index in [`Processes::all`].
     pub index: usize,
     /// Its exit code, or the negative number of the signal that ended it.
@@ -117,10 +117,10 @@
     }
 
     /// The processes that have exited and were not restarted.
-    pub fn ended(&self) -> Vec<EndedProcess> {
+    pub fn exited(&self) -> Vec<ExitedProcess> {
         let code = |process: &FleetProcess| process.process.as_ref().and_then(Process::exit_code);
-        let ended = |(index, process)| Some(EndedProcess { index, code: code(process)? });
-        self.all.iter().enumerate().filter_map(ended).collect()
+        let exited = |(index, process)| Some(ExitedProcess { index, code: code(process)? });
+        self.all.iter().enumerate().filter_map(exited).collect()
     }
 
     /// The index of the process with this machine name and role.
--- a/crates/fleet-demo/src/request_kind.rs
+++ b/crates/fleet-demo/src/request_kind.rs
@@ -71,7 +71,7 @@
     }
 
     /// The number of events of its response; 0 for a plain call.
-    pub fn events(self) -> u32 {
+    pub fn event_count(self) -> u32 {
         match self {
             RequestKind::Form => 9,
             RequestKind::Question => 24,
--- a/crates/fleet-demo/src/response_check.rs
+++ b/crates/fleet-demo/src/response_check.rs
@@ -114,5 +114,5 @@
         }
         expected += 1;
     }
-    (expected <= request.kind.events()).then(|| format!("the stream ends before event {expected}"))
+    (expected <= request.kind.event_count()).then(|| format!("the stream ends before event {expected}"))
 }
--- a/crates/fleet-demo/src/run.rs
+++ b/crates/fleet-demo/src/run.rs
@@ -19,7 +19,7 @@
 use tokio::task::{LocalSet, spawn_local};
 
 /// How long the frontends may take to become ready.
-const READY_TIMEOUT: Duration = Duration::from_secs(30);
+pub(crate) const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long to wait for the responses after the last request was sent: longer than every deadline.
 const FINISH_TIMEOUT: Duration = Duration::from_secs(6);
 /// The poll interval of conditions that are waited for.
@@ -89,7 +89,7 @@
 
 async fn run_to_end(options: &DemoOptions, folder: &Path) -> Result<DemoOutcome, DemoError> {
     let state = DemoState::new()?;
-    let platform = Platform::start(state.topology.platform()).await?;
+    let platform = Platform::start(state.topology.platform_address()).await?;
     let scenario = Scenario::new(&state, &platform);
     scenario.start_backends().await?;
     let processes = Processes::prepare(&options.program, folder, &state.topology, platform.address)?;
@@ -135,7 +135,7 @@
     Ok(())
 }
 
-/// Sends requests while the scenario is played and processes are restarted, then waits for pending responses
+/// Sends requests while the scenario runs and processes are restarted, then waits for pending responses
 /// and restarts.
 async fn send_traffic(
     state: &DemoState,
@@ -144,10 +144,10 @@
     clients: &Rc<Clients>,
     options: &DemoOptions,
 ) -> Result<(), DemoError> {
-    let script = scenario.play(fleet, options.length);
+    let scenario_run = scenario.run(fleet, options.length);
     let traffic = async {
         let probes = clients.probe();
-        let sending = async { tokio::join!(clients.run(options.rate, options.length), script).1 };
+        let sending = async { tokio::join!(clients.run(options.rate, options.length), scenario_run).1 };
         tokio::select! {
             result = sending => result,
             () = probes => Ok(()),
--- a/crates/fleet-demo/src/scenario.rs
+++ b/crates/fleet-demo/src/scenario.rs
@@ -24,7 +24,7 @@
 /// How long a draining backend continues to serve after the bound by which it gets no new requests.
 const DRAIN_SLACK: Duration = Duration::from_millis(1000);
 /// How long a killed process stays down, as a fraction of the length of the run.
-const DOWNTIME_PART: f64 = 0.1;
+const DOWNTIME_FRACTION: f64 = 0.1;
 /// The longest that a killed process stays down.
 const MAX_DOWNTIME: Duration = Duration::from_millis(1500);
 
@@ -48,7 +48,7 @@
     pub async fn start_backends(&self) -> Result<(), DemoError> {
         for number in 0..MODEL_BACKENDS + PLAIN_BACKENDS {
             let service = if number < MODEL_BACKENDS { MODEL_SERVICE } else { PLAIN_SERVICE };
-            let address = self.state.topology.backend(number);
+            let address = self.state.topology.backend_address(number);
             self.platform.add(Backend::start(&self.state, address, service, number).await?);
         }
         Ok(())
@@ -64,14 +64,14 @@
         Ok(())
     }
 
-    /// Plays the scenario over the length of the run.
+    /// Runs the scenario over the length of the run.
     ///
     /// # Errors
     /// A configuration is rejected or not acknowledged in time.
-    pub async fn play(&self, fleet: &Fleet, length: Duration) -> Result<(), DemoError> {
+    pub async fn run(&self, fleet: &Fleet, length: Duration) -> Result<(), DemoError> {
         let start = Instant::now();
-        let at = |part: f64| tokio::time::sleep_until(start + length.mul_f64(part));
-        let downtime = length.mul_f64(DOWNTIME_PART).min(MAX_DOWNTIME);
+        let at = |fraction: f64| tokio::time::sleep_until(start + length.mul_f64(fraction));
+        let downtime = length.mul_f64(DOWNTIME_FRACTION).min(MAX_DOWNTIME);
         at(0.12).await;
         self.change_configuration().await?;
         at(0.25).await;
@@ -125,7 +125,8 @@
         let (state, platform) = (self.state.clone(), self.platform.clone());
         spawn_local(async move {
             let number = MODEL_BACKENDS + PLAIN_BACKENDS;
-            match Backend::start(&state, state.topology.backend(number), MODEL_SERVICE, number).await {
+            match Backend::start(&state, state.topology.backend_address(number), MODEL_SERVICE, number).await
+            {
                 Ok(replacement) => platform.add(replacement),
                 Err(error) => state.print_event(&error.to_string()),
             }
--- a/crates/fleet-demo/src/tables.rs
+++ b/crates/fleet-demo/src/tables.rs
@@ -85,7 +85,7 @@
         }));
         rows.push(row);
     }
-    let note = "(time from the acknowledgement until the configuration was first seen in force; probed every 100 ms)";
+    let note = "(time from the acknowledgement until it was first seen in force; probed every 100 ms)";
     format!("{}{note}\n", format_columns(&rows))
 }
 
--- a/crates/fleet-demo/src/topology.rs
+++ b/crates/fleet-demo/src/topology.rs
@@ -51,11 +51,11 @@
 
     fn check_free(&self) -> io::Result<()> {
         let coordinators = (0..COORDINATORS).flat_map(|number| {
-            let ip = self.coordinator(number);
+            let ip = self.coordinator_ip(number);
             [CONTROL_PORT, INTERNAL_PORTS[0]].map(|port| SocketAddrV4::new(ip, port))
         });
         let frontends = (0..FRONTENDS).flat_map(|number| {
-            let ip = self.frontend(number);
+            let ip = self.frontend_ip(number);
             [FRONTEND_PORT, READINESS_PORT, INTERNAL_PORTS[0] + 1].map(|port| SocketAddrV4::new(ip, port))
         });
         for address in coordinators.chain(frontends) {
@@ -69,38 +69,38 @@
     }
 
     /// The IP address of a coordinator.
-    pub fn coordinator(&self, number: usize) -> Ipv4Addr {
+    pub fn coordinator_ip(&self, number: usize) -> Ipv4Addr {
         self.ip(1 + number)
     }
 
     /// The IP address of a frontend.
-    pub fn frontend(&self, number: usize) -> Ipv4Addr {
+    pub fn frontend_ip(&self, number: usize) -> Ipv4Addr {
         self.ip(11 + number)
     }
 
     /// The address of a backend, with port 0: the system assigns the port.
-    pub fn backend(&self, number: usize) -> SocketAddrV4 {
+    pub fn backend_address(&self, number: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip(101 + number % 100), 0)
     }
 
     /// The address of the platform, with port 0: the system assigns the port.
-    pub fn platform(&self) -> SocketAddrV4 {
+    pub fn platform_address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip(250), 0)
     }
 
     /// The control address of a coordinator.
-    pub fn control(&self, number: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(self.coordinator(number), CONTROL_PORT)
+    pub fn control_address(&self, number: usize) -> SocketAddrV4 {
+        SocketAddrV4::new(self.coordinator_ip(number), CONTROL_PORT)
     }
 
     /// The address at which a frontend accepts client connections.
-    pub fn entry(&self, number: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(self.frontend(number), FRONTEND_PORT)
+    pub fn client_address(&self, number: usize) -> SocketAddrV4 {
+        SocketAddrV4::new(self.frontend_ip(number), FRONTEND_PORT)
     }
 
     /// The address at which a frontend reports its readiness.
-    pub fn readiness(&self, number: usize) -> SocketAddrV4 {
-        SocketAddrV4::new(self.frontend(number), READINESS_PORT)
+    pub fn readiness_address(&self, number: usize) -> SocketAddrV4 {
+        SocketAddrV4::new(self.frontend_ip(number), READINESS_PORT)
     }
 }
 
--- a/crates/fleet-demo/tests/golden.rs
+++ b/crates/fleet-demo/tests/golden.rs
@@ -45,7 +45,7 @@
                     kind.service(),
                     kind.is_stream(),
                     kind.is_idempotent(),
-                    kind.events(),
+                    kind.event_count(),
                     kind.deadline()
                 )
             }
@@ -57,7 +57,7 @@
 #[test]
 fn settings_files_match_the_golden_file() {
     let topology = Topology::find(std::process::id()).expect("a block of addresses");
-    let octets = topology.coordinator(0).octets();
+    let octets = topology.coordinator_ip(0).octets();
     let block = format!("127.{}.{}.", octets[1], octets[2]);
     let platform = SocketAddrV4::new(Ipv4Addr::new(127, octets[1], octets[2], 250), 8000);
     let mut text = String::new();
@@ -67,10 +67,15 @@
     }
     for number in 0..FRONTENDS {
         text += &pretty(&frontend_settings(&topology, number, platform));
-        text += &format!("{} {}\n", topology.entry(number), topology.readiness(number));
+        text += &format!("{} {}\n", topology.client_address(number), topology.readiness_address(number));
     }
     text += &format!("{} {}\n", coordinator_name(2), frontend_name(3));
-    text += &format!("{} {} {}\n", topology.backend(7), topology.platform(), topology.control(1));
+    text += &format!(
+        "{} {} {}\n",
+        topology.backend_address(7),
+        topology.platform_address(),
+        topology.control_address(1)
+    );
     golden_files::check("settings.txt", &text.replace(&block, "127.<block>."));
 }
 
