--- a/crates/fault-injection/src/checkers/cold_start.rs
+++ b/crates/fault-injection/src/checkers/cold_start.rs
@@ -13,7 +13,7 @@
         "cold"
     }
 
-    fn about(&self) -> &'static str {
+    fn rule(&self) -> &'static str {
         "the nodes together do not overload a backend that warms up"
     }
 
--- a/crates/fault-injection/src/checkers/drains.rs
+++ b/crates/fault-injection/src/checkers/drains.rs
@@ -21,7 +21,7 @@
         "drains"
     }
 
-    fn about(&self) -> &'static str {
+    fn rule(&self) -> &'static str {
         "no request reaches a draining or removed backend after the grace period from a node's notification"
     }
 
--- a/crates/fault-injection/src/checkers/effects.rs
+++ b/crates/fault-injection/src/checkers/effects.rs
@@ -79,7 +79,7 @@
         "effects"
     }
 
-    fn about(&self) -> &'static str {
+    fn rule(&self) -> &'static str {
         "no request takes effect twice, and none is rejected after a backend has received it"
     }
 
--- a/crates/fault-injection/src/checkers/load.rs
+++ b/crates/fault-injection/src/checkers/load.rs
@@ -49,7 +49,7 @@
         "load"
     }
 
-    fn about(&self) -> &'static str {
+    fn rule(&self) -> &'static str {
         "connections to a backend in any second, and to discovery in any 100 ms, stay within their limits"
     }
 
--- a/crates/fault-injection/src/checkers/recovery.rs
+++ b/crates/fault-injection/src/checkers/recovery.rs
@@ -135,8 +135,8 @@
         "recovery"
     }
 
-    fn about(&self) -> &'static str {
-        "requests are served before the first fault, and service recovers in time after the last one"
+    fn rule(&self) -> &'static str {
+        "requests are served before any fault, and service recovers in time after the last one"
     }
 
     fn check(&self, history: &History, attempts: &Attempts) -> Vec<Violation> {
@@ -147,7 +147,7 @@
         let mut violations = Vec::new();
         if summary.before < bounds.served_share {
             let description = format!(
-                "{:.1}% of requests were served before the first fault, at least {:.1}% must be",
+                "{:.1}% of requests were served before any fault, at least {:.1}% must be",
                 100.0 * summary.before,
                 100.0 * bounds.served_share
             );
--- a/crates/fault-injection/src/checkers/resources.rs
+++ b/crates/fault-injection/src/checkers/resources.rs
@@ -39,7 +39,7 @@
         "leftovers"
     }
 
-    fn about(&self) -> &'static str {
+    fn rule(&self) -> &'static str {
         "nodes release descriptors, threads and memory after traffic, and shut down cleanly when asked to"
     }
 
--- a/crates/fault-injection/src/checkers/responses.rs
+++ b/crates/fault-injection/src/checkers/responses.rs
@@ -91,7 +91,7 @@
         "answers"
     }
 
-    fn about(&self) -> &'static str {
+    fn rule(&self) -> &'static str {
         "each accepted request gets one final response, in time, and no bytes follow it"
     }
 
--- a/crates/fault-injection/src/checkers/violation.rs
+++ b/crates/fault-injection/src/checkers/violation.rs
@@ -26,7 +26,7 @@
     fn name(&self) -> &'static str;
 
     /// Its rule, in one line.
-    fn about(&self) -> &'static str;
+    fn rule(&self) -> &'static str;
 
     /// The violations of its rule.
     fn check(&self, history: &History, attempts: &Attempts) -> Vec<Violation>;
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -266,7 +266,7 @@
         if self.plan.node_kind == NodeKind::Platform && !is_ready(address) {
             return Err(RunError::Node(
                 node.name.clone(),
-                "it did not report that it is ready within 20 s".into(),
+                format!("it did not report that it is ready within {PROCESS_TIMEOUT:?}"),
             ));
         }
         if let Some(usage) = state.process.as_ref().and_then(Process::resource_usage) {
--- a/crates/fault-injection/src/plan_reader.rs
+++ b/crates/fault-injection/src/plan_reader.rs
@@ -18,7 +18,7 @@
 use values::{ZeroDuration, duration, duration_range, or_default, push};
 
 /// The operator's file of nodes in plans that do not name one.
-pub const NODE: &str = include_str!("../../../deploy/trials/node.toml");
+pub const DEFAULT_NODE_FILE: &str = include_str!("../../../deploy/trials/node.toml");
 /// The largest number of nodes: as many processes as one machine runs beside the trial itself.
 const MAX_NODES: u64 = 100;
 /// The largest number of backends.
@@ -129,7 +129,7 @@
             NodeKind::Platform
         }
         (true, None) => NodeKind::Platform,
-        (false, None) => NodeKind::File(NODE.into()),
+        (false, None) => NodeKind::File(DEFAULT_NODE_FILE.into()),
         (false, Some(file)) => match read_file(&file.value) {
             Ok(text) => NodeKind::File(text),
             Err(error) => {
@@ -184,11 +184,12 @@
 
 fn read_clients(mut section: Section, report: &mut Report) -> Option<ClientGroup> {
     let class = section.need("class", "\"look\"", report).and_then(|v| read::name(v, report));
-    let words = [("safe", Idempotency::Safe), ("keyed", Idempotency::Keyed), ("unsafe", Idempotency::Unsafe)];
+    let choices =
+        [("safe", Idempotency::Safe), ("keyed", Idempotency::Keyed), ("unsafe", Idempotency::Unsafe)];
     let idempotency = section
         .need("repeat", "\"safe\"", report)
-        .and_then(|v| read::choice(v, &words, report))
-        .map(|word| word.value);
+        .and_then(|v| read::choice(v, &choices, report))
+        .map(|choice| choice.value);
     let default_method = if idempotency == Some(Idempotency::Safe) { "GET" } else { "POST" };
     let method =
         or_default(section.get("method"), default_method.into(), |v| Some(read::name(v, report)?.value));
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -83,7 +83,11 @@
 }
 
 /// Reads a stream line by line until its end, on a thread of its own. Invalid UTF-8 is replaced.
-fn follow(from: impl Read + Send + 'static, shared: Arc<Shared>, read_line: fn(&mut Status, String)) {
+fn spawn_line_reader(
+    from: impl Read + Send + 'static,
+    shared: Arc<Shared>,
+    read_line: fn(&mut Status, String),
+) {
     std::thread::spawn(move || {
         let mut from = BufReader::new(from);
         let mut bytes = Vec::new();
@@ -137,10 +141,10 @@
             command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn()?;
         let shared = Arc::new(Shared::default());
         if let Some(reports) = supervisor.stdout.take() {
-            follow(reports, shared.clone(), read_report);
+            spawn_line_reader(reports, shared.clone(), read_report);
         }
         if let Some(log) = supervisor.stderr.take() {
-            follow(log, shared.clone(), append_log);
+            spawn_line_reader(log, shared.clone(), append_log);
         }
         let commands = supervisor.stdin.take();
         let process = Process { shared, supervisor, commands };
@@ -152,8 +156,9 @@
             }
             _ => None,
         });
-        started
-            .unwrap_or_else(|| Err(io::Error::other("the supervisor did not report a start within 20 s")))?;
+        started.unwrap_or_else(|| {
+            Err(io::Error::other(format!("the supervisor did not report a start within {START_TIMEOUT:?}")))
+        })?;
         Ok(process)
     }
 
@@ -200,42 +205,43 @@
         self.wait_for(timeout, |status| status.exit_code)
     }
 
-    /// The last lines that it logged, at most 400.
+    /// The last lines that it logged, oldest first.
     pub fn log(&self) -> Vec<String> {
         let status = self.shared.lock();
         status.log[status.log.len().saturating_sub(RETAINED_LINES)..].to_vec()
     }
 
-    fn command(&mut self, word: &str) {
+    /// Sends a command to the supervisor.
+    fn send_command(&mut self, command: &str) {
         if let Some(commands) = &mut self.commands {
             // Fails only if the supervisor has exited, which it does after its process.
-            let _ = commands.write_all(format!("{word}\n").as_bytes()).and_then(|()| commands.flush());
+            let _ = commands.write_all(format!("{command}\n").as_bytes()).and_then(|()| commands.flush());
         }
     }
 
     /// Sends SIGSTOP.
     pub fn pause(&mut self) {
-        self.command("stop");
+        self.send_command("stop");
     }
 
     /// Sends SIGCONT.
     pub fn resume(&mut self) {
-        self.command("wake");
+        self.send_command("wake");
     }
 
     /// Sends SIGTERM.
     pub fn terminate(&mut self) {
-        self.command("end");
+        self.send_command("end");
     }
 
     /// Sends SIGHUP.
     pub fn reload(&mut self) {
-        self.command("reload");
+        self.send_command("reload");
     }
 
     /// Sends SIGKILL.
     pub fn kill(&mut self) {
-        self.command("kill");
+        self.send_command("kill");
     }
 
     /// Its current resources; `None` if it does not run.
@@ -243,11 +249,15 @@
         let folder = PathBuf::from(format!("/proc/{}", self.pid()?));
         let descriptors = std::fs::read_dir(folder.join("fd")).ok()?.count() as u64;
         let status = std::fs::read_to_string(folder.join("status")).ok()?;
-        let figure = |name: &str| {
+        let status_field = |name: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
             line.split_whitespace().next()?.parse().ok()
         };
-        Some(ResourceUsage { descriptors, threads: figure("Threads")?, memory_kib: figure("VmRSS")? })
+        Some(ResourceUsage {
+            descriptors,
+            threads: status_field("Threads")?,
+            memory_kib: status_field("VmRSS")?,
+        })
     }
 
     /// Whether the system shows it as stopped: state `T` in `/proc`.
--- a/crates/fault-injection/src/relay/link_faults.rs
+++ b/crates/fault-injection/src/relay/link_faults.rs
@@ -69,9 +69,9 @@
 
     /// The delay of a chunk, by its number in its direction. Deterministic, and spread evenly over the range.
     pub(super) fn delay(&self, chunk_number: u64) -> Duration {
-        let part = (chunk_number as f64 * GOLDEN_RATIO).fract();
+        let fraction = (chunk_number as f64 * GOLDEN_RATIO).fract();
         let delay_of = |fault: &LinkFault| match fault {
-            LinkFault::Delay { min, jitter } => *min + jitter.mul_f64(part),
+            LinkFault::Delay { min, jitter } => *min + jitter.mul_f64(fraction),
             _ => Duration::ZERO,
         };
         self.active.iter().map(|(_, fault)| delay_of(fault)).sum()
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -57,11 +57,11 @@
 /// An entry of a history as one line of text: its time, its source, and its fields under their stored names.
 pub fn entry_text(entry: &Entry) -> String {
     let fields = serde_json::to_value(&entry.event).unwrap_or_default();
-    let mut words = vec![fields["what"].as_str().unwrap_or_default().replace('-', " ")];
+    let mut texts = vec![fields["what"].as_str().unwrap_or_default().replace('-', " ")];
     for (key, value) in fields.as_object().into_iter().flatten().filter(|(key, _)| *key != "what") {
-        words.push(format!("{key} {}", value.as_str().map_or_else(|| value.to_string(), String::from)));
+        texts.push(format!("{key} {}", value.as_str().map_or_else(|| value.to_string(), String::from)));
     }
-    format!("{:9.3} s  {:<10} {}", entry.at_us as f64 / 1e6, entry.source, words.join(", "))
+    format!("{:9.3} s  {:<10} {}", entry.at_us as f64 / 1e6, entry.source, texts.join(", "))
 }
 
 /// The entries that show a violation, each as [`entry_text`].
@@ -105,7 +105,7 @@
         Some(Event::RunStarted { plan, seed, .. }) => (plan.clone(), *seed),
         _ => (String::new(), 0),
     };
-    let word = match verdict {
+    let result = match verdict {
         Verdict::Passed => "passed".to_string(),
         Verdict::Failed { violations } => format!("failed: {} violations", violations.len()),
         Verdict::NoVerdict { late_ms, max_lateness_ms } => {
@@ -122,7 +122,7 @@
          td:first-child{{text-align:left}}pre{{background:#f4f4f4;padding:8px;overflow-x:auto}}</style>\
          <h1>{0}, seed {seed}: {1}</h1><p>{2}</p>",
         escape(&name),
-        escape(&word),
+        escape(&result),
         summary_text(&service_summary(history, attempts))
     )
 }
--- a/crates/fault-injection/src/report/charts.rs
+++ b/crates/fault-injection/src/report/charts.rs
@@ -160,8 +160,8 @@
 fn draw_faults(area: &Area, faults: &[FaultBar], seconds: &Range<f64>) -> Result<(), ReportError> {
     let width = f64::from(WIDTH) - LEFT_MARGIN - RIGHT_MARGIN;
     let x = |at_us: u64| {
-        let part = (at_us as f64 / 1e6 - seconds.start) / (seconds.end - seconds.start);
-        (LEFT_MARGIN + width * part.clamp(0.0, 1.0)) as i32
+        let fraction = (at_us as f64 / 1e6 - seconds.start) / (seconds.end - seconds.start);
+        (LEFT_MARGIN + width * fraction.clamp(0.0, 1.0)) as i32
     };
     for (row, FaultBar { from_us, to_us, text }) in faults.iter().enumerate() {
         let (left, right) = (x(*from_us), x(*to_us));
--- a/crates/fault-injection/tests/golden_histories.rs
+++ b/crates/fault-injection/tests/golden_histories.rs
@@ -345,7 +345,7 @@
         );
     }
     let rules: String =
-        all().iter().map(|checker| format!("{}: {}\n", checker.name(), checker.about())).collect();
+        all().iter().map(|checker| format!("{}: {}\n", checker.name(), checker.rule())).collect();
     golden_files::check("histories/checkers.txt", &rules);
 }
 
--- a/crates/fault-injection/tests/golden_plans.rs
+++ b/crates/fault-injection/tests/golden_plans.rs
@@ -176,7 +176,7 @@
         bounds: bounded,
     } = plan;
     let kind = match node_kind {
-        NodeKind::File(text) if text == plan_reader::NODE => "the plans' own file".to_string(),
+        NodeKind::File(text) if text == plan_reader::DEFAULT_NODE_FILE => "the plans' own file".to_string(),
         NodeKind::File(text) => format!("a file of {text:?}"),
         NodeKind::Platform => "platform".into(),
     };
@@ -378,7 +378,7 @@
         link("box-2", "srondol", 9002, DrainState::Draining),
     ];
     let file = node_files::operator_file(
-        &format!("{}\n[admin]\naddress = \"127.0.0.1:1\"\n", plan_reader::NODE),
+        &format!("{}\n[admin]\naddress = \"127.0.0.1:1\"\n", plan_reader::DEFAULT_NODE_FILE),
         &position,
         &links,
     );
