--- a/crates/fault-injection/src/plan_reader.rs
+++ b/crates/fault-injection/src/plan_reader.rs
@@ -93,7 +93,7 @@
     if let Some(draw) = &draw
         && draw.value as usize > fault_count
     {
-        let what = format!("`draw` is {}, but the plan has {fault_count} faults", draw.value);
+        let what = format!("`draw` is {}, but the number of faults is {fault_count}", draw.value);
         push(report, Code::NumberRange, draw.span.clone(), what, "draw fewer, or add faults");
     }
     top.finish(report);
--- a/crates/fault-injection/tests/culprits.rs
+++ b/crates/fault-injection/tests/culprits.rs
@@ -43,8 +43,8 @@
         // The stored history gets the same verdict as the one in memory.
         let mut text = Vec::new();
         output.history.write(&mut text).expect("written");
-        let again = History::read(&text[..]).expect("a history");
-        assert_eq!(judge(&again), verdict);
+        let stored = History::read(&text[..]).expect("a history");
+        assert_eq!(judge(&stored), verdict);
         match verdict {
             Verdict::Passed => return Default::default(),
             Verdict::Failed { violations } => {
--- a/crates/fault-injection/tests/relay.rs
+++ b/crates/fault-injection/tests/relay.rs
@@ -24,7 +24,7 @@
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
-                let (mut from, mut to) = (stream.try_clone().expect("again"), stream);
+                let (mut from, mut to) = (stream.try_clone().expect("a second handle"), stream);
                 let _ = std::io::copy(&mut from, &mut to);
                 let _ = to.shutdown(Shutdown::Write);
             });
@@ -58,7 +58,7 @@
     fn exchange(&self, stream: &mut TcpStream, text: &[u8]) -> Vec<u8> {
         stream.write_all(text).expect("written");
         let mut back = vec![0; text.len()];
-        stream.read_exact(&mut back).expect("all of it");
+        stream.read_exact(&mut back).expect("all bytes");
         back
     }
 }
@@ -87,14 +87,14 @@
             });
         }
         let mut stream = link.connect();
-        let mut writer = stream.try_clone().expect("again");
+        let mut writer = stream.try_clone().expect("a second handle");
         let sent = bytes.clone();
         let writing = std::thread::spawn(move || {
             sent.chunks(chunk_size).for_each(|chunk| writer.write_all(chunk).expect("written"));
             writer.shutdown(Shutdown::Write).expect("ended");
         });
         let mut back = Vec::new();
-        stream.read_to_end(&mut back).expect("all of it");
+        stream.read_to_end(&mut back).expect("all bytes");
         writing.join().expect("written");
         prop_assert_eq!(back, bytes);
     }
@@ -106,7 +106,7 @@
         let mut stream = link.connect();
         link.connected.recv_timeout(TIMEOUT).expect("connected");
         link.relay.inject(LinkFault::CutAfter(after));
-        let mut writer = stream.try_clone().expect("again");
+        let mut writer = stream.try_clone().expect("a second handle");
         std::thread::spawn(move || writer.write_all(&vec![7; 50_000]));
         let mut received = 0;
         let mut buffer = [0; 4096];
--- a/crates/fleet-demo/src/rules.rs
+++ b/crates/fleet-demo/src/rules.rs
@@ -32,7 +32,7 @@
 const REQUESTS_PER_DENIED: usize = 500;
 /// A 5xx before this fraction of the deadline counts as a lost request; later ones are attributed to the
 /// deadline.
-const EARLY_FAILURE_PART: f64 = 0.9;
+const EARLY_FAILURE_FRACTION: f64 = 0.9;
 
 /// A rule, and its violations.
 #[derive(Clone, Debug)]
@@ -124,7 +124,7 @@
     fn lost_requests(&self) -> Vec<String> {
         let mut violations = Vec::new();
         for attempt in &self.observations.attempts {
-            let early_failure = attempt.kind.deadline().mul_f64(EARLY_FAILURE_PART);
+            let early_failure = attempt.kind.deadline().mul_f64(EARLY_FAILURE_FRACTION);
             let reason = match &attempt.outcome {
                 Outcome::Interrupted(error) => error.clone(),
                 Outcome::Failed(status) if attempt.ended_at - attempt.sent_at < early_failure => {
