--- a/crates/fault-injection/src/plan_reader.rs
+++ b/crates/fault-injection/src/plan_reader.rs
@@ -1,5 +1,5 @@
-//! Reads a plan from TOML: every fault of the text in one pass, with its place, as an operator's file is read. Opens no file but
-//! the one that its caller reads for it.
+//! Reads a plan from TOML. All errors of the text are reported in one pass with their positions, as for an
+//! operator's file. Other files are read only through a callback.
 
 mod faults;
 mod names;
@@ -17,26 +17,28 @@
 use toml::de::{DeTable, DeValue};
 use values::{ZeroDuration, duration, duration_range, or_default, push};
 
-/// The operator's file of the nodes in plans that name none.
-pub const NODE: &str = include_str!("../../../deploy/trials/node.toml");
-/// As many processes as run on one machine beside the trial itself.
+/// The operator's file of nodes in plans that do not name one.
+pub const DEFAULT_NODE_FILE: &str = include_str!("../../../deploy/trials/node.toml");
+/// The largest number of nodes: as many processes as one machine runs beside the trial itself.
 const MAX_NODES: u64 = 100;
+/// The largest number of backends.
 const MAX_BACKENDS: u64 = 100;
-/// More faults are a mistake, or a plan that nobody reads.
+/// The largest number of faults to draw. A higher one is most likely a mistake.
 const MAX_FAULTS: usize = 200;
 /// The largest number of cores of a backend.
 const MAX_CORES: u64 = 1000;
 /// The largest number of retries of a request.
 const MAX_RETRIES: u64 = 5;
-/// The largest bound on connections, calls and descriptors.
+/// The largest limit on connections, discovery calls and descriptors.
 const MAX_COUNT: u64 = 1_000_000;
 /// The largest size in bytes.
 const MAX_BYTES: u64 = 1 << 40;
 
-/// Reads a plan. `read_file` reads an operator's file that the plan names; its error is shown with the place.
+/// Reads a plan. `read_file` reads the operator's file that the plan names; its error is reported at the
+/// position of the name.
 ///
 /// # Errors
-/// The faults of the text, by their places.
+/// All errors of the text, sorted by position.
 pub fn read_plan<E: fmt::Display>(
     text: &str,
     read_file: impl Fn(&str) -> Result<String, E>,
@@ -46,7 +48,7 @@
         Ok(table) => read_top_level(table.get_ref(), table.span(), &read_file, &mut report),
         Err(e) => {
             let at = e.span().unwrap_or(0..0);
-            push(&mut report, Code::InvalidToml, at, e.message().to_string(), "write TOML");
+            push(&mut report, Code::InvalidToml, at, e.message().to_string(), "fix the TOML syntax");
             None
         }
     };
@@ -77,7 +79,7 @@
     let clients = read::tables(top.get("clients"), "clients", report);
     let clients: Vec<_> = clients.into_iter().filter_map(|section| read_clients(section, report)).collect();
     if clients.is_empty() && report.is_empty() {
-        let help = "add a table `[[clients]]` with `class`, `path` and `rate`";
+        let help = "add a table `[[clients]]` with `class`, `repeat`, `path` and `rate`";
         push(report, Code::MissingKey, 0..0, "the plan has no clients".into(), help);
     }
     let names = Names { nodes: count, backends: backends.as_ref().map_or(0, |backends| backends.count) };
@@ -92,7 +94,7 @@
     if let Some(draw) = &draw
         && draw.value as usize > fault_count
     {
-        let what = format!("{} faults are to be drawn, and there are {fault_count}", draw.value);
+        let what = format!("`draw` is {}, but the number of faults is {fault_count}", draw.value);
         push(report, Code::NumberOutOfRange, draw.span.clone(), what, "draw fewer, or add faults");
     }
     top.finish(report);
@@ -122,17 +124,17 @@
     let file = section.get("file").and_then(|v| read::text(v, report));
     let kind = match (is_platform, file) {
         (true, Some(file)) => {
-            let what = "a node of the platform has no operator's file".to_string();
+            let what = "nodes of the platform do not read an operator's file".to_string();
             let help = "leave `file` out, or write `kind = \"file\"`";
             push(report, Code::InvalidChoice, file.span, what, help);
             NodeKind::Platform
         }
         (true, None) => NodeKind::Platform,
-        (false, None) => NodeKind::File(NODE.into()),
+        (false, None) => NodeKind::File(DEFAULT_NODE_FILE.into()),
         (false, Some(file)) => match read_file(&file.value) {
             Ok(text) => NodeKind::File(text),
             Err(error) => {
-                let help = "name a file, as seen from the plan's folder";
+                let help = "write a path relative to the folder of the plan";
                 push(report, Code::UnreadableFile, file.span, error.to_string(), help);
                 NodeKind::File(String::new())
             }
@@ -184,11 +186,12 @@
 
 fn read_clients(mut section: Section, report: &mut Report) -> Option<ClientGroup> {
     let class = section.required("class", "\"look\"", report).and_then(|v| read::name(v, report));
-    let words = [("safe", Idempotency::Safe), ("keyed", Idempotency::Keyed), ("unsafe", Idempotency::Unsafe)];
+    let choices =
+        [("safe", Idempotency::Safe), ("keyed", Idempotency::Keyed), ("unsafe", Idempotency::Unsafe)];
     let idempotency = section
         .required("repeat", "\"safe\"", report)
-        .and_then(|v| read::choice(v, &words, report))
-        .map(|word| word.value);
+        .and_then(|v| read::choice(v, &choices, report))
+        .map(|choice| choice.value);
     let default_method = if idempotency == Some(Idempotency::Safe) { "GET" } else { "POST" };
     let method =
         or_default(section.get("method"), default_method.into(), |v| Some(read::name(v, report)?.value));
@@ -196,8 +199,14 @@
     if let Some(path) = &path
         && (!path.value.starts_with('/') || path.value.contains([' ', '\r', '\n']))
     {
-        let what = format!("{:?} is no path", path.value);
-        push(report, Code::InvalidPath, path.span.clone(), what, "write `/`, and no spaces");
+        let what = format!("{:?} is not a path", path.value);
+        push(
+            report,
+            Code::InvalidPath,
+            path.span.clone(),
+            what,
+            "start it with `/`, and leave out spaces and line breaks",
+        );
     }
     let headers = read_headers(&mut section, report);
     let rate = section.required("rate", "\"40/s\"", report).and_then(|v| read::rate(v, report));
@@ -224,13 +233,19 @@
     let Some(value) = section.get("headers") else { return headers };
     let DeValue::Table(table) = value.get_ref() else {
         let help = "write `headers = { x-account = \"semarang\" }`";
-        push(report, Code::WrongType, value.span(), "this is no table of headers".into(), help);
+        push(report, Code::WrongType, value.span(), "the headers are not a table".into(), help);
         return headers;
     };
     for (name, value) in table.iter() {
         let Some(text) = read::text(value, report) else { continue };
         if text.value.contains(['\r', '\n']) {
-            push(report, Code::InvalidHeader, text.span, "a header of two lines".into(), "write it in one");
+            push(
+                report,
+                Code::InvalidHeader,
+                text.span,
+                "a header value with a line break".into(),
+                "write it on one line",
+            );
         } else {
             headers.push((name.get_ref().to_string(), text.value));
         }
--- a/crates/fleet-demo/src/node_settings.rs
+++ b/crates/fleet-demo/src/node_settings.rs
@@ -1,4 +1,4 @@
-//! The settings files of the processes. They are written as JSON, which is YAML too.
+//! The settings files of the processes, in JSON, which is valid YAML.
 
 use crate::topology::{COORDINATORS, INTERNAL_PORTS, Topology, ZONES, coordinator_name, frontend_name};
 use serde_json::{Value, json};
@@ -6,21 +6,22 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// How long after the list shows a drain a backend may still receive requests.
+/// The setting `drain_ms`: how long after its drain is listed a backend may still get new requests.
 pub const DRAIN_BOUND: Duration = Duration::from_millis(3000);
-/// How long an acknowledged configuration may take to be in force.
+/// The setting `config_apply_ms`: how long an acknowledged configuration may take to be in force at a
+/// frontend.
 pub const CONFIG_APPLY_BOUND: Duration = Duration::from_millis(2000);
 
-/// How a coordinator starts without data of an earlier run.
+/// How a coordinator without stored data starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClusterStart {
     /// It forms a new core with the others.
     Bootstrap,
-    /// It joins a core that is there.
+    /// It joins an existing core.
     Join,
 }
 
-/// The settings of a coordinator.
+/// The settings of a coordinator, as JSON.
 pub fn coordinator_settings(
     topology: &Topology,
     number: usize,
@@ -28,30 +29,31 @@
     platform: SocketAddrV4,
     start: ClusterStart,
 ) -> String {
-    let mut settings = common_settings(topology, topology.coordinator(number), platform);
+    let mut settings = common_settings(topology, topology.coordinator_ip(number), platform);
     settings["node_name"] = json!(coordinator_name(number));
     settings["machine_class"] = json!("core");
     settings["zone"] = json!(ZONES[number % ZONES.len()]);
-    settings["listen"] = json!({"control": topology.control(number).to_string()});
+    settings["listen"] = json!({"control": topology.control_address(number).to_string()});
     settings["counts_for_quorum"] = json!(true);
     settings["bootstrap"] = json!(start == ClusterStart::Bootstrap);
     settings["data_dir"] = json!(data);
     settings.to_string()
 }
 
-/// The settings of the two processes of a frontend.
+/// The settings of a frontend, as JSON. Its agent and its data plane share them.
 pub fn frontend_settings(topology: &Topology, number: usize, platform: SocketAddrV4) -> String {
-    let (entry, readiness) = (topology.entry(number), topology.readiness(number));
-    let mut settings = common_settings(topology, topology.frontend(number), platform);
+    let (client_address, readiness) = (topology.client_address(number), topology.readiness_address(number));
+    let mut settings = common_settings(topology, topology.frontend_ip(number), platform);
     settings["node_name"] = json!(frontend_name(number));
     settings["machine_class"] = json!("frontend");
     settings["zone"] = json!(ZONES[number % ZONES.len()]);
-    settings["listen"] = json!({"frontend": entry.to_string(), "readiness": readiness.to_string()});
+    settings["listen"] = json!({"frontend": client_address.to_string(), "readiness": readiness.to_string()});
     settings.to_string()
 }
 
 fn common_settings(topology: &Topology, ip: Ipv4Addr, platform: SocketAddrV4) -> Value {
-    let seeds: Vec<String> = (0..COORDINATORS).map(|number| topology.control(number).to_string()).collect();
+    let seeds: Vec<String> =
+        (0..COORDINATORS).map(|number| topology.control_address(number).to_string()).collect();
     let drain_ms = DRAIN_BOUND.as_millis() as u64;
     let config_apply_ms = CONFIG_APPLY_BOUND.as_millis() as u64;
     json!({"ip": ip, "region": "loopback", "internal_port_range": INTERNAL_PORTS, "seed_nodes": seeds,
