--- a/crates/route-config/src/check/cluster.rs
+++ b/crates/route-config/src/check/cluster.rs
@@ -9,22 +9,22 @@
 pub(super) fn backends(cluster: &Cluster, report: &mut Report) {
     let name = &cluster.name;
     if cluster.backends.is_empty() {
-        let message = format!("the cluster `{}` has no boxes", name.value);
-        let help = "add a `[[cluster.box]]` with a `name` and an `address` below it";
+        let message = format!("cluster `{}` has no backends", name.value);
+        let help = "add a `[[cluster.box]]` with `name` and `address` below it";
         report.push(Diagnostic::new(Code::NoBackends, name.span.clone(), message, help));
         return;
     }
     let names = cluster.backends.iter().map(|b| (b.name.value.as_str(), &b.name.span));
-    duplicates("a box", names, Code::Duplicate, "give each its own name", report);
+    duplicates("the backend", names, Code::Duplicate, "use a different one", report);
     let addresses: Vec<_> =
         cluster.backends.iter().map(|b| (b.address.value.to_string(), &b.address.span)).collect();
     let addresses = addresses.iter().map(|(text, span)| (text.as_str(), *span));
-    let help = "a box that is listed twice gets twice its part; leave one out";
-    duplicates("a box of this cluster at", addresses, Code::DuplicateAddress, help, report);
+    let help = "remove one: a backend that is listed twice gets twice its share of requests";
+    duplicates("the backend address", addresses, Code::DuplicateAddress, help, report);
     let is_ready = |b: &Backend| b.state.as_ref().is_none_or(|state| state.value == ServerState::Ready);
     if !cluster.backends.iter().any(is_ready) {
-        let message = format!("no box of the cluster `{}` is in service", name.value);
-        let help = "let one be `state = \"in-service\"`, or leave the cluster out";
+        let message = format!("no backend of cluster `{}` is in service", name.value);
+        let help = "set `state = \"in-service\"` for one of them, or remove the cluster";
         report.push(Diagnostic::new(Code::NoBackendInService, name.span.clone(), message, help));
     }
 }
@@ -34,18 +34,18 @@
     for step in cluster.brownout.iter().flatten() {
         if step.release_threshold.value >= step.threshold.value {
             let message = format!(
-                "this step is taken back at {:.1}% of work refused, and taken at {:.1}%",
+                "this step ends at {:.1}% of rejected load, but begins at {:.1}%",
                 step.release_threshold.value * 100.0,
                 step.threshold.value * 100.0
             );
-            let help = "let `back` be well below `at`, or it is taken and taken back for ever";
+            let help = "set `back` well below `at`, or the step would switch on and off repeatedly";
             let diagnostic = Diagnostic::new(
                 Code::ReleaseAboveThreshold,
                 step.release_threshold.span.clone(),
                 message,
                 help,
             );
-            report.push(diagnostic.with_related(step.threshold.span.clone(), "taken here"));
+            report.push(diagnostic.with_related(step.threshold.span.clone(), "the step begins here"));
         }
         for name in &step.classes {
             if !file.classes.iter().any(|class| class.name.value == name.value) {
--- a/crates/route-config/src/check/location.rs
+++ b/crates/route-config/src/check/location.rs
@@ -19,16 +19,18 @@
             false => HostRule::Exact(name.into()),
         }),
         Some(form) => {
-            let message =
-                format!("no request has the host {:?}: hosts are matched in their one form", host.value);
+            let message = format!(
+                "no request matches the host {:?}: hosts are normalized before they are matched",
+                host.value
+            );
             let star = if wild { "*." } else { "" };
-            let help = format!("write \"{star}{form}\": small letters, without port and final dot");
+            let help = format!("write \"{star}{form}\": in lower case, without port and trailing dot");
             report.push(Diagnostic::new(Code::RouteNeverMatches, host.span.clone(), message, help));
             None
         }
         None => {
-            let help = "write a name such as `tally.example`, or `*.tally.example` for all below it";
-            let message = format!("{:?} is no host", host.value);
+            let help = "write a name such as `tally.example`, or `*.tally.example` for all its subdomains";
+            let message = format!("{:?} is not a valid host", host.value);
             report.push(Diagnostic::new(Code::InvalidHost, host.span.clone(), message, help));
             None
         }
@@ -50,7 +52,7 @@
     match pattern {
         Ok(pattern) => Some(pattern),
         Err(error) => {
-            let message = format!("{:?} is no path of a route: {error}", rule.value.text());
+            let message = format!("{:?} is not a valid path: {error}", rule.value.text());
             let help = "write a path such as `/tally/{station}`";
             report.push(Diagnostic::new(Code::InvalidPath, rule.span.clone(), message, help));
             None
@@ -67,7 +69,7 @@
     let is_template = matches!(rule.value, PathRule::Template(_));
     if !is_template && text.contains(['{', '}']) {
         let help = format!("write `template = {text:?}` for a path with captures");
-        return diagnostic(Code::InvalidPath, format!("{text:?} has braces, and is no template"), help);
+        return diagnostic(Code::InvalidPath, format!("{text:?} has braces, but is not a template"), help);
     }
     // A capture's segment is never empty, so a template without its braces is as good as with them.
     let plain = if is_template { text.replace(['{', '}'], "") } else { text.to_string() };
@@ -75,9 +77,10 @@
     match target::normalize_path(&plain, encoded_slash) {
         Ok(normalized) if normalized == plain => Ok(()),
         Ok(normalized) => {
-            let message = format!("no request has the path {text:?}: paths are matched in their one form");
+            let message =
+                format!("no request matches the path {text:?}: paths are normalized before they are matched");
             let help = match is_template {
-                true => "write it without escapes of plain letters, dot segments and empty segments".into(),
+                true => "remove escapes of unreserved characters, dot segments and empty segments".into(),
                 false => format!("write {normalized:?}"),
             };
             diagnostic(Code::RouteNeverMatches, message, help)
@@ -85,12 +88,17 @@
         Err(
             error @ (PathError::EncodedSlash | PathError::AboveRoot | PathError::DotSegmentWithParameters),
         ) => {
-            let message = format!("no request has the path {text:?}: {error}, and is refused");
-            diagnostic(Code::RouteNeverMatches, message, "write the path as boxes know it".into())
+            let message =
+                format!("no request matches the path {text:?}: {error}, so such requests are rejected");
+            diagnostic(
+                Code::RouteNeverMatches,
+                message,
+                "write the normalized path that backends expect".into(),
+            )
         }
         Err(error) => {
             let help = "write a path such as `/tally/submit`".to_string();
-            diagnostic(Code::InvalidPath, format!("{text:?} is no path: {error}"), help)
+            diagnostic(Code::InvalidPath, format!("{text:?} is not a valid path: {error}"), help)
         }
     }
 }
@@ -118,9 +126,9 @@
         let help = match closest_word(name, known.iter().copied()) {
             Some(known) => format!("did you mean `{known}`?"),
             None if known.is_empty() => "only a `template` such as `/tally/{station}` has captures".into(),
-            None => format!("the path captures {}", list(&known)),
+            None => format!("the path has the captures {}", list(&known)),
         };
-        let message = format!("the path of this route captures no `{name}`");
+        let message = format!("the path of this route has no capture `{name}`");
         report.push(Diagnostic::new(Code::UnknownCapture, span.clone(), message, help));
     };
     for capture in [&route.key, &route.subject].into_iter().flatten() {
@@ -128,14 +136,14 @@
     }
     let Some(rewrite) = &route.rewrite else { return };
     let Some(used) = used_captures(&rewrite.value) else {
-        let message = format!("the braces of {:?} don't match", rewrite.value);
+        let message = format!("unbalanced braces in {:?}", rewrite.value);
         let help = "write captures as `{name}`";
         return report.push(Diagnostic::new(Code::InvalidPath, rewrite.span.clone(), message, help));
     };
     used.iter().for_each(|name| missing(name, &rewrite.span));
     let plain = rewrite.value.replace(['{', '}'], "");
     if !target::normalize_path(&plain, EncodedSlash::Keep).is_ok_and(|form| form == plain) {
-        let message = format!("{:?} is no path in its one form", rewrite.value);
+        let message = format!("{:?} is not a normalized path", rewrite.value);
         let help = "write a path such as `/v2/{station}`";
         report.push(Diagnostic::new(Code::InvalidPath, rewrite.span.clone(), message, help));
     }
--- a/crates/route-config/src/check/mod.rs
+++ b/crates/route-config/src/check/mod.rs
@@ -82,9 +82,9 @@
             let route = &file.routes[routes[at].number];
             route.path.as_ref().map_or(route.span.clone(), |path| path.span.clone())
         };
-        let message = "some request takes this route and another one alike";
-        let help = "give one of them a host, a header or other methods, or leave one out";
+        let message = "this route and another one match the same request equally well";
+        let help = "add a host, a header or other methods to one of them, or remove one";
         let diagnostic = Diagnostic::new(Code::AmbiguousRoutes, span(second), message, help);
-        report.push(diagnostic.with_related(span(first), "the other one"));
+        report.push(diagnostic.with_related(span(first), "the other route"));
     }
 }
--- a/crates/route-config/src/check/node.rs
+++ b/crates/route-config/src/check/node.rs
@@ -19,21 +19,21 @@
     if let Some(zone) = file.node.zone.as_ref().filter(|zone| !zones.contains(zone.value.as_str())) {
         let help = match closest_word(&zone.value, zones.iter().copied()) {
             Some(known) => format!("did you mean `{known}`?"),
-            None => "boxes say theirs with `zone`".into(),
+            None => "set `zone` for the backends that are in it".into(),
         };
-        let message = format!("no box is in the zone `{}`", zone.value);
+        let message = format!("no backend is in the zone `{}`", zone.value);
         report.push(Diagnostic::new(Code::UnknownZone, zone.span.clone(), message, help));
     }
     if zones.len() > MAX_ZONES {
         let span = file.clusters[0].name.span.clone();
-        let message = format!("the boxes are in {} zones", zones.len());
-        let help = format!("{MAX_ZONES} zones are told apart at most");
+        let message = format!("the backends are in {} zones", zones.len());
+        let help = format!("use at most {MAX_ZONES} zones");
         report.push(Diagnostic::new(Code::NumberOutOfRange, span, message, help));
     }
     let nodes = file.node_count();
     if let Some(number) = file.node.number.as_ref().filter(|number| number.value >= nodes) {
-        let message = format!("there is no node number {} among {nodes}", number.value);
-        let help = "`number` counts from 0 and `nodes` is how many there are";
+        let message = format!("node number {} is not below the number of nodes, {nodes}", number.value);
+        let help = "`number` counts from 0, and `nodes` is the number of nodes";
         report.push(Diagnostic::new(Code::NumberOutOfRange, number.span.clone(), message, help));
     }
 }
@@ -45,7 +45,7 @@
     if let Some(last) = file.tenants.iter().rev().find_map(|t| t.share.as_ref()).filter(|_| sum > 1.0 + 1e-6)
     {
         let message = format!("the tenants' shares add up to {:.1}%", sum * 100.0);
-        let help = "make them 100% together, or less";
+        let help = "lower them to at most 100% in total";
         report.push(Diagnostic::new(Code::SharesExceedOne, last.span.clone(), message, help));
     }
 }
--- a/crates/route-config/src/check/request_settings.rs
+++ b/crates/route-config/src/check/request_settings.rs
@@ -79,9 +79,9 @@
             self.report_error(
                 Code::UnsafeRetried,
                 self.span_of(&settings.retry_on),
-                format!("`{name}` is unsafe, and would be sent again after it may have run"),
-                "write `retry-on = [\"never-ran\"]` or `attempts = 1` for it".into(),
-                Some((class.repeat.span.clone(), "unsafe: it must never run twice")),
+                format!("class `{name}` is unsafe, but allows retries after an attempt that may have been executed"),
+                "set `retry-on = [\"never-ran\"]` or `attempts = 1`".into(),
+                Some((class.repeat.span.clone(), "unsafe: must not be executed twice")),
             );
         }
     }
@@ -96,9 +96,9 @@
                 self.report_error(
                     Code::UnsafeHedged,
                     self.span_of(&settings.hedging),
-                    format!("`{name}` is unsafe, and a second copy of it would run beside the first"),
-                    "write `copies = false` for it".into(),
-                    Some((class.repeat.span.clone(), "unsafe: it must never run twice")),
+                    format!("class `{name}` is unsafe, but allows hedged requests, which run in parallel"),
+                    "set `copies = false`".into(),
+                    Some((class.repeat.span.clone(), "unsafe: must not be executed twice")),
                 );
             }
             if hedging.delay >= settings.max_attempt_duration() {
@@ -106,12 +106,13 @@
                     Code::HedgeTooLate,
                     self.span_of(&settings.hedging),
                     format!(
-                        "a copy after {} is due when its attempt is over, after {}",
+                        "a hedged request after {} is too late: the attempt times out after {}",
                         format_duration(hedging.delay),
                         format_duration(settings.max_attempt_duration())
                     ),
-                    "let `after` be a part of the attempt's time, such as its usual 95th percentile".into(),
-                    settings.attempt_timeout.span.clone().map(|span| (span, "the attempt's time")),
+                    "set `after` below the attempt's timeout, such as to the 95th percentile of latencies"
+                        .into(),
+                    settings.attempt_timeout.span.clone().map(|span| (span, "the attempt's timeout")),
                 );
             }
             if hedging.max_per_request >= settings.max_attempts.value {
@@ -119,15 +120,15 @@
                     Code::HedgesWithoutAttempts,
                     self.span_of(&settings.hedging),
                     format!(
-                        "{} copies and a first attempt are more than {}",
+                        "{} hedged requests and the first attempt exceed the maximum of {} attempts",
                         hedging.max_per_request, settings.max_attempts.value
                     ),
-                    format!("write `attempts = {}` or fewer copies", hedging.max_per_request + 1),
+                    format!("set `attempts = {}`, or allow fewer `copies`", hedging.max_per_request + 1),
                     settings
                         .max_attempts
                         .span
                         .clone()
-                        .map(|span| (span, "the most attempts, copies included")),
+                        .map(|span| (span, "the maximum number of attempts, hedged ones included")),
                 );
             }
         }
@@ -149,9 +150,11 @@
             };
             if last >= window {
                 let help = match settings.attempt_timeout.value {
-                    None => "limit each attempt with `attempt-time`, or retry only what never ran".into(),
+                    None => {
+                        "limit each attempt with `attempt-time`, or set `retry-on = [\"never-ran\"]`".into()
+                    }
                     Some(_) => format!(
-                        "shorten `attempt-time` or `back-off`, or let the boxes remember for {}",
+                        "shorten `attempt-time` or `back-off`, or extend `window` beyond {}",
                         format_duration(last)
                     ),
                 };
@@ -164,12 +167,12 @@
                     Code::RetryAfterKeyWindow,
                     blame,
                     format!(
-                        "`{name}` may be sent again {} after its first send, and boxes remember its key for {}",
+                        "class `{name}` allows an attempt {} after the first, but backends remember its key for {}",
                         format_duration(last),
                         format_duration(window)
                     ),
                     help,
-                    Some((class.repeat.span.clone(), "keyed")),
+                    Some((class.repeat.span.clone(), "the class is keyed")),
                 );
             }
         }
@@ -185,12 +188,12 @@
                 Code::AttemptTooLong,
                 self.span_of(&settings.attempt_timeout),
                 format!(
-                    "an attempt of {} is longer than its request, which has {}",
+                    "the attempt's timeout of {} exceeds the request's timeout of {}",
                     format_duration(attempt),
                     format_duration(time)
                 ),
-                format!("write at most \"{}\"", format_duration(time)),
-                settings.timeout.span.clone().map(|span| (span, "the request's time")),
+                format!("set at most \"{}\"", format_duration(time)),
+                settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
             );
         } else if self.repeats() {
             let last = settings.max_attempts.value - 1;
@@ -210,14 +213,14 @@
                     Code::AttemptsExceedTimeout,
                     blame.clone().unwrap_or_else(|| self.span_of(&settings.max_attempts)),
                     format!(
-                        "{} attempts and the waits between them may take {}, and the request has {}",
+                        "{} attempts and the back-offs between them may take {}, but the request ends after {}",
                         settings.max_attempts.value,
                         format_duration(total),
                         format_duration(deadline)
                     ),
-                    "write fewer attempts, shorter ones or shorter waits, or give the request more time"
+                    "allow fewer attempts, shorten them or the back-offs, or extend `time`"
                         .into(),
-                    settings.timeout.span.clone().map(|span| (span, "the request's time")),
+                    settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
                 );
             }
         }
@@ -234,12 +237,12 @@
                 Code::ExceedsClientTimeout,
                 self.span_of(&settings.timeout),
                 format!(
-                    "clients wait for {}, and a request may take {}",
+                    "clients wait for {}, but a request may take {}",
                     format_duration(client_timeout),
                     format_duration(time)
                 ),
-                format!("write `time = \"{}\"` or less", format_duration(client_timeout)),
-                settings.client_timeout.span.clone().map(|span| (span, "the clients' patience")),
+                format!("set `time = \"{}\"` or less", format_duration(client_timeout)),
+                settings.client_timeout.span.clone().map(|span| (span, "the clients' timeout")),
             );
         }
     }
@@ -254,11 +257,11 @@
                 Code::ConnectTooLong,
                 self.span_of(&settings.connect_timeout),
                 format!(
-                    "a connect of {} leaves nothing of an attempt of {}",
+                    "a connect timeout of {} leaves no time for a response within an attempt of {}",
                     format_duration(settings.connect_timeout.value),
                     format_duration(settings.max_attempt_duration())
                 ),
-                "write a part of the attempt's time".into(),
+                "set it below the attempt's timeout".into(),
                 None,
             );
         }
@@ -276,11 +279,11 @@
                 Code::RetriesWithoutBudget,
                 self.span_of(&settings.retry_budget),
                 format!(
-                    "`{name}` may have {} attempts, and a budget of none beyond the first",
+                    "class `{name}` allows {} attempts, but its retry budget is zero",
                     settings.max_attempts.value
                 ),
-                "write `attempts = 1`, or a budget such as `{ share = 0.2, floor = \"1/s\" }`".into(),
-                settings.max_attempts.span.clone().map(|span| (span, "the most attempts")),
+                "set `attempts = 1`, or a budget such as `{ share = 0.2, floor = \"1/s\" }`".into(),
+                settings.max_attempts.span.clone().map(|span| (span, "the maximum number of attempts")),
             );
         }
     }
@@ -296,12 +299,12 @@
                 Code::LatencyTargetTooLong,
                 self.span_of(&settings.latency_target),
                 format!(
-                    "the aim of {} is longer than the request's time, {}",
+                    "the latency target of {} exceeds the request's timeout of {}",
                     format_duration(latency_target),
                     format_duration(time)
                 ),
-                format!("write at most \"{}\"", format_duration(time)),
-                settings.timeout.span.clone().map(|span| (span, "the request's time")),
+                format!("set at most \"{}\"", format_duration(time)),
+                settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
             );
         }
     }
@@ -316,11 +319,11 @@
                     Code::TenantRatesBelowRetryBudget,
                     self.span_of(&settings.tenant_rate),
                     format!(
-                        "all tenants together may send {all} requests a second, and the budget's floor is {} retries",
+                        "all tenants together may send {all} requests per second, but the retry budget's floor is {}",
                         settings.retry_budget.value.per_s
                     ),
-                    "lower the floor of `budget`, or allow more requests".into(),
-                    settings.retry_budget.span.clone().map(|span| (span, "the budget")),
+                    "lower the floor of `budget`, or raise `tenant-rate`".into(),
+                    settings.retry_budget.span.clone().map(|span| (span, "the retry budget")),
                 );
             }
         }
@@ -335,12 +338,12 @@
                 Code::QueueTooLong,
                 self.span_of(&settings.max_queue_time),
                 format!(
-                    "a wait of {} leaves nothing of the request's {}",
+                    "queueing for {} leaves no time for a response within the request's {}",
                     format_duration(wait),
                     format_duration(deadline)
                 ),
-                "let it wait for a part of its time, so that an answer can still come".into(),
-                settings.timeout.span.clone().map(|span| (span, "the request's time")),
+                "set it well below the request's timeout".into(),
+                settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
             );
         }
     }
@@ -355,10 +358,10 @@
                 Code::FallbackInClassWithEffects,
                 self.span_of(&settings.fallback),
                 format!(
-                    "`{name}` has effects, and a client that gets a fallback would think that it had one"
+                    "class `{name}` has side effects, and a client could take the fallback for a success"
                 ),
-                "write `fallback = false` here, or make it that of a safe class".into(),
-                Some((class.repeat.span.clone(), "has effects")),
+                "set `fallback = false`, or use a safe class".into(),
+                Some((class.repeat.span.clone(), "the class has side effects")),
             );
         }
     }
@@ -373,10 +376,10 @@
                 Code::UpgradeInClassWithEffects,
                 self.span_of(&settings.upgrade),
                 format!(
-                    "`{name}` has effects, and a switch of protocol comes by GET, which it does not take"
+                    "class `{name}` has side effects and rejects GET, by which protocol upgrades are requested"
                 ),
-                "write `upgrade = false` here, or give those requests a safe class".into(),
-                Some((class.repeat.span.clone(), "has effects")),
+                "set `upgrade = false`, or use a safe class".into(),
+                Some((class.repeat.span.clone(), "the class has side effects")),
             );
         }
     }
@@ -393,12 +396,12 @@
                 Code::StreamShorterThanGap,
                 self.span_of(&settings.max_stream_gap),
                 format!(
-                    "a pause of {} is never reached: the answer is cut after {}",
+                    "a gap of {} is never reached: the response ends after {}",
                     format_duration(settings.max_stream_gap.value),
                     format_duration(whole)
                 ),
-                format!("write at most \"{}\"", format_duration(whole)),
-                settings.max_stream_duration.span.clone().map(|span| (span, "cut here")),
+                format!("set at most \"{}\"", format_duration(whole)),
+                settings.max_stream_duration.span.clone().map(|span| (span, "the maximum duration")),
             );
         }
     }
@@ -412,8 +415,8 @@
                 self.report_error(
                     Code::QueueWithoutLimit,
                     self.span_of(&settings.queue),
-                    "nothing waits in this queue, as there is no limit on requests in hand".into(),
-                    "add `in-hand = 100`, or leave the queue out".into(),
+                    "this queue is never used, as requests in flight have no maximum".into(),
+                    "add `in-hand = 100`, or remove the queue".into(),
                     None,
                 );
             }
@@ -422,12 +425,12 @@
                     Code::QueueTooLong,
                     self.span_of(&settings.queue),
                     format!(
-                        "a wait of {} leaves nothing of the request's {}",
+                        "queueing for {} leaves no time for a response within the request's {}",
                         format_duration(queue.max_time),
                         format_duration(deadline)
                     ),
-                    "let it wait for a part of its time, so that an answer can still come".into(),
-                    settings.timeout.span.clone().map(|span| (span, "the request's time")),
+                    "set it well below the request's timeout".into(),
+                    settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
                 );
             }
         }
--- a/crates/route-config/src/check/route.rs
+++ b/crates/route-config/src/check/route.rs
@@ -44,8 +44,9 @@
     request_settings::request_settings(file, route_class, &resolved, report);
     keyed(file, route, route_class, cluster, report);
     if resolved.fallback.value.is_some() && !serves_fallback(&file.clusters[cluster]) {
-        let message = format!("no step of `{}` answers with fallbacks", file.clusters[cluster].name.value);
-        let help = "add a `[[cluster.step]]` with `does = \"fallback\"`, or leave the fallback out";
+        let message =
+            format!("no brownout step of cluster `{}` serves fallbacks", file.clusters[cluster].name.value);
+        let help = "add a `[[cluster.step]]` with `does = \"fallback\"`, or remove the fallback";
         report.push(Diagnostic::new(
             Code::FallbackUnused,
             request_settings::span_of(&resolved.fallback, route_class),
@@ -63,15 +64,15 @@
 fn keyed(file: &File, route: &Route, class: &Class, cluster: usize, report: &mut Report) {
     let Repeat::Keyed { scope, .. } = class.repeat.value else {
         if let Some(key) = &route.key {
-            let message = format!("`key` means nothing here: `{}` is not keyed", class.name.value);
-            report.push(Diagnostic::new(Code::UnknownKey, key.span.clone(), message, "leave it out"));
+            let message = format!("`key` is not allowed here: class `{}` is not keyed", class.name.value);
+            report.push(Diagnostic::new(Code::UnknownKey, key.span.clone(), message, "remove it"));
         }
         return;
     };
     if class.key_header.is_none() && route.key.is_none() {
-        let message = format!("nothing says where the key of `{}` is found", class.name.value);
+        let message = format!("class `{}` is keyed, but the source of its key is not set", class.name.value);
         let help =
-            "write `key-header = \"idempotency-key\"` in the class, or `key` with a capture in the route";
+            "set `key-header = \"idempotency-key\"` in the class, or `key` with a capture in the route";
         let diagnostic = Diagnostic::new(Code::KeyedWithoutKey, class.repeat.span.clone(), message, help);
         report.push(diagnostic.with_related(route.class.span.clone(), "a route of this class"));
     }
@@ -83,12 +84,12 @@
     let cluster = &file.clusters[cluster];
     if let Some(without) = cluster.backends.iter().find(|b| is_missing(b)) {
         let message = format!(
-            "`{}` is keyed by {word}, and this box of `{}` does not say its own",
+            "class `{}` is keyed by {word}, but this backend of cluster `{}` has no {word}",
             class.name.value, cluster.name.value
         );
-        let help = format!("add `{word}` to each box of the cluster");
+        let help = format!("set `{word}` for each backend of the cluster");
         let diagnostic = Diagnostic::new(Code::MissingScope, without.name.span.clone(), message, help);
-        report.push(diagnostic.with_related(class.repeat.span.clone(), "keyed"));
+        report.push(diagnostic.with_related(class.repeat.span.clone(), "the class is keyed"));
     }
 }
 
@@ -100,17 +101,17 @@
         let (code, message) = match class.repeat.value {
             Repeat::Safe => (
                 Code::UnsafeMethodInSafeClass,
-                format!("`{name}` is safe and may be sent twice, and {method} has effects"),
+                format!("class `{name}` is safe and may be repeated, but {method} has side effects"),
             ),
             _ => (
                 Code::SafeMethodInClassWithEffects,
-                format!("`{name}` has effects, and anybody on the way may repeat a {method}"),
+                format!("class `{name}` has side effects, but any intermediary may repeat a {method}"),
             ),
         };
         let allowed: Vec<_> = allowed.iter().map(Method::as_str).collect();
-        let help = format!("write {} here, or give the route another class", list(&allowed));
+        let help = format!("use {}, or another class", list(&allowed));
         let diagnostic = Diagnostic::new(code, methods.span.clone(), message, help);
-        report.push(diagnostic.with_related(class.repeat.span.clone(), "the class"));
+        report.push(diagnostic.with_related(class.repeat.span.clone(), "the class of the route"));
     }
     methods.value.clone()
 }
--- a/crates/route-config/src/diagnostic.rs
+++ b/crates/route-config/src/diagnostic.rs
@@ -19,8 +19,8 @@
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Rule::OneResponseInTime => "one final answer, in time",
-            Rule::NoDuplicateEffects => "no effect twice",
+            Rule::OneResponseInTime => "exactly one final response, in time",
+            Rule::NoDuplicateEffects => "no duplicate side effects",
         })
     }
 }
@@ -56,66 +56,66 @@
 use Rule::{NoDuplicateEffects, OneResponseInTime};
 
 codes! {
-    NotUtf8 = "MW001", None, "The file is not UTF-8 text.";
-    FileTooLarge = "MW002", None, "The file is larger than any that is read.";
-    UnreadableFile = "MW003", None, "The path names no ordinary file, or it can't be read.";
-    InvalidToml = "MW004", None, "The text is not TOML.";
-    UnknownKey = "MW010", None, "A key that means nothing here.";
-    WrongType = "MW011", None, "A value of another type than the key takes.";
-    MissingKey = "MW012", None, "A key that must be there is not.";
-    Duplicate = "MW013", None, "A name or an address that is already taken.";
-    InvalidName = "MW014", None, "A name that is empty, too long or holds other than letters, digits, `.`, `_` and `-`.";
-    MissingDurationUnit = "MW020", None, "A duration without its unit.";
-    ZeroDuration = "MW021", None, "A duration of zero where there must be some time.";
-    DurationTooLong = "MW022", None, "A duration of more than a day.";
-    InvalidDuration = "MW023", None, "A text that is no duration.";
-    ShareOutOfRange = "MW024", None, "A share outside 0 to 1.";
-    NumberOutOfRange = "MW025", None, "A number outside its range, or none at all.";
-    InvalidAddress = "MW026", None, "A text that is no address with a port.";
-    InvalidRate = "MW027", None, "A text that is no rate.";
-    InvalidHeader = "MW028", None, "A text that is no header name or value, or a header that can't be matched on.";
-    InvalidMethod = "MW029", None, "A text that is no method.";
-    InvalidHost = "MW030", None, "A text that is no host.";
-    InvalidPath = "MW031", None, "A text that is no path or template.";
-    InvalidChoice = "MW032", None, "A word that is none of those allowed here.";
-    UnknownClass = "MW040", None, "A route names a class that the file does not have.";
-    UnknownCluster = "MW041", None, "A route names a cluster that the file does not have.";
-    UnknownZone = "MW042", None, "A zone that no box is in.";
-    UnknownCapture = "MW043", None, "A template uses a capture that the path does not have.";
-    NoBackends = "MW050", None, "A cluster without boxes.";
-    DuplicateAddress = "MW051", None, "Two boxes of a cluster at one address.";
-    NoBackendInService = "MW052", None, "A cluster none of whose boxes takes requests.";
-    MissingScope = "MW053", Some(NoDuplicateEffects), "A class is keyed by zone or cell, and a box does not say its own.";
-    UnsafeRetried = "MW100", Some(NoDuplicateEffects), "An unsafe class has further attempts after it may have run.";
-    UnsafeHedged = "MW101", Some(NoDuplicateEffects), "An unsafe class has second copies.";
-    RetryAfterKeyWindow = "MW102", Some(NoDuplicateEffects), "A keyed class may be sent again after the boxes have forgotten its key.";
-    KeyedWithoutKey = "MW103", Some(NoDuplicateEffects), "A keyed class names no place where its key is found.";
-    UnsafeMethodInSafeClass = "MW104", Some(NoDuplicateEffects), "A safe class is reached by a method that has effects.";
-    SafeMethodInClassWithEffects = "MW105", Some(NoDuplicateEffects), "A class with effects is reached by a method that anybody may repeat.";
-    AttemptsExceedTimeout = "MW106", Some(OneResponseInTime), "Attempts and back-offs together outlast the request's time.";
-    ExceedsClientTimeout = "MW107", Some(OneResponseInTime), "The request's time outlasts the clients' patience.";
-    HedgeTooLate = "MW108", None, "A second copy would go out when its first attempt is over.";
-    AttemptTooLong = "MW109", Some(OneResponseInTime), "An attempt may take longer than its request.";
-    ConnectTooLong = "MW110", None, "A connect may take as long as the whole attempt.";
-    HedgesWithoutAttempts = "MW111", None, "More copies than there are attempts for them.";
-    RetriesWithoutBudget = "MW112", None, "Further attempts are allowed, and their budget is nothing.";
-    LatencyTargetTooLong = "MW113", None, "The aim is longer than the request's time.";
-    TenantRatesBelowRetryBudget = "MW114", None, "All tenants together may send less than the retry budget's floor.";
-    QueueTooLong = "MW115", Some(OneResponseInTime), "A request may wait in the queue for all of its time.";
-    SharesExceedOne = "MW116", None, "Tenants' shares add up to more than the whole.";
-    QueueWithoutLimit = "MW117", None, "A queue without a limit to wait for.";
-    ReleaseAboveThreshold = "MW118", None, "A step whose way back is not below its way in.";
-    InvalidLimitBounds = "MW119", None, "A limit that starts outside of its bounds.";
-    FallbackInClassWithEffects = "MW120", Some(NoDuplicateEffects), "A class with effects has a fallback, which its clients would take for their effect.";
-    FallbackUnused = "MW121", None, "A fallback that no step of its cluster answers with.";
-    StepClassesMismatch = "MW122", None, "A step that names classes and sheds none, or sheds and names none.";
-    UpgradeInClassWithEffects = "MW123", Some(NoDuplicateEffects), "A class with effects passes switches of protocol on, which only a safe one can ask for.";
-    StreamShorterThanGap = "MW124", None, "A stream that would end sooner than the pause it may make.";
-    AmbiguousRoutes = "MW130", None, "Two routes that some request can't tell apart.";
+    NotUtf8 = "MW001", None, "The file is not valid UTF-8.";
+    FileTooLarge = "MW002", None, "The file exceeds the maximum size.";
+    UnreadableFile = "MW003", None, "The path is not a regular file, or the file can't be read.";
+    InvalidToml = "MW004", None, "The file is not valid TOML.";
+    UnknownKey = "MW010", None, "A key that is unknown or not allowed here.";
+    WrongType = "MW011", None, "A value of the wrong type for its key.";
+    MissingKey = "MW012", None, "A required key is missing.";
+    Duplicate = "MW013", None, "A name or an address that is already in use.";
+    InvalidName = "MW014", None, "A name that is empty, too long, or has characters other than letters, digits, `.`, `_` and `-`.";
+    MissingDurationUnit = "MW020", None, "A duration without a unit.";
+    ZeroDuration = "MW021", None, "A duration of zero where a positive one is required.";
+    DurationTooLong = "MW022", None, "A duration longer than a day.";
+    InvalidDuration = "MW023", None, "A string that is not a valid duration.";
+    ShareOutOfRange = "MW024", None, "A share that is not a number from 0 to 1.";
+    NumberOutOfRange = "MW025", None, "A number or a size outside its range, or one that can't be parsed.";
+    InvalidAddress = "MW026", None, "A string that is not an IP address with a port, or not a network.";
+    InvalidRate = "MW027", None, "A string that is not a valid rate.";
+    InvalidHeader = "MW028", None, "An invalid header name or value, or a header that applies to one connection only.";
+    InvalidMethod = "MW029", None, "A method that is invalid or not supported.";
+    InvalidHost = "MW030", None, "A string that is not a valid host.";
+    InvalidPath = "MW031", None, "A string that is not a valid path or template.";
+    InvalidChoice = "MW032", None, "A string that is not one of the allowed values.";
+    UnknownClass = "MW040", None, "A reference to a class that the file does not define.";
+    UnknownCluster = "MW041", None, "A reference to a cluster that the file does not define.";
+    UnknownZone = "MW042", None, "A zone that has no backends.";
+    UnknownCapture = "MW043", None, "A reference to a capture that the route's path does not have.";
+    NoBackends = "MW050", None, "A cluster without backends.";
+    DuplicateAddress = "MW051", None, "Two backends of a cluster with the same address.";
+    NoBackendInService = "MW052", None, "A cluster with no backend in service.";
+    MissingScope = "MW053", Some(NoDuplicateEffects), "A class is keyed by zone or cell, which is not set for a backend.";
+    UnsafeRetried = "MW100", Some(NoDuplicateEffects), "An unsafe class allows retries after an attempt that may have been executed.";
+    UnsafeHedged = "MW101", Some(NoDuplicateEffects), "An unsafe class allows hedged requests.";
+    RetryAfterKeyWindow = "MW102", Some(NoDuplicateEffects), "A keyed class allows an attempt after backends have forgotten its key.";
+    KeyedWithoutKey = "MW103", Some(NoDuplicateEffects), "The source of a keyed class's key is not set.";
+    UnsafeMethodInSafeClass = "MW104", Some(NoDuplicateEffects), "A route of a safe class accepts a method with side effects.";
+    SafeMethodInClassWithEffects = "MW105", Some(NoDuplicateEffects), "A route of a class with side effects accepts a method that any intermediary may repeat.";
+    AttemptsExceedTimeout = "MW106", Some(OneResponseInTime), "All attempts and back-offs together exceed the request's timeout.";
+    ExceedsClientTimeout = "MW107", Some(OneResponseInTime), "The request's timeout exceeds the clients' timeout.";
+    HedgeTooLate = "MW108", None, "A hedged request would be sent after the first attempt has timed out.";
+    AttemptTooLong = "MW109", Some(OneResponseInTime), "An attempt's timeout exceeds the request's timeout.";
+    ConnectTooLong = "MW110", None, "The connect timeout is not below the attempt's timeout.";
+    HedgesWithoutAttempts = "MW111", None, "More hedged requests than the maximum number of attempts allows.";
+    RetriesWithoutBudget = "MW112", None, "Retries are allowed, but their budget is zero.";
+    LatencyTargetTooLong = "MW113", None, "The latency target exceeds the request's timeout.";
+    TenantRatesBelowRetryBudget = "MW114", None, "The rate limits of all tenants together are below the floor of the retry budget.";
+    QueueTooLong = "MW115", Some(OneResponseInTime), "The maximum time in a queue leaves no time for a response.";
+    SharesExceedOne = "MW116", None, "The shares of all tenants add up to more than 1.";
+    QueueWithoutLimit = "MW117", None, "A queue without a maximum of requests in flight.";
+    ReleaseAboveThreshold = "MW118", None, "A brownout step that does not end below the fraction at which it begins.";
+    InvalidLimitBounds = "MW119", None, "A limit that starts outside its bounds, or a fixed limit with bounds.";
+    FallbackInClassWithEffects = "MW120", Some(NoDuplicateEffects), "A class with side effects has a fallback, which clients could take for a success.";
+    FallbackUnused = "MW121", None, "A fallback that no brownout step of its cluster serves.";
+    StepClassesMismatch = "MW122", None, "A brownout step that lists classes but does not shed, or sheds but lists none.";
+    UpgradeInClassWithEffects = "MW123", Some(NoDuplicateEffects), "A class with side effects allows protocol upgrades, which are requested by GET.";
+    StreamShorterThanGap = "MW124", None, "The maximum duration of a stream is below its maximum gap.";
+    AmbiguousRoutes = "MW130", None, "Two routes that match the same request equally well.";
     RouteNeverMatches = "MW131", None, "A route that no request can match.";
-    RoutePathCount = "MW132", None, "A route without a path, or with more than one.";
-    NoRoutes = "MW133", None, "No routes, so that every request would be answered 404.";
-    NoListener = "MW140", None, "Nothing to listen on.";
+    RoutePathCount = "MW132", None, "A route with no path, or with more than one.";
+    NoRoutes = "MW133", None, "The file has no routes, so every request would get a 404.";
+    NoListener = "MW140", None, "The file has no listener.";
 }
 
 impl fmt::Display for Code {
--- a/crates/route-config/src/parse/class.rs
+++ b/crates/route-config/src/parse/class.rs
@@ -57,8 +57,8 @@
         return s.required(key, example, report);
     }
     let value = s.get(key)?;
-    let message = format!("`{key}` means nothing in a class that is not keyed");
-    let help = "leave it out, or write `repeat = \"keyed\"`";
+    let message = format!("`{key}` is allowed only in a keyed class");
+    let help = "remove it, or set `repeat = \"keyed\"`";
     report.push(Diagnostic::new(Code::UnknownKey, value.span(), message, help));
     None
 }
--- a/crates/route-config/src/parse/cluster.rs
+++ b/crates/route-config/src/parse/cluster.rs
@@ -38,7 +38,7 @@
     s.finish(report);
     if let Some(fixed) = fixed {
         if given.iter().any(Option::is_some) {
-            let message = "a fixed limit has no bounds";
+            let message = "a fixed limit can't have bounds";
             let help = "write `limit = { fixed = 50 }`, or bounds without `fixed`";
             report.push(Diagnostic::new(Code::InvalidLimitBounds, value.span(), message, help));
             return None;
@@ -53,8 +53,8 @@
     let min = own_min.map_or(Some(default_min), |min| Some(min?.value))?;
     let initial = own_initial.unwrap_or(initial.min(max).max(min));
     if !(min..=max).contains(&initial) {
-        let message = format!("the limit starts at {initial}, and may be from {min} to {max}");
-        let help = "let `least` be at most `start`, and `start` at most `most`";
+        let message = format!("the initial limit {initial} is outside its bounds, {min} to {max}");
+        let help = "set `least` to at most `start`, and `start` to at most `most`";
         report.push(Diagnostic::new(Code::InvalidLimitBounds, value.span(), message, help));
         return None;
     }
@@ -75,7 +75,7 @@
     let back = s.required("back", "\"2%\"", report).and_then(|v| read::share(v, report));
     let after = s.get("after").map(|v| read::positive_duration(v, report));
     let action = s.required("does", "\"no-copies\"", report).and_then(|v| read::choice(v, &words, report));
-    let classes = s.get("classes").map(|v| (v.span(), read::array(v, "names of classes", report)));
+    let classes = s.get("classes").map(|v| (v.span(), read::array(v, "class names", report)));
     let span = s.span.clone();
     s.finish(report);
     let named = classes.map(|(span, items)| (span, items.unwrap_or_default()));
@@ -85,8 +85,8 @@
     }
     let (at, back, action) = (at?, back?, action?);
     if (action.value == BrownoutRuleAction::ShedClasses) == classes.is_empty() {
-        let message = "a step that sheds says which classes, and no other step does";
-        let help = "add `classes = [\"look\"]` to a step that sheds, or leave them out";
+        let message = "`classes` is required in a step that sheds, and not allowed in others";
+        let help = "add `classes = [\"look\"]` to a step that sheds, or remove them from another one";
         let blame = named.map_or(span, |(span, _)| span);
         report.push(Diagnostic::new(Code::StepClassesMismatch, blame, message, help));
         return None;
--- a/crates/route-config/src/parse/header.rs
+++ b/crates/route-config/src/parse/header.rs
@@ -29,12 +29,12 @@
         |message: String, help: &str| Diagnostic::new(Code::InvalidHeader, span.clone(), message, help);
     let Ok(name) = HeaderName::from_bytes(text.as_bytes()) else {
         let help = "write a name such as `x-account`: letters, digits and `-`";
-        report.push(diagnostic(format!("{text:?} is no header name"), help));
+        report.push(diagnostic(format!("{text:?} is not a valid header name"), help));
         return None;
     };
     if HOP_BY_HOP.contains(&name.as_str()) {
-        let help = "name a header that goes from end to end";
-        report.push(diagnostic(format!("`{name}` is about one connection only"), help));
+        let help = "use an end-to-end header";
+        report.push(diagnostic(format!("header `{name}` applies to one connection only"), help));
         return None;
     }
     Some(Located::new(name, span))
@@ -50,7 +50,7 @@
     for (key, value) in table.iter() {
         let Some(name) = named_header(key.get_ref(), key.span(), report) else { continue };
         if headers.iter().any(|known| known.value.0 == name.value) {
-            let message = format!("`{}` is named twice in other letters", name.value);
+            let message = format!("header `{}` is listed twice, in different case", name.value);
             report.push(Diagnostic::new(Code::Duplicate, key.span(), message, "keep one of them"));
             continue;
         }
@@ -61,15 +61,15 @@
                 match HeaderValue::from_str(text).ok().filter(|_| trimmed) {
                     Some(text) => Some(text),
                     None => {
-                        let message = "no header can have this value";
-                        let help = "write it without line ends and without blanks around it";
+                        let message = "invalid header value";
+                        let help = "remove line breaks, and blanks around the value";
                         report.push(Diagnostic::new(Code::InvalidHeader, value.span(), message, help));
                         continue;
                     }
                 }
             }
             _ => {
-                let message = "a header's condition is its value, or true for any value";
+                let message = "expected a header's value, or true for any value";
                 let help = format!("write `{} = \"value\"` or `{} = true`", name.value, name.value);
                 report.push(Diagnostic::new(Code::WrongType, value.span(), message, help));
                 continue;
--- a/crates/route-config/src/parse/mod.rs
+++ b/crates/route-config/src/parse/mod.rs
@@ -20,14 +20,14 @@
 /// Converts the bytes of a file to text.
 pub fn text(bytes: &[u8]) -> Result<&str, Diagnostic> {
     if bytes.len() > MAX_FILE_SIZE {
-        let message = format!("the file has {} bytes, {MAX_FILE_SIZE} at most are read", bytes.len());
-        let help = "split it: one file for each node, or fewer routes by using templates and prefixes";
+        let message = format!("the file has {} bytes, and the maximum is {MAX_FILE_SIZE}", bytes.len());
+        let help = "use fewer routes, by templates and prefixes, or a separate file for each node";
         return Err(Diagnostic::new(Code::FileTooLarge, 0..0, message, help));
     }
     std::str::from_utf8(bytes).map_err(|e| {
         let at = e.valid_up_to();
         let help = "save the file as UTF-8";
-        Diagnostic::new(Code::NotUtf8, at..at + 1, format!("byte {at} of the file is not UTF-8 text"), help)
+        Diagnostic::new(Code::NotUtf8, at..at + 1, format!("byte {at} of the file is not valid UTF-8"), help)
     })
 }
 
@@ -36,7 +36,12 @@
     let (document, errors) = DeTable::parse_recoverable(text);
     for e in &errors {
         let span = shown_span(text, e.span().unwrap_or(0..0));
-        report.push(Diagnostic::new(Code::InvalidToml, span, e.message().to_string(), "mend the TOML here"));
+        report.push(Diagnostic::new(
+            Code::InvalidToml,
+            span,
+            e.message().to_string(),
+            "fix the TOML syntax here",
+        ));
     }
     if !errors.is_empty() {
         // Values of a text with syntax errors would be reported as missing.
--- a/crates/route-config/src/parse/node.rs
+++ b/crates/route-config/src/parse/node.rs
@@ -87,7 +87,7 @@
     match net.or_else(|| text.value.parse::<std::net::IpAddr>().ok().map(IpNet::from)) {
         Some(net) => Some(Located::new(net, text.span)),
         None => {
-            let message = format!("{:?} is no address and no net", text.value);
+            let message = format!("{:?} is not an IP address or a network", text.value);
             let help = "write `10.1.2.3`, `10.0.0.0/8` or `fd00::/8`";
             report.push(Diagnostic::new(Code::InvalidAddress, text.span, message, help));
             None
--- a/crates/route-config/src/parse/request_settings.rs
+++ b/crates/route-config/src/parse/request_settings.rs
@@ -62,7 +62,7 @@
         let name = read::text(item, report)?;
         // A token of RFC 9110, by the form of a method, which is one.
         if Method::from_bytes(name.value.as_bytes()).is_err() {
-            let message = format!("{:?} is no protocol", name.value);
+            let message = format!("{:?} is not a valid protocol name", name.value);
             report.push(Diagnostic::new(
                 Code::InvalidHeader,
                 name.span,
@@ -95,7 +95,7 @@
         Some(text) => {
             let text = text?;
             let Ok(media_type) = HeaderValue::from_str(&text.value) else {
-                let message = format!("{:?} is no media type", text.value);
+                let message = format!("{:?} is not a valid media type", text.value);
                 let help = "write one such as `application/json`";
                 report.push(Diagnostic::new(Code::InvalidHeader, text.span, message, help));
                 return None;
@@ -106,8 +106,8 @@
     let body = body?;
     if body.value.len() > MAX_FALLBACK_BODY {
         let message =
-            format!("this body has {} bytes, {MAX_FALLBACK_BODY} at most are kept", body.value.len());
-        report.push(Diagnostic::new(Code::NumberOutOfRange, body.span, message, "write a shorter one"));
+            format!("the body has {} bytes, and the maximum is {MAX_FALLBACK_BODY}", body.value.len());
+        report.push(Diagnostic::new(Code::NumberOutOfRange, body.span, message, "shorten the body"));
         return None;
     }
     Some(Fallback { status, media_type, body: body.value })
@@ -177,13 +177,8 @@
     s.finish(report);
     let rate = rate?;
     if rate.value == 0.0 {
-        let message = "a rate of nothing refuses every request";
-        report.push(Diagnostic::new(
-            Code::NumberOutOfRange,
-            rate.span,
-            message,
-            "leave the route out instead",
-        ));
+        let message = "a rate of zero rejects every request";
+        report.push(Diagnostic::new(Code::NumberOutOfRange, rate.span, message, "remove the route instead"));
         return None;
     }
     // The requests of a second, and at least one.
--- a/crates/route-config/src/parse/route.rs
+++ b/crates/route-config/src/parse/route.rs
@@ -54,7 +54,7 @@
         [(first, at), (key, span), ..] => {
             let message = format!("this route has both `{first}` and `{key}`");
             let diagnostic = Diagnostic::new(Code::RoutePathCount, span.clone(), message, "keep one of them");
-            report.push(diagnostic.with_related(at.clone(), "the other is here"));
+            report.push(diagnostic.with_related(at.clone(), "the other path"));
         }
     }
     path
@@ -64,7 +64,7 @@
     let items = read::array(value, "methods, such as [\"GET\"]", report)?;
     let help = "write `GET`, `HEAD`, `POST`, `PUT`, `PATCH`, `DELETE` or `OPTIONS`";
     if items.is_empty() {
-        let message = "this route is for no method";
+        let message = "the list of methods is empty";
         report.push(Diagnostic::new(Code::InvalidMethod, value.span(), message, help));
         return None;
     }
@@ -86,10 +86,10 @@
             None => {
                 let upper = text.value.to_ascii_uppercase();
                 let help = match known.iter().find(|method| method.as_str() == upper) {
-                    Some(method) => format!("methods are in capitals: `{method}`"),
+                    Some(method) => format!("write methods in upper case: `{method}`"),
                     None => help.to_string(),
                 };
-                let message = format!("{:?} is no method that is passed on", text.value);
+                let message = format!("{:?} is not a supported method", text.value);
                 report.push(Diagnostic::new(Code::InvalidMethod, text.span, message, help));
                 return None;
             }
--- a/crates/route-config/src/read.rs
+++ b/crates/route-config/src/read.rs
@@ -28,12 +28,12 @@
 /// The type of a value in a message.
 fn type_of(value: &DeValue) -> &'static str {
     match value {
-        DeValue::String(_) => "a text",
-        DeValue::Integer(_) => "a whole number",
-        DeValue::Float(_) => "a number",
-        DeValue::Boolean(_) => "true or false",
+        DeValue::String(_) => "a string",
+        DeValue::Integer(_) => "an integer",
+        DeValue::Float(_) => "a floating-point number",
+        DeValue::Boolean(_) => "a boolean",
         DeValue::Datetime(_) => "a date",
-        DeValue::Array(_) => "a list",
+        DeValue::Array(_) => "an array",
         DeValue::Table(_) => "a table",
     }
 }
@@ -60,8 +60,8 @@
     pub fn required(&mut self, key: &'static str, example: &str, report: &mut Report) -> Option<Value<'t>> {
         let value = self.get(key);
         if value.is_none() {
-            let message = format!("{} has no `{key}`", self.name);
-            let help = format!("add a line such as `{key} = {example}`");
+            let message = format!("missing key `{key}` in {}", self.name);
+            let help = format!("add it, for example as `{key} = {example}`");
             report.push(Diagnostic::new(Code::MissingKey, self.span.clone(), message, help));
         }
         value
@@ -72,9 +72,9 @@
         for key in self.table.keys().filter(|key| !self.known.contains(&key.get_ref().as_ref())) {
             let help = match closest_word(key.get_ref(), self.known.iter().copied()) {
                 Some(known) => format!("did you mean `{known}`?"),
-                None => format!("it takes {}", list(&self.known)),
+                None => format!("valid keys: {}", list(&self.known)),
             };
-            let message = format!("{} has no key `{}`", self.name, key.get_ref());
+            let message = format!("unknown key `{}` in {}", key.get_ref(), self.name);
             report.push(Diagnostic::new(Code::UnknownKey, key.span(), message, help));
         }
     }
@@ -88,7 +88,7 @@
 
 /// Reports a value of the wrong type.
 fn wrong_type<T>(value: Value, wanted: &str, report: &mut Report) -> Option<T> {
-    let message = format!("this is {}, not {wanted}", type_of(value.get_ref()));
+    let message = format!("expected {wanted}, found {}", type_of(value.get_ref()));
     let help = format!("write {wanted}");
     report.push(Diagnostic::new(Code::WrongType, value.span(), message, help));
     None
@@ -98,7 +98,7 @@
 pub fn table<'t>(value: Value<'t>, name: &str, report: &mut Report) -> Option<Section<'t>> {
     match value.get_ref() {
         DeValue::Table(table) => Some(Section::new(table, value.span(), name)),
-        _ => wrong_type(value, &format!("a table, {name}"), report),
+        _ => wrong_type(value, &format!("the table `{name}`"), report),
     }
 }
 
@@ -107,9 +107,8 @@
     let Some(value) = value else { return Vec::new() };
     match value.get_ref() {
         DeValue::Array(items) => items.iter().filter_map(|item| table(item, name, report)).collect(),
-        _ => {
-            wrong_type(value, &format!("a list of tables, each headed [{name}]"), report).unwrap_or_default()
-        }
+        _ => wrong_type(value, &format!("an array of tables, each headed [{name}]"), report)
+            .unwrap_or_default(),
     }
 }
 
@@ -117,7 +116,7 @@
 pub fn text(value: Value, report: &mut Report) -> Option<Located<String>> {
     match value.get_ref() {
         DeValue::String(text) => Some(Located::new(text.to_string(), value.span())),
-        _ => wrong_type(value, "a text in quotes", report),
+        _ => wrong_type(value, "a quoted string", report),
     }
 }
 
@@ -129,8 +128,8 @@
     let text = text(value, report)?;
     let good = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
     if text.value.is_empty() || text.value.len() > MAX_NAME_LENGTH || !text.value.chars().all(good) {
-        let message = format!("{:?} is not a name", text.value);
-        let help = format!("1 to {MAX_NAME_LENGTH} letters, digits, `.`, `_` or `-`");
+        let message = format!("{:?} is not a valid name", text.value);
+        let help = format!("use 1 to {MAX_NAME_LENGTH} letters, digits, `.`, `_` or `-`");
         report.push(Diagnostic::new(Code::InvalidName, text.span, message, help));
         return None;
     }
@@ -159,14 +158,14 @@
             report.push(diagnostic(Code::MissingDurationUnit, message, &help));
             return None;
         }
-        _ => return wrong_type(value, "a duration in quotes, such as \"250ms\"", report),
+        _ => return wrong_type(value, "a quoted duration such as \"250ms\"", report),
     };
     match units::parse_duration(text) {
         Ok(time) if time.is_zero() && !zero => {
             report.push(diagnostic(
                 Code::ZeroDuration,
-                "this duration is zero".into(),
-                "write how long it is to be",
+                "this duration must not be zero".into(),
+                "set a positive duration",
             ));
             None
         }
@@ -181,11 +180,15 @@
         }
         Err(DurationError::TooLong) => {
             let message = format!("{text:?} is longer than a day");
-            report.push(diagnostic(Code::DurationTooLong, message, "a day (`24h`) is the longest"));
+            report.push(diagnostic(Code::DurationTooLong, message, "the maximum is `24h`"));
             None
         }
         Err(DurationError::Malformed) => {
-            report.push(diagnostic(Code::InvalidDuration, format!("{text:?} is no duration"), units));
+            report.push(diagnostic(
+                Code::InvalidDuration,
+                format!("{text:?} is not a valid duration"),
+                units,
+            ));
             None
         }
     }
@@ -209,7 +212,7 @@
     match figure(value).filter(|n| *n >= min && *n <= max) {
         Some(n) => Some(Located::new(n, value.span())),
         None => {
-            let message = "this number is outside its range";
+            let message = "this number is out of range";
             let help = format!("write a number from {min} to {max}");
             report.push(Diagnostic::new(Code::NumberOutOfRange, value.span(), message, help));
             None
@@ -220,14 +223,14 @@
 /// A whole number within bounds, both of them included.
 pub fn count(value: Value, (min, max): (u64, u64), report: &mut Report) -> Option<Located<u64>> {
     let DeValue::Integer(digits) = value.get_ref() else {
-        return wrong_type(value, "a whole number", report);
+        return wrong_type(value, "an integer", report);
     };
     let read = u64::from_str_radix(digits.as_str(), digits.radix()).ok();
     match read.filter(|n| (min..=max).contains(n)) {
         Some(n) => Some(Located::new(n, value.span())),
         None => {
-            let message = format!("{digits} is outside its range");
-            let help = format!("write a whole number from {min} to {max}");
+            let message = format!("{digits} is out of range");
+            let help = format!("write an integer from {min} to {max}");
             report.push(Diagnostic::new(Code::NumberOutOfRange, value.span(), message, help));
             None
         }
@@ -239,16 +242,16 @@
     let read = match value.get_ref() {
         DeValue::String(text) => units::parse_percent(text),
         DeValue::Integer(_) | DeValue::Float(_) => figure(value),
-        _ => return wrong_type(value, "a share, such as 0.2 or \"20%\"", report),
+        _ => return wrong_type(value, "a share such as 0.2 or \"20%\"", report),
     };
     match read.filter(|share| (0.0..=1.0).contains(share)) {
         Some(share) => Some(Located::new(share, value.span())),
         None => {
-            let help = "write a number from 0 to 1, or a text from \"0%\" to \"100%\"";
+            let help = "write a number from 0 to 1, or a percentage from \"0%\" to \"100%\"";
             report.push(Diagnostic::new(
                 Code::ShareOutOfRange,
                 value.span(),
-                "this is no share of a whole",
+                "this is not a valid share",
                 help,
             ));
             None
@@ -259,13 +262,13 @@
 /// A rate: `"50/s"`, `"300/m"`; per second.
 pub fn rate(value: Value, report: &mut Report) -> Option<Located<f64>> {
     let DeValue::String(text) = value.get_ref() else {
-        return wrong_type(value, "a rate in quotes, such as \"50/s\"", report);
+        return wrong_type(value, "a quoted rate such as \"50/s\"", report);
     };
     match units::parse_rate(text) {
         Some(rate) => Some(Located::new(rate, value.span())),
         None => {
-            let message = format!("{text:?} is no rate");
-            let help = "write a number and what it is for: `50/s`, `300/m`, `10/h`";
+            let message = format!("{text:?} is not a valid rate");
+            let help = "write a number and a unit of time: `50/s`, `300/m`, `10/h`";
             report.push(Diagnostic::new(Code::InvalidRate, value.span(), message, help));
             None
         }
@@ -275,13 +278,13 @@
 /// A size in bytes: `"64KiB"`.
 pub fn bytes(value: Value, (min, max): (u64, u64), report: &mut Report) -> Option<Located<u64>> {
     let DeValue::String(text) = value.get_ref() else {
-        return wrong_type(value, "a size in quotes, such as \"64MiB\"", report);
+        return wrong_type(value, "a quoted size such as \"64MiB\"", report);
     };
     match units::parse_bytes(text).filter(|n| (min..=max).contains(n)) {
         Some(n) => Some(Located::new(n, value.span())),
         None => {
-            let message = format!("{text:?} is no size from {min}B to {max}B");
-            let help = "write a whole number and `B`, `KiB`, `MiB` or `GiB`";
+            let message = format!("{text:?} is not a size from {min}B to {max}B");
+            let help = "write an integer and `B`, `KiB`, `MiB` or `GiB`";
             report.push(Diagnostic::new(Code::NumberOutOfRange, value.span(), message, help));
             None
         }
@@ -294,8 +297,8 @@
     match text.value.parse() {
         Ok(address) => Some(Located::new(address, text.span)),
         Err(_) => {
-            let message = format!("{:?} is no address with a port", text.value);
-            let help = "write `127.0.0.1:8080` or `[::1]:8080`; names are not looked up";
+            let message = format!("{:?} is not an IP address with a port", text.value);
+            let help = "write `127.0.0.1:8080` or `[::1]:8080`; host names are not resolved";
             report.push(Diagnostic::new(Code::InvalidAddress, text.span, message, help));
             None
         }
@@ -313,7 +316,7 @@
                 Some(word) => format!("did you mean `{word}`?"),
                 None => format!("write one of {}", list(&known)),
             };
-            let message = format!("`{}` is none of {}", text.value, list(&known));
+            let message = format!("unknown value `{}`, expected one of {}", text.value, list(&known));
             report.push(Diagnostic::new(Code::InvalidChoice, text.span, message, help));
             None
         }
@@ -324,7 +327,7 @@
 pub fn array<'t>(value: Value<'t>, what: &str, report: &mut Report) -> Option<Vec<Value<'t>>> {
     match value.get_ref() {
         DeValue::Array(items) => Some(items.iter().collect()),
-        _ => wrong_type(value, &format!("a list of {what}"), report),
+        _ => wrong_type(value, &format!("an array of {what}"), report),
     }
 }
 
--- a/crates/route-config/src/route.rs
+++ b/crates/route-config/src/route.rs
@@ -43,7 +43,7 @@
         }
         /// Two captures of one name.
         DuplicateCapture {
-            display("two of its captures have one name")
+            display("two of its captures have the same name")
         }
     }
 }
