--- a/crates/route-config/benches/file.rs
+++ b/crates/route-config/benches/file.rs
@@ -1,5 +1,5 @@
-//! What the file costs: finding a route among 10, 1,000 and 100,000, and reading and checking a file of 10,000.
-//! `cargo bench -p route-config`.
+//! What the file costs: finding a route among 10, 1,000 and 100,000, and reading and checking a file of
+//! 10,000. `cargo bench -p route-config`.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use http::{HeaderMap, Method};
--- a/crates/route-config/src/admission/tests.rs
+++ b/crates/route-config/src/admission/tests.rs
@@ -98,7 +98,8 @@
 }
 
 proptest! {
-    /// Nothing is queued while there is capacity, nothing is counted twice, and nothing is left once all are finished.
+    /// Nothing is queued while there is capacity, nothing is counted twice, and nothing is left once all are
+    /// finished.
     #[test]
     fn counts_add_up(brownout in prop::collection::vec(step(), 1..200)) {
         let mut admission = Admission::default();
--- a/crates/route-config/src/check/cluster.rs
+++ b/crates/route-config/src/check/cluster.rs
@@ -1,11 +1,11 @@
-//! Checks of clusters: their backends, and brownout.
+//! Checks of clusters: their backends and brownout rules.
 
 use super::names::{duplicates, unknown};
 use crate::diagnostic::{Code, Diagnostic, Report};
 use crate::model::{Backend, BrownoutRuleAction, Cluster, File};
 use join_up_to::ServerState;
 
-/// A cluster has backends, each once, and one of them in service.
+/// Checks that a cluster has backends with distinct names and addresses, and at least one in service.
 pub(super) fn backends(cluster: &Cluster, report: &mut Report) {
     let name = &cluster.name;
     if cluster.backends.is_empty() {
@@ -29,25 +29,25 @@
     }
 }
 
-/// Brownout rules end below the fraction at which they begin, and name classes that exist.
+/// Checks that each brownout rule ends below the fraction at which it begins, and refers to defined classes.
 pub(super) fn brownout(file: &File, cluster: &Cluster, report: &mut Report) {
-    for step in cluster.brownout.iter().flatten() {
-        if step.release_threshold.value >= step.threshold.value {
+    for rule in cluster.brownout.iter().flatten() {
+        if rule.release_threshold.value >= rule.threshold.value {
             let message = format!(
                 "this step ends at {:.1}% of rejected load, but begins at {:.1}%",
-                step.release_threshold.value * 100.0,
-                step.threshold.value * 100.0
+                rule.release_threshold.value * 100.0,
+                rule.threshold.value * 100.0
             );
             let help = "set `back` well below `at`, or the step would switch on and off repeatedly";
             let diagnostic = Diagnostic::new(
                 Code::ReleaseAboveThreshold,
-                step.release_threshold.span.clone(),
+                rule.release_threshold.span.clone(),
                 message,
                 help,
             );
-            report.push(diagnostic.with_related(step.threshold.span.clone(), "the step begins here"));
+            report.push(diagnostic.with_related(rule.threshold.span.clone(), "the step begins here"));
         }
-        for name in &step.classes {
+        for name in &rule.classes {
             if !file.classes.iter().any(|class| class.name.value == name.value) {
                 let known = file.classes.iter().map(|c| c.name.value.as_str()).collect();
                 unknown(Code::UnknownClass, "class", name, known, report);
@@ -56,7 +56,7 @@
     }
 }
 
-/// Whether a brownout rule of a cluster serves fallbacks.
+/// Whether any brownout rule of a cluster serves fallbacks.
 pub(super) fn serves_fallback(cluster: &Cluster) -> bool {
-    cluster.brownout.iter().flatten().any(|step| step.action == BrownoutRuleAction::ServeFallback)
+    cluster.brownout.iter().flatten().any(|rule| rule.action == BrownoutRuleAction::ServeFallback)
 }
--- a/crates/route-config/src/check/location.rs
+++ b/crates/route-config/src/check/location.rs
@@ -1,4 +1,4 @@
-//! Checks of a route's host, its path and the captures of that.
+//! Checks of a route's host and path, and of the captures that it uses.
 
 use crate::diagnostic::{Code, Diagnostic, Report};
 use crate::model::{File, Located, PathRule, Route, Span};
@@ -6,25 +6,25 @@
 use crate::route::{HostRule, Pattern};
 use crate::target::{self, EncodedSlash, PathError};
 
-/// The hosts that a route matches; `None` for an invalid host.
+/// The hosts that a route matches; `None` if its host is invalid.
 pub(super) fn host(route: &Route, report: &mut Report) -> Option<HostRule> {
     let Some(host) = &route.host else { return Some(HostRule::Any) };
-    let (wild, name) = match host.value.strip_prefix("*.") {
+    let (is_wildcard, name) = match host.value.strip_prefix("*.") {
         Some(name) => (true, name),
         None => (false, host.value.as_str()),
     };
     match target::normalize_host(name) {
-        Some(form) if form == name => Some(match wild {
+        Some(normalized) if normalized == name => Some(match is_wildcard {
             true => HostRule::Suffix(format!(".{name}")),
             false => HostRule::Exact(name.into()),
         }),
-        Some(form) => {
+        Some(normalized) => {
             let message = format!(
                 "no request matches the host {:?}: hosts are normalized before they are matched",
                 host.value
             );
-            let star = if wild { "*." } else { "" };
-            let help = format!("write \"{star}{form}\": in lower case, without port and trailing dot");
+            let star = if is_wildcard { "*." } else { "" };
+            let help = format!("write \"{star}{normalized}\": in lower case, without port and trailing dot");
             report.push(Diagnostic::new(Code::RouteNeverMatches, host.span.clone(), message, help));
             None
         }
@@ -37,7 +37,7 @@
     }
 }
 
-/// The paths that a route matches; `None` for an invalid path and one that no request has.
+/// The paths that a route matches; `None` if its path is invalid or no request can have it.
 pub(super) fn pattern(file: &File, route: &Route, report: &mut Report) -> Option<Pattern> {
     let rule = route.path.as_ref()?;
     if let Err(diagnostic) = check_normalized(file, rule) {
@@ -60,18 +60,19 @@
     }
 }
 
-/// Checks that a route's path is a normalized one: all others are normalized before they are matched.
+/// Checks that a route's path is normalized. Requests' paths are normalized before they are matched, so no
+/// request would match any other path.
 fn check_normalized(file: &File, rule: &Located<PathRule>) -> Result<(), Diagnostic> {
     let text = rule.value.text();
     let diagnostic =
         |code, message: String, help: String| Err(Diagnostic::new(code, rule.span.clone(), message, help));
-    // A path must not have braces; those of a template are checked separately.
+    // Only templates may have braces; their syntax is checked by `Pattern::template`.
     let is_template = matches!(rule.value, PathRule::Template(_));
     if !is_template && text.contains(['{', '}']) {
         let help = format!("write `template = {text:?}` for a path with captures");
         return diagnostic(Code::InvalidPath, format!("{text:?} has braces, but is not a template"), help);
     }
-    // A capture's segment is never empty, so a template without its braces is as good as with them.
+    // A capture stands for a non-empty segment, so a template is normalized if it is so without its braces.
     let plain = if is_template { text.replace(['{', '}'], "") } else { text.to_string() };
     let encoded_slash = file.node.encoded_slash.as_ref().map_or(EncodedSlash::Reject, |slash| slash.value);
     match target::normalize_path(&plain, encoded_slash) {
@@ -103,7 +104,7 @@
     }
 }
 
-/// The captures that a rewrite uses, in braces; `None` if its braces don't match.
+/// The names of the captures that a rewrite uses; `None` if its braces are unbalanced.
 pub fn used_captures(text: &str) -> Option<Vec<&str>> {
     let mut names = Vec::new();
     let mut rest = text;
@@ -116,7 +117,7 @@
     Some(names)
 }
 
-/// A route uses only captures of its path, and its rewrite is a path.
+/// Checks that a route uses only captures of its path, and that its rewrite is a normalized path.
 pub(super) fn captures(route: &Route, pattern: &Pattern, report: &mut Report) {
     let known: Vec<_> = pattern.captures().collect();
     let mut missing = |name: &str, span: &Span| {
@@ -142,7 +143,7 @@
     };
     used.iter().for_each(|name| missing(name, &rewrite.span));
     let plain = rewrite.value.replace(['{', '}'], "");
-    if !target::normalize_path(&plain, EncodedSlash::Keep).is_ok_and(|form| form == plain) {
+    if !target::normalize_path(&plain, EncodedSlash::Keep).is_ok_and(|normalized| normalized == plain) {
         let message = format!("{:?} is not a normalized path", rewrite.value);
         let help = "write a path such as `/v2/{station}`";
         report.push(Diagnostic::new(Code::InvalidPath, rewrite.span.clone(), message, help));
--- a/crates/route-config/src/check/mod.rs
+++ b/crates/route-config/src/check/mod.rs
@@ -1,7 +1,7 @@
-//! Checks the file's values together: names that refer to nothing, settings that would break a rule, routes that some
-//! request matches equally. Finds all errors in one pass and changes nothing. [`names`], [`node`] and [`cluster`] check
-//! what stands alone, [`request_settings`] the settings of classes and routes, [`route`] and [`location`] where requests
-//! go.
+//! Checks the values of a file against each other: references to undefined names, settings that would break a
+//! rule, and ambiguous routes. Finds all errors in one pass. [`names`], [`node`] and [`cluster`] check the
+//! tables that don't depend on routes, [`request_settings`] the settings of classes and routes, [`route`] and
+//! [`location`] the routes.
 
 mod cluster;
 mod location;
@@ -22,19 +22,20 @@
 
 /// A valid route.
 pub struct CheckedRoute {
-    /// Its number in the file.
+    /// Its index in the file.
     pub number: usize,
-    /// What a request must have to match it.
+    /// The conditions that a request must meet to match it.
     pub condition: Condition,
-    /// The number of its class.
+    /// The index of its class in the file.
     pub class: usize,
-    /// The number of its cluster.
+    /// The index of its cluster in the file.
     pub cluster: usize,
-    /// The settings of its requests.
+    /// The settings of its requests, after inheritance.
     pub settings: ResolvedSettings,
 }
 
-/// The methods that a class may have. A class with effects must not have one that anybody may repeat.
+/// The methods that routes of a class may accept. Intermediaries may repeat the methods of a safe class, so
+/// no other class may accept them.
 pub fn allowed_methods(repeat: Repeat) -> &'static [Method] {
     match repeat {
         Repeat::Safe => &[Method::GET, Method::HEAD, Method::OPTIONS],
@@ -42,12 +43,12 @@
     }
 }
 
-/// The levels of a class's settings.
+/// The levels from which the settings of a class are resolved.
 pub fn class_levels<'f>(file: &'f File, class: &'f Class) -> Vec<(Level, &'f RequestSettings)> {
     vec![(Level::Defaults, &file.defaults), (Level::Class, &class.settings)]
 }
 
-/// Checks a file. If the report is empty, the result has all its routes.
+/// Checks a file, and returns its valid routes: all of them if the report is empty.
 pub fn file(file: &File, report: &mut Report) -> Vec<CheckedRoute> {
     names::names(file, report);
     file.clusters.iter().for_each(|cluster| cluster::backends(cluster, report));
@@ -74,7 +75,7 @@
     routes
 }
 
-/// Reports routes that some request would match equally.
+/// Reports pairs of routes that match some request equally well.
 fn ambiguous(file: &File, routes: &[CheckedRoute], report: &mut Report) {
     let conditions: Vec<_> = routes.iter().map(|route| route.condition.clone()).collect();
     for (first, second) in ambiguous_routes(&conditions) {
--- a/crates/route-config/src/check/node.rs
+++ b/crates/route-config/src/check/node.rs
@@ -1,14 +1,15 @@
-//! Checks of the node and its tenants.
+//! Checks of the node's settings and of the tenants' shares.
 
 use crate::diagnostic::{Code, Diagnostic, Report};
 use crate::model::File;
 use crate::read::closest_word;
 use std::collections::HashSet;
 
-/// The maximum number of zones of the balancer.
+/// The maximum number of zones that the balancer distinguishes.
 const MAX_ZONES: usize = 200;
 
-/// The node's zone has backends, there are not too many zones, and its number is less than the number of nodes.
+/// Checks that the node's zone has backends, that there are not too many zones, and that the node's index is
+/// below the number of nodes.
 pub(super) fn node(file: &File, report: &mut Report) {
     let zones: HashSet<_> = file
         .clusters
@@ -38,10 +39,10 @@
     }
 }
 
-/// The tenants' shares add up to 1 at most.
+/// Checks that the tenants' shares add up to at most 1.
 pub(super) fn shares(file: &File, report: &mut Report) {
     let sum: f64 = file.tenants.iter().filter_map(|t| Some(t.share.as_ref()?.value)).sum();
-    // Sums of decimal fractions are not exact.
+    // The tolerance allows for rounding in sums of decimal fractions.
     if let Some(last) = file.tenants.iter().rev().find_map(|t| t.share.as_ref()).filter(|_| sum > 1.0 + 1e-6)
     {
         let message = format!("the tenants' shares add up to {:.1}%", sum * 100.0);
--- a/crates/route-config/src/check/request_settings.rs
+++ b/crates/route-config/src/check/request_settings.rs
@@ -1,5 +1,5 @@
-//! Checks of request settings against each other, so that no sequence of outcomes breaks a rule: repeats, times, budgets,
-//! responses.
+//! Checks the settings of a class or a route against each other, so that no sequence of attempts and outcomes
+//! can break a rule.
 
 use crate::diagnostic::{Code, Diagnostic, Report};
 use crate::model::{Class, File, Span};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use units::format_duration;
 
-/// The position of a value, or that of the class if it is built in.
+/// The position of a value, or that of the class's name if the value is a built-in default.
 pub(super) fn span_of<T>(value: &ResolvedValue<T>, class: &Class) -> Span {
     value.span.clone().unwrap_or_else(|| class.name.span.clone())
 }
@@ -16,7 +16,7 @@
 /// Checks the settings of a class or a route.
 pub(super) fn request_settings(file: &File, class: &Class, settings: &ResolvedSettings, report: &mut Report) {
     let mut check = SettingsCheck { file, class, settings, report };
-    check.unsafe_repeats();
+    check.unsafe_retries();
     check.hedging();
     check.key_window();
     check.attempts();
@@ -25,14 +25,14 @@
     check.budget();
     check.latency_target();
     check.tenant_rates();
-    check.wait();
+    check.max_queue_time();
     check.fallback();
     check.upgrade();
-    check.pauses();
+    check.stream_limits();
     check.queue();
 }
 
-/// The settings that are being checked, and their class.
+/// The check of the resolved settings of a class or of one of its routes.
 struct SettingsCheck<'a> {
     file: &'a File,
     class: &'a Class,
@@ -41,52 +41,56 @@
 }
 
 impl SettingsCheck<'_> {
-    /// Reports an error of these settings, with a related position.
+    /// Reports an error, with an optional related position and its label.
     fn report_error(
         &mut self,
         code: Code,
         span: Span,
         message: String,
         help: String,
-        also: Option<(Span, &str)>,
+        related: Option<(Span, &str)>,
     ) {
         let diagnostic = Diagnostic::new(code, span, message, help);
-        self.report.push(match also {
+        self.report.push(match related {
             Some((span, what)) => diagnostic.with_related(span, what),
             None => diagnostic,
         });
     }
 
-    /// The position of a value of these settings.
+    /// The position to report for a value.
     fn span_of<T>(&self, value: &ResolvedValue<T>) -> Span {
         span_of(value, self.class)
     }
 
     /// Whether a request may have more than one attempt.
-    fn repeats(&self) -> bool {
+    fn allows_retries(&self) -> bool {
         self.settings.max_attempts.value > 1
     }
 
-    /// An unsafe request is not retried once it may have been executed.
-    fn unsafe_repeats(&mut self) {
+    /// An unsafe request must not be retried after an attempt that may have been executed.
+    fn unsafe_retries(&mut self) {
         let class = self.class;
         let settings = self.settings;
         let name = &self.class.name.value;
         if self.class.repeat.value == Repeat::Unsafe
-            && self.repeats()
+            && self.allows_retries()
             && settings.retry_on.value.may_have_run()
         {
             self.report_error(
                 Code::UnsafeRetried,
                 self.span_of(&settings.retry_on),
-                format!("class `{name}` is unsafe, but allows retries after an attempt that may have been executed"),
+                format!(
+                    "class `{name}` is unsafe, but allows retries after an attempt that may have been \
+                 executed"
+                ),
                 "set `retry-on = [\"never-ran\"]` or `attempts = 1`".into(),
                 Some((class.repeat.span.clone(), "unsafe: must not be executed twice")),
             );
         }
     }
 
-    /// Hedged requests are sent while their attempt lasts, within the maximum of attempts, and never for an unsafe class.
+    /// Hedged requests must be sent while the previous attempt is in progress, count as attempts, and are not
+    /// allowed for an unsafe class.
     fn hedging(&mut self) {
         let class = self.class;
         let settings = self.settings;
@@ -134,19 +138,19 @@
         }
     }
 
-    /// A keyed request is not sent again after backends have forgotten its key.
+    /// A keyed request must not be sent again after backends have forgotten its key.
     fn key_window(&mut self) {
         let class = self.class;
         let settings = self.settings;
         let name = &self.class.name.value;
         let deadline = settings.deadline();
         if let Repeat::Keyed { window, .. } = self.class.repeat.value {
-            let by_copies =
+            let last_hedge =
                 settings.hedging.value.map_or(Duration::ZERO, |c| c.delay.saturating_mul(c.max_per_request));
-            let last = if self.repeats() && settings.retry_on.value.may_have_run() {
-                settings.latest_start(settings.max_attempts.value - 1).min(deadline).max(by_copies)
+            let last = if self.allows_retries() && settings.retry_on.value.may_have_run() {
+                settings.latest_start(settings.max_attempts.value - 1).min(deadline).max(last_hedge)
             } else {
-                by_copies
+                last_hedge
             };
             if last >= window {
                 let help = match settings.attempt_timeout.value {
@@ -158,16 +162,17 @@
                         format_duration(last)
                     ),
                 };
-                let blame = if settings.retry_on.value.may_have_run() {
+                let position = if settings.retry_on.value.may_have_run() {
                     self.span_of(&settings.retry_on)
                 } else {
                     self.span_of(&settings.hedging)
                 };
                 self.report_error(
                     Code::RetryAfterKeyWindow,
-                    blame,
+                    position,
                     format!(
-                        "class `{name}` allows an attempt {} after the first, but backends remember its key for {}",
+                        "class `{name}` allows an attempt {} after the first, but backends remember its key \
+                         for {}",
                         format_duration(last),
                         format_duration(window)
                     ),
@@ -178,60 +183,60 @@
         }
     }
 
-    /// The attempts and the waits between them fit into the request's timeout.
+    /// All attempts and the back-offs between them must fit into the request's timeout.
     fn attempts(&mut self) {
         let settings = self.settings;
-        let time = settings.timeout.value;
+        let timeout = settings.timeout.value;
         let deadline = settings.deadline();
-        if let Some(attempt) = settings.attempt_timeout.value.filter(|attempt| *attempt > time) {
+        if let Some(attempt) = settings.attempt_timeout.value.filter(|attempt| *attempt > timeout) {
             self.report_error(
                 Code::AttemptTooLong,
                 self.span_of(&settings.attempt_timeout),
                 format!(
                     "the attempt's timeout of {} exceeds the request's timeout of {}",
                     format_duration(attempt),
-                    format_duration(time)
+                    format_duration(timeout)
                 ),
-                format!("set at most \"{}\"", format_duration(time)),
+                format!("set at most \"{}\"", format_duration(timeout)),
                 settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
             );
-        } else if self.repeats() {
+        } else if self.allows_retries() {
             let last = settings.max_attempts.value - 1;
             let total = match settings.attempt_timeout.value {
                 Some(attempt) => settings.latest_start(last).saturating_add(attempt),
-                // Without a timeout of its own an attempt may use all the time, and the next one has none: only the
-                // certain waits count.
+                // Without a timeout of its own, an attempt may use all the time that is left, and no other
+                // follows it. Only the back-offs are certain then.
                 None => settings.backoffs_before(last).saturating_add(Duration::from_nanos(1)),
             };
             if total > deadline {
-                let blame = if settings.attempt_timeout.span.is_some() {
+                let position = if settings.attempt_timeout.span.is_some() {
                     &settings.attempt_timeout.span
                 } else {
                     &settings.backoff.span
                 };
                 self.report_error(
                     Code::AttemptsExceedTimeout,
-                    blame.clone().unwrap_or_else(|| self.span_of(&settings.max_attempts)),
+                    position.clone().unwrap_or_else(|| self.span_of(&settings.max_attempts)),
                     format!(
-                        "{} attempts and the back-offs between them may take {}, but the request ends after {}",
+                        "{} attempts and the back-offs between them may take {}, but the request ends after \
+                         {}",
                         settings.max_attempts.value,
                         format_duration(total),
                         format_duration(deadline)
                     ),
-                    "allow fewer attempts, shorten them or the back-offs, or extend `time`"
-                        .into(),
+                    "allow fewer attempts, shorten them or the back-offs, or extend `time`".into(),
                     settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
                 );
             }
         }
     }
 
-    /// No request lasts longer than its client waits.
+    /// A request must not last longer than its client waits.
     fn client_timeout(&mut self) {
         let settings = self.settings;
-        let time = settings.timeout.value;
+        let timeout = settings.timeout.value;
         if let Some(client_timeout) =
-            settings.client_timeout.value.filter(|client_timeout| time > *client_timeout)
+            settings.client_timeout.value.filter(|client_timeout| timeout > *client_timeout)
         {
             self.report_error(
                 Code::ExceedsClientTimeout,
@@ -239,7 +244,7 @@
                 format!(
                     "clients wait for {}, but a request may take {}",
                     format_duration(client_timeout),
-                    format_duration(time)
+                    format_duration(timeout)
                 ),
                 format!("set `time = \"{}\"` or less", format_duration(client_timeout)),
                 settings.client_timeout.span.clone().map(|span| (span, "the clients' timeout")),
@@ -247,7 +252,7 @@
         }
     }
 
-    /// A connect leaves time for a response.
+    /// Opening a connection must leave time for a response. The built-in default is not checked.
     fn connect_timeout(&mut self) {
         let settings = self.settings;
         if settings.connect_timeout.span.is_some()
@@ -267,11 +272,11 @@
         }
     }
 
-    /// Retries have a budget.
+    /// Retries need a budget greater than zero.
     fn budget(&mut self) {
         let settings = self.settings;
         let name = &self.class.name.value;
-        if self.repeats()
+        if self.allows_retries()
             && settings.retry_budget.value.share == 0.0
             && settings.retry_budget.value.per_s == 0.0
         {
@@ -288,12 +293,12 @@
         }
     }
 
-    /// The latency target is within the timeout.
+    /// The latency target must not exceed the timeout.
     fn latency_target(&mut self) {
         let settings = self.settings;
-        let time = settings.timeout.value;
+        let timeout = settings.timeout.value;
         if let Some(latency_target) =
-            settings.latency_target.value.filter(|latency_target| *latency_target > time)
+            settings.latency_target.value.filter(|latency_target| *latency_target > timeout)
         {
             self.report_error(
                 Code::LatencyTargetTooLong,
@@ -301,25 +306,26 @@
                 format!(
                     "the latency target of {} exceeds the request's timeout of {}",
                     format_duration(latency_target),
-                    format_duration(time)
+                    format_duration(timeout)
                 ),
-                format!("set at most \"{}\"", format_duration(time)),
+                format!("set at most \"{}\"", format_duration(timeout)),
                 settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
             );
         }
     }
 
-    /// The rates of all tenants together reach the floor of the retry budget.
+    /// The rate limits of all tenants together must reach the floor of the retry budget.
     fn tenant_rates(&mut self) {
         let settings = self.settings;
         if let Some(rate) = settings.tenant_rate.value {
-            let all = rate.per_s * self.file.tenants.len().max(1) as f64;
-            if all < settings.retry_budget.value.per_s {
+            let total_rate = rate.per_s * self.file.tenants.len().max(1) as f64;
+            if total_rate < settings.retry_budget.value.per_s {
                 self.report_error(
                     Code::TenantRatesBelowRetryBudget,
                     self.span_of(&settings.tenant_rate),
                     format!(
-                        "all tenants together may send {all} requests per second, but the retry budget's floor is {}",
+                        "all tenants together may send {total_rate} requests per second, but the retry \
+                         budget's floor is {}",
                         settings.retry_budget.value.per_s
                     ),
                     "lower the floor of `budget`, or raise `tenant-rate`".into(),
@@ -329,17 +335,17 @@
         }
     }
 
-    /// A wait leaves time for a response.
-    fn wait(&mut self) {
+    /// Queueing for capacity of the backends must leave time for a response.
+    fn max_queue_time(&mut self) {
         let settings = self.settings;
         let deadline = settings.deadline();
-        if let Some(wait) = settings.max_queue_time.value.filter(|wait| *wait >= deadline) {
+        if let Some(queue_time) = settings.max_queue_time.value.filter(|time| *time >= deadline) {
             self.report_error(
                 Code::QueueTooLong,
                 self.span_of(&settings.max_queue_time),
                 format!(
                     "queueing for {} leaves no time for a response within the request's {}",
-                    format_duration(wait),
+                    format_duration(queue_time),
                     format_duration(deadline)
                 ),
                 "set it well below the request's timeout".into(),
@@ -348,7 +354,8 @@
         }
     }
 
-    /// Only a safe class may have a fallback: its clients may take that for a response.
+    /// Only a safe class may have a fallback: clients of other classes could take it for the success of their
+    /// request.
     fn fallback(&mut self) {
         let class = self.class;
         let settings = self.settings;
@@ -366,7 +373,7 @@
         }
     }
 
-    /// Protocols are switched by GET, so only a safe class can have that.
+    /// Protocol upgrades are requested by GET, so only a safe class can have them.
     fn upgrade(&mut self) {
         let class = self.class;
         let settings = self.settings;
@@ -376,7 +383,8 @@
                 Code::UpgradeInClassWithEffects,
                 self.span_of(&settings.upgrade),
                 format!(
-                    "class `{name}` has side effects and rejects GET, by which protocol upgrades are requested"
+                    "class `{name}` has side effects and rejects GET, by which protocol upgrades are \
+                     requested"
                 ),
                 "set `upgrade = false`, or use a safe class".into(),
                 Some((class.repeat.span.clone(), "the class has side effects")),
@@ -384,29 +392,27 @@
         }
     }
 
-    /// The maximum gap of a stream is shorter than its maximum duration.
-    fn pauses(&mut self) {
+    /// The maximum gap within a stream, if set, must not exceed its maximum duration.
+    fn stream_limits(&mut self) {
         let settings = self.settings;
-        if let Some(whole) = settings
-            .max_stream_duration
-            .value
-            .filter(|whole| *whole < settings.max_stream_gap.value && settings.max_stream_gap.span.is_some())
-        {
+        if let Some(max_duration) = settings.max_stream_duration.value.filter(|max_duration| {
+            *max_duration < settings.max_stream_gap.value && settings.max_stream_gap.span.is_some()
+        }) {
             self.report_error(
                 Code::StreamShorterThanGap,
                 self.span_of(&settings.max_stream_gap),
                 format!(
                     "a gap of {} is never reached: the response ends after {}",
                     format_duration(settings.max_stream_gap.value),
-                    format_duration(whole)
+                    format_duration(max_duration)
                 ),
-                format!("set at most \"{}\"", format_duration(whole)),
+                format!("set at most \"{}\"", format_duration(max_duration)),
                 settings.max_stream_duration.span.clone().map(|span| (span, "the maximum duration")),
             );
         }
     }
 
-    /// A queue has a maximum of requests in flight that fills it, and leaves time for a response.
+    /// A queue needs a maximum number of requests in flight, and must leave time for a response.
     fn queue(&mut self) {
         let settings = self.settings;
         let deadline = settings.deadline();
--- a/crates/route-config/src/check/route.rs
+++ b/crates/route-config/src/check/route.rs
@@ -1,4 +1,5 @@
-//! Checks of routes: their names refer to something, their settings are valid, and their class permits their methods.
+//! Checks of routes: their class and cluster are defined, their settings are valid, and their class allows
+//! their methods.
 
 use super::cluster::serves_fallback;
 use super::location::{captures, host, pattern};
@@ -13,7 +14,8 @@
 use join_up_to::{Repeat, Scope};
 use std::collections::HashMap;
 
-/// Checks a route; `None` if it has an error that leaves its class, cluster, host or path unknown.
+/// Checks a route; `None` if an error leaves its class, cluster, host or path unknown. `classes` and
+/// `clusters` map names to indices in the file.
 pub(super) fn route(
     file: &File,
     number: usize,
@@ -60,7 +62,8 @@
     Some(CheckedRoute { number, condition, class, cluster, settings: resolved })
 }
 
-/// A keyed class needs a key in its routes, and its scope in their backends.
+/// Checks that the source of a keyed class's key is set, and that the backends of its routes have the zone or
+/// cell of its scope.
 fn keyed(file: &File, route: &Route, class: &Class, cluster: usize, report: &mut Report) {
     let Repeat::Keyed { scope, .. } = class.repeat.value else {
         if let Some(key) = &route.key {
--- a/crates/route-config/src/diagnostic.rs
+++ b/crates/route-config/src/diagnostic.rs
@@ -1,11 +1,12 @@
-//! Errors of a file: codes, positions, and the rule that would be broken. Prints nothing. The texts are for operators.
+//! Errors of a configuration file, with their codes, positions and texts for operators, and the rule of the
+//! node that each would break. Rendering them is left to the caller.
 
 use serde::Serialize;
 use std::collections::HashSet;
 use std::fmt;
 use std::ops::Range;
 
-/// The rules of a node that an error of the file would break.
+/// The guarantees of a node that an invalid file could break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Rule {
     /// Each accepted request gets exactly one final response, before its timeout.
@@ -27,25 +28,25 @@
 
 macro_rules! codes {
     ($($name:ident = $text:literal, $rule:expr, $summary:literal;)*) => {
-        /// The kind of an error. Its text, such as `MW100`, never changes its meaning.
+        /// The kind of an error. Its code, such as `MW100`, is stable: it is never given another meaning.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Code { $(#[doc = $summary] $name,)* }
 
         impl Code {
-            /// All codes, in order.
+            /// All codes, in ascending order.
             pub const ALL: &[Code] = &[$(Code::$name,)*];
 
-            /// `MW` and three digits.
+            /// The code as text: `MW` and three digits.
             pub fn as_str(self) -> &'static str {
                 match self { $(Code::$name => $text,)* }
             }
 
-            /// What errors of this kind have in common, in a line.
+            /// A description of the kind of error, in one line.
             pub fn summary(self) -> &'static str {
                 match self { $(Code::$name => $summary,)* }
             }
 
-            /// The rule that the file would break.
+            /// The rule that a file with this error would break; `None` if it breaks none.
             pub fn rule(self) -> Option<Rule> {
                 match self { $(Code::$name => $rule,)* }
             }
@@ -124,28 +125,28 @@
     }
 }
 
-/// An error of a file.
+/// An error of a configuration file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Diagnostic {
-    /// Its kind.
+    /// The kind of the error.
     pub code: Code,
-    /// What is wrong, in a line.
+    /// What is wrong, in one line.
     pub message: String,
-    /// The bytes of the text that are wrong.
+    /// The range of bytes that is wrong; empty if the error concerns the whole file.
     pub span: Range<usize>,
-    /// Related positions, and what they are.
+    /// Related positions, each with a label.
     pub related: Vec<(Range<usize>, String)>,
     /// What to write instead.
     pub help: String,
 }
 
 impl Diagnostic {
-    /// An error at a position, and what to write instead.
+    /// Creates an error without related positions.
     pub fn new(code: Code, span: Range<usize>, message: impl Into<String>, help: impl Into<String>) -> Self {
         Diagnostic { code, message: message.into(), span, related: Vec::new(), help: help.into() }
     }
 
-    /// Adds a related position.
+    /// Adds a related position with a label.
     pub fn with_related(mut self, span: Range<usize>, what: impl Into<String>) -> Self {
         self.related.push((span, what.into()));
         self
@@ -162,10 +163,12 @@
 }
 
 impl Report {
-    /// As many as anybody reads. Limits the memory for a large file with an error in each line.
+    /// The maximum number of errors that are kept. Limits the memory for a large file with an error in each
+    /// line.
     pub const MAX_DIAGNOSTICS: usize = 200;
 
-    /// Adds an error. The same error at the same position, found by way of another route, counts once.
+    /// Adds an error. The same error at the same position counts once, as a setting of a class is checked
+    /// again for each of its routes.
     pub fn push(&mut self, diagnostic: Diagnostic) {
         let Diagnostic { code, span, message, .. } = &diagnostic;
         if !self.seen.insert((*code, span.start, message.clone())) {
@@ -178,24 +181,25 @@
         }
     }
 
-    /// Whether there is no error.
+    /// Whether no error was reported.
     pub fn is_empty(&self) -> bool {
         self.found.is_empty()
     }
 
-    /// Whether some value could not be parsed, so that it would look like a missing one. An unknown key is no such value.
+    /// Whether some value could not be parsed, and is therefore missing from the parsed file. An unknown key
+    /// has no such value.
     pub fn has_missing_values(&self) -> bool {
         self.omitted > 0 || self.found.iter().any(|diagnostic| diagnostic.code != Code::UnknownKey)
     }
 
-    /// All errors, by position.
+    /// The errors that were kept, sorted by position.
     pub fn into_sorted(mut self) -> Vec<Diagnostic> {
         self.found.sort_by_key(|d| (d.span.start, d.code));
         self.found
     }
 }
 
-/// The position of a byte in the text. Its fields are seen in the report as JSON.
+/// The position of a byte in the text. Its field names are part of the JSON report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Position {
     /// The line, from 1.
@@ -204,20 +208,20 @@
     pub column: usize,
 }
 
-/// The lines of a text, to find the positions of bytes.
+/// Converts byte offsets of a text to lines and columns.
 pub struct Lines<'t> {
     text: &'t str,
     starts: Vec<usize>,
 }
 
 impl<'t> Lines<'t> {
-    /// Finds the lines.
+    /// Indexes the lines of a text.
     pub fn of(text: &'t str) -> Self {
         let ends = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n').map(|(at, _)| at + 1);
         Lines { text, starts: std::iter::once(0).chain(ends).collect() }
     }
 
-    /// The position of a byte; the end of the text for any beyond.
+    /// The position of a byte; that of the end of the text for an offset beyond it.
     pub fn position(&self, at: usize) -> Position {
         let at = at.min(self.text.len());
         let line = self.starts.partition_point(|start| *start <= at) - 1;
--- a/crates/route-config/src/explain.rs
+++ b/crates/route-config/src/explain.rs
@@ -1,5 +1,6 @@
-//! Explains what would become of a request: its route, where each of its limits is set, and every attempt that could be
-//! made, with times. Simulates nothing; it reads the plan. Operators read the text, so it keeps its words.
+//! Explains how a request would be handled: its route, where each of its settings comes from, and every
+//! attempt that could be made, with its times. All of this is read from the plan; nothing is simulated. The
+//! text is for operators.
 
 use crate::diagnostic::Lines;
 use crate::model::File;
@@ -15,24 +16,25 @@
 use units::format_duration;
 
 quick_error! {
-    /// Why there is nothing to explain.
+    /// Why a request has no route to explain. Each text begins with the status of the response that a client
+    /// would get.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum ExplainError {
-        /// The request would be rejected for its path: 400.
+        /// The path is invalid: 400.
         Path(error: PathError) {
             from()
             display("answered 400: {}", error)
             source(error)
         }
-        /// The request would be rejected for its host: 400.
+        /// The host is invalid: 400.
         Host(host: String) {
             display("answered 400: {:?} is no host", host)
         }
-        /// Its path has routes for other methods or headers only: 405. These are the methods.
+        /// Routes for this path require another method: 405. These are the methods.
         MethodNotAllowed(methods: Vec<Method>) {
             display("answered 405: this path takes {}", method_list(methods))
         }
-        /// No route has its path: 404.
+        /// No route matches: 404.
         NotFound {
             display("answered 404: no route has this path")
         }
@@ -43,17 +45,21 @@
     methods.iter().map(Method::as_str).collect::<Vec<_>>().join(", ")
 }
 
-/// A request to explain.
+/// The request to explain.
 pub struct ExampleRequest<'a> {
     /// Its method.
     pub method: &'a Method,
-    /// Its path and query, as a client sends them.
+    /// Its path and query, as sent by a client.
     pub target: &'a str,
     /// Its headers, `Host` among them.
     pub headers: &'a HeaderMap,
 }
 
-/// Explains what would become of a request under a file with this text.
+/// Explains how a request would be handled. `text` is the text of the file, for line numbers.
+///
+/// # Errors
+///
+/// The request would be rejected before it has a route.
 pub fn explain(
     plan: &Plan,
     file: &File,
@@ -98,7 +104,7 @@
     Ok(out)
 }
 
-/// A line on where the key of a keyed request is.
+/// The line that shows where the key of a keyed request is found; empty if the request has none.
 fn describe_key<'p>(
     route: &RoutePlan,
     example: &ExampleRequest,
@@ -130,12 +136,12 @@
     }
 }
 
-/// A setting of a route in the list of limits.
+/// A row of the list of settings.
 struct Row {
     name: &'static str,
     value: String,
     level: Level,
-    /// Where it is set, in bytes of the file; `None` for what is built in.
+    /// The byte offset in the file where it is set; `None` for a built-in default.
     start: Option<usize>,
 }
 
@@ -148,12 +154,12 @@
     }
 }
 
-/// The text of a duration, or another one where there is none.
+/// Formats an optional duration, with a text for `None`.
 fn duration_or(none: &'static str) -> impl Fn(&Option<Duration>) -> String {
     move |time| time.map_or(none.to_string(), format_duration)
 }
 
-/// All settings of a route, by their keys in the file.
+/// All settings of a route, named by their keys in the file.
 fn rows(settings: &ResolvedSettings) -> Vec<Row> {
     let mut rows = attempt_rows(settings);
     rows.extend(admission_rows(settings));
@@ -161,7 +167,7 @@
     rows
 }
 
-/// Times and attempts.
+/// The rows on timeouts and attempts.
 fn attempt_rows(r: &ResolvedSettings) -> Vec<Row> {
     vec![
         row("time", &r.timeout, |t| format_duration(*t)),
@@ -192,7 +198,7 @@
     ]
 }
 
-/// Limits, queues and the value of a request.
+/// The rows on limits, queues and priority.
 fn admission_rows(r: &ResolvedSettings) -> Vec<Row> {
     vec![
         row("in-hand", &r.max_in_flight, |max| max.map_or("no limit".into(), |max| max.to_string())),
@@ -210,7 +216,7 @@
     ]
 }
 
-/// How a response is forwarded, and what is served in its place.
+/// The rows on responses: how they are forwarded, and the fallback.
 fn response_rows(r: &ResolvedSettings) -> Vec<Row> {
     vec![
         row("upgrade", &r.upgrade, |upgrade| {
@@ -235,7 +241,7 @@
     if words.is_empty() { "nothing".into() } else { words.join(", ") }
 }
 
-/// All attempts that could be made, and the end where none of them has a response.
+/// Lists all attempts that could be made, and the outcome if none of them gets a response.
 fn describe_attempts(out: &mut String, settings: &ResolvedSettings, repeat: Repeat) {
     let deadline = settings.deadline();
     // Writing to a string can't fail.
@@ -265,7 +271,7 @@
     let _ = writeln!(out, "  no answer by {}: {end}", format_duration(deadline));
 }
 
-/// The attempts after the first.
+/// Lists the retries.
 fn describe_retries(out: &mut String, settings: &ResolvedSettings, repeat: Repeat) {
     let deadline = settings.deadline();
     let may_have_run = settings.retry_on.value.may_have_run();
@@ -293,7 +299,7 @@
     }
 }
 
-/// Where a retry may go.
+/// Describes the backends to which a retry may be sent.
 fn describe_retry_target(repeat: Repeat, may_have_run: bool) -> String {
     match (repeat, may_have_run) {
         (_, false) => "only if none before it ran".into(),
--- a/crates/route-config/src/lib.rs
+++ b/crates/route-config/src/lib.rs
@@ -1,9 +1,10 @@
-//! The operator's file of marlwinch: routes, classes, time limits and attempts, checked before use.
+//! The operator's configuration file of marlwinch: routes, classes, timeouts and retries, validated before
+//! use.
 //!
-//! [`load`] compiles the bytes of a file to a [`Plan`], or returns every error of the file with its position, the rule that
-//! it would break and what to write instead. A plan has the settings of a balancer for each cluster, the table that finds
-//! a request's route, and the limits that apply before a decision. Nothing here opens a file or a socket, reads
-//! a clock or depends on a runtime.
+//! [`load`] compiles the bytes of a file to a [`Plan`], or returns every error of the file with its position,
+//! the rule that it would break and what to write instead. A plan has the settings of a balancer for each
+//! cluster, the routing table, and the limits that apply before the balancer decides. Nothing here opens a
+//! file or a socket, reads a clock or depends on a runtime.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -27,28 +28,35 @@
 /// A valid file.
 #[derive(Debug)]
 pub struct LoadedFile {
-    /// Its compiled form.
+    /// The compiled file, ready for use by a node.
     pub plan: Plan,
-    /// Its content, with positions.
+    /// The parsed file: its values with their positions in the text.
     pub file: model::File,
 }
 
-/// Why a file is invalid.
+/// The errors of an invalid file.
 #[derive(Debug)]
 pub struct InvalidFile {
-    /// Its errors, by position.
+    /// The errors, sorted by position; at least one.
     pub diagnostics: Vec<Diagnostic>,
-    /// The number of errors beyond those, see [`Report::MAX_DIAGNOSTICS`](diagnostic::Report::MAX_DIAGNOSTICS).
+    /// The number of errors beyond those, see
+    /// [`Report::MAX_DIAGNOSTICS`](diagnostic::Report::MAX_DIAGNOSTICS).
     pub omitted: usize,
 }
 
 /// Parses, checks and compiles a file.
+///
+/// # Errors
+///
+/// All errors of the file that are found in one pass. Names and routes are checked only if all values could
+/// be parsed.
 pub fn load(bytes: &[u8]) -> Result<LoadedFile, InvalidFile> {
     let text =
         parse::text(bytes).map_err(|diagnostic| InvalidFile { diagnostics: vec![diagnostic], omitted: 0 })?;
     let mut report = Report::default();
     let file = parse::file(text, &mut report);
-    // A value that could not be parsed would look like a missing one: names and routes are checked only when all are there.
+    // A value that could not be parsed is absent from `file`: later checks would report it as missing or
+    // unknown.
     if report.has_missing_values() {
         let omitted = report.omitted;
         return Err(InvalidFile { diagnostics: report.into_sorted(), omitted });
--- a/crates/route-config/src/model.rs
+++ b/crates/route-config/src/model.rs
@@ -1,5 +1,5 @@
-//! The file as it is written: every value with its position. Nothing here is checked against anything else. The docs of
-//! types name their tables in the file.
+//! The parsed file: every value with its position in the text, not yet checked against other values. Each
+//! type names the table or key of the file that it is parsed from.
 
 use crate::target::EncodedSlash;
 use http::{HeaderName, HeaderValue, Method};
@@ -10,7 +10,7 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Bytes of the text.
+/// A range of bytes of the file's text.
 pub type Span = Range<usize>;
 
 /// A value and its position in the text.
@@ -23,24 +23,24 @@
 }
 
 impl<T> Located<T> {
-    /// A value at a position.
+    /// Combines a value with its position.
     pub fn new(value: T, span: Span) -> Self {
         Located { value, span }
     }
 }
 
-/// A file.
+/// A parsed file.
 #[derive(Clone, Debug, Default)]
 pub struct File {
     /// `[node]`.
     pub node: Node,
     /// `[forwarding]`.
     pub forwarding: ForwardingRule,
-    /// `[log]`: the format of the log, and which exchanges are logged.
+    /// `[log]`: the format of the log, and the fraction of exchanges that is logged.
     pub log: Log,
-    /// `[admin]`: where metrics are served.
+    /// `[admin]`: the address where metrics are served; `None` to serve none.
     pub admin: Option<Located<SocketAddr>>,
-    /// `[trace]`: where accepted requests are recorded.
+    /// `[trace]`: where accepted requests are recorded; `None` to record none.
     pub trace: Option<Trace>,
     /// `[[listener]]`.
     pub listeners: Vec<Listener>,
@@ -57,53 +57,54 @@
 }
 
 impl File {
-    /// The number of nodes that share the requests.
+    /// The number of nodes that share the requests; 1 where the file does not set it.
     pub fn node_count(&self) -> u32 {
         self.node.nodes.as_ref().map_or(1, |nodes| nodes.value)
     }
 }
 
-/// `[node]`: the node itself.
+/// `[node]`: settings of the node itself.
 #[derive(Clone, Debug, Default)]
 pub struct Node {
-    /// Its name in logs.
+    /// The node's name in logs.
     pub name: Option<Located<String>>,
-    /// Its zone.
+    /// The node's zone, which must be that of some backend.
     pub zone: Option<Located<String>>,
     /// The number of nodes that share the requests, this one included.
     pub nodes: Option<Located<u32>>,
-    /// The number of this node among them, from 0.
+    /// The index of this node among them, from 0.
     pub number: Option<Located<u32>>,
-    /// The seed of random numbers; another one at each start where it is not set.
+    /// The seed of the random number generator; a different one at each start if it is not set.
     pub seed: Option<Located<u64>>,
     /// The maximum number of file descriptors.
     pub max_sockets: Option<Located<u32>>,
     /// The maximum memory for requests in flight, in bytes.
     pub max_memory: Option<Located<u64>>,
-    /// The header that names the tenant.
+    /// The request header that names the tenant.
     pub tenant_header: Option<Located<HeaderName>>,
-    /// Whether `%2F` in a path is kept, or such a request rejected.
+    /// Whether a request with `%2F` in its path is forwarded unchanged or rejected.
     pub encoded_slash: Option<Located<EncodedSlash>>,
-    /// The budget of retries over all clusters.
+    /// `further-attempts`: the retry budget over all clusters.
     pub retry_budget: Option<Located<RetryBudget>>,
-    /// Whether a head with a line that ends without CR is accepted.
+    /// Whether a request or response head with a line that ends in LF alone is accepted.
     pub line_endings: Option<Located<LineEndings>>,
-    /// How long responses in progress go on after a shutdown began or their backend drains; `None` inside for no limit.
+    /// How long responses in progress may continue after a shutdown has begun or their backend drains; `None`
+    /// inside for no limit.
     pub stream_end: Option<Located<Option<Duration>>>,
 }
 
-/// `[forwarding]`: the fields that tell backends of clients.
+/// `[forwarding]`: the header fields that inform backends about the client.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardingRule {
-    /// The fields that are written.
+    /// The fields that are written; `X-Forwarded-*` and `Via` if it is not set.
     pub write: Option<Located<Vec<ForwardedField>>>,
-    /// The hops whose fields are trusted.
+    /// The networks of proxies whose forwarding fields are trusted.
     pub trusted: Vec<Located<IpNet>>,
-    /// The name of the node in `Via`.
+    /// The node's name in `Via`; the name of `[node]` if it is not set.
     pub via_name: Option<Located<String>>,
 }
 
-/// A field, or a family of fields, that tells backends of a client.
+/// A header field, or a group of them, that informs backends about the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardedField {
     /// `X-Forwarded-For`, `-Host` and `-Proto`.
@@ -117,17 +118,17 @@
 /// `[log]`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Log {
-    /// The format. A change applies from the next start on.
+    /// The format. A change takes effect at the next start.
     pub format: LogFormat,
     /// The fraction of exchanges that are logged, from 0 to 1.
     pub exchanges: f64,
-    /// The maximum number of entries that wait to be written; more are dropped and counted. A change applies from the next
-    /// start on.
+    /// The maximum number of entries that wait to be written; more are dropped and counted. A change takes
+    /// effect at the next start.
     pub queue: usize,
 }
 
 impl Default for Log {
-    /// Text, no exchanges, and a queue for a second of a busy node.
+    /// Plain text, no exchanges, and a queue for one second of a busy node.
     fn default() -> Self {
         Log { format: LogFormat::Text, exchanges: 0.0, queue: 10_000 }
     }
@@ -136,55 +137,55 @@
 /// The format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Plain text.
+    /// Plain text, one entry per line.
     Text,
-    /// A JSON object on each line.
+    /// One JSON object per line.
     Json,
 }
 
-/// `[trace]`: accepted requests are recorded, to be replayed.
+/// `[trace]`: the recording of accepted requests, for replay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// The path of the record.
+    /// The path of the trace file.
     pub file: String,
-    /// The maximum number of entries that wait for the disk; more are dropped and counted.
+    /// The maximum number of entries that wait to be written; more are dropped and counted.
     pub queue: usize,
-    /// The maximum size of the record, in bytes.
+    /// The maximum size of the trace file, in bytes.
     pub max_size: u64,
 }
 
 /// `[[listener]]`.
 #[derive(Clone, Debug)]
 pub struct Listener {
-    /// Where clients connect.
+    /// The address where clients connect.
     pub address: Located<SocketAddr>,
 }
 
-/// `[[cluster]]`: backends that serve the same requests.
+/// `[[cluster]]`: a group of interchangeable backends.
 #[derive(Clone, Debug)]
 pub struct Cluster {
-    /// Its name.
+    /// The name by which routes refer to it.
     pub name: Located<String>,
-    /// How long a backend keeps an idle connection.
+    /// The time after which a backend closes an idle connection.
     pub idle_close: Option<Located<Duration>>,
-    /// Whether its backends report their load.
+    /// `load-reports`: whether its backends report their load in responses.
     pub reports: Option<Located<LoadReports>>,
     /// `cold`: the capacity of its backends after their start.
     pub warm_up: Option<Located<WarmUp>>,
-    /// The limit of requests in flight at a backend; `None` inside for none.
+    /// The limit of requests in flight at a backend; `None` inside for no limit.
     pub limit: Option<Located<Option<LimitRule>>>,
-    /// The time over which a backend that is added later gets its full part of the requests.
+    /// The time over which the share of a newly added backend grows to its full share of requests.
     pub slow_start: Option<Located<Duration>>,
-    /// `[[cluster.step]]`: brownout; `None` for what is built in.
+    /// `[[cluster.step]]`: the brownout rules; `None` for the built-in ones.
     pub brownout: Option<Vec<BrownoutRule>>,
-    /// `[[cluster.box]]`: its backends.
+    /// `[[cluster.box]]`: the backends.
     pub backends: Vec<Backend>,
 }
 
 /// `limit`: the limit of requests in flight at a backend of average weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitRule {
-    /// It adapts to the backend's responses, within bounds.
+    /// The limit adapts to the backend's responses, within bounds.
     Adaptive {
         /// The initial limit.
         initial: f64,
@@ -193,22 +194,22 @@
         /// The maximum.
         max: f64,
     },
-    /// Fixed, over all nodes.
+    /// A fixed limit, for all nodes together.
     Fixed(f64),
 }
 
-/// `[[cluster.step]]`: something that an overloaded cluster goes without.
+/// `[[cluster.step]]`: a feature or some classes that an overloaded cluster gives up.
 #[derive(Clone, Debug)]
 pub struct BrownoutRule {
-    /// The fraction of rejected cost from which on it is active.
+    /// `at`: the fraction of rejected cost at which the rule becomes active.
     pub threshold: Located<f64>,
-    /// The fraction below which it ends.
+    /// `back`: the fraction of rejected cost below which it ends.
     pub release_threshold: Located<f64>,
-    /// How long a threshold must be passed.
+    /// `after`: how long the fraction must stay beyond a threshold.
     pub hold_time: Duration,
-    /// What the cluster goes without.
+    /// `does`: what is switched off.
     pub action: BrownoutRuleAction,
-    /// The classes to shed.
+    /// The classes to shed; empty for every other action.
     pub classes: Vec<Located<String>>,
 }
 
@@ -217,18 +218,19 @@
 pub enum BrownoutRuleAction {
     /// Hedged requests.
     DisableHedging,
-    /// Retries once an attempt may have been executed.
+    /// Retries after an attempt that may have been executed.
     DisableRetries,
-    /// Some classes of requests.
+    /// Requests of the listed classes.
     ShedClasses,
-    /// Rejections on routes that have a fallback, which is served in their place.
+    /// Rejections on routes that have a fallback: the fallback is served instead.
     ServeFallback,
 }
 
-/// `fallback`: the response in place of a rejection, once a brownout rule is active that serves it.
+/// `fallback`: the response that is served in place of a rejection while a brownout rule with that action is
+/// active.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fallback {
-    /// The status, from 200 to 599.
+    /// The status code, from 200 to 599.
     pub status: u16,
     /// The media type.
     pub media_type: HeaderValue,
@@ -239,52 +241,53 @@
 /// `load-reports`: whether responses carry load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReports {
-    /// In `X-Backend-Load`, as `concurrent=7,depth=2`.
+    /// In the header `X-Backend-Load`, as `concurrent=7,depth=2`.
     ResponseHeader,
-    /// They carry none.
+    /// Responses carry no load reports.
     None,
 }
 
 /// `cold`: the capacity of a backend after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
-    /// The fraction of its capacity that it has at least when it starts.
+    /// The minimum fraction of its capacity that it has at its start.
     pub initial_capacity: f64,
-    /// After this time it has its full capacity.
+    /// The time after which it has its full capacity.
     pub duration: Duration,
-    /// It collapses when it receives more than this multiple of its present capacity ...
+    /// The backend collapses if it receives more than this multiple of its current capacity for
+    /// `overload_time`.
     pub overload_factor: f64,
-    /// ... for this time.
+    /// The duration of an overload that makes the backend collapse.
     pub overload_time: Duration,
 }
 
 /// `[[cluster.box]]`: a backend.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Its name, which identifies it whatever its address.
+    /// Its name, which identifies it even if its address changes.
     pub name: Located<String>,
-    /// Where it listens.
+    /// The address where it listens.
     pub address: Located<SocketAddr>,
-    /// Its zone.
+    /// Its zone; backends without one form a zone of their own.
     pub zone: Option<Located<String>>,
-    /// Its machine kind.
+    /// Its machine type.
     pub kind: Option<Located<String>>,
-    /// Its cell.
+    /// Its cell; 0 if it is not set.
     pub cell: Option<Located<u16>>,
-    /// Its weight relative to other backends.
+    /// Its weight relative to other backends; 1 if it is not set.
     pub weight: Option<Located<f64>>,
-    /// Whether it accepts requests or is draining.
+    /// Whether it is in service or draining; in service if it is not set.
     pub state: Option<Located<ServerState>>,
 }
 
 /// `[[tenant]]`.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its name, as in the tenant header.
+    /// Its name, which is the value of the tenant header.
     pub name: Located<String>,
     /// Its share of the service, from 0 to 1.
     pub share: Option<Located<f64>>,
-    /// Requests per second that it is guaranteed, over all nodes.
+    /// Its guaranteed rate in requests per second, over all nodes.
     pub allowance: Option<Located<f64>>,
 }
 
@@ -293,56 +296,56 @@
 pub struct Class {
     /// Its name.
     pub name: Located<String>,
-    /// How far its requests may be repeated.
+    /// Whether and where its requests may be repeated.
     pub repeat: Located<Repeat>,
-    /// The header with the key of a keyed class.
+    /// The header with the idempotency key of a keyed class.
     pub key_header: Option<Located<HeaderName>>,
-    /// Its own settings.
+    /// The settings that it sets itself.
     pub settings: RequestSettings,
 }
 
 /// `[[route]]`.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The position of the header of its table.
+    /// The position of its `[[route]]` header.
     pub span: Span,
-    /// Its name for logs and limits.
+    /// Its name for logs and limits; one is made of its conditions if it is not set.
     pub name: Option<Located<String>>,
     /// The host that it matches: exact, or `*.` and a suffix.
     pub host: Option<Located<String>>,
-    /// The methods that it matches; all that its class allows where none are set.
+    /// The methods that it matches; all that its class allows if none are set.
     pub methods: Option<Located<Vec<Method>>>,
     /// The path that it matches.
     pub path: Option<Located<PathRule>>,
-    /// Headers that must be present, and their values where these matter.
+    /// Headers that must be present, with their values; `None` for any value.
     pub headers: Vec<Located<(HeaderName, Option<HeaderValue>)>>,
-    /// The class of its requests.
+    /// The name of the class of its requests.
     pub class: Located<String>,
-    /// The cluster that serves them.
+    /// The name of the cluster that serves them.
     pub cluster: Located<String>,
-    /// The path that is forwarded, with captures in braces.
+    /// The path that is forwarded, with captures in braces; the requested path if it is not set.
     pub rewrite: Option<Located<String>>,
-    /// The capture with the key of a keyed class.
+    /// The capture with the idempotency key of a keyed class.
     pub key: Option<Located<String>>,
-    /// The capture that identifies what the request is about.
+    /// The capture that identifies the resource that the request concerns.
     pub subject: Option<Located<String>>,
-    /// Its own settings.
+    /// The settings that it sets itself.
     pub settings: RequestSettings,
 }
 
-/// A route's path as it is written.
+/// A route's path as written in the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PathRule {
-    /// `path`: this path alone.
+    /// `path`: exactly this path.
     Exact(String),
-    /// `prefix`: this path and all below it.
+    /// `prefix`: this path and all paths below it.
     Prefix(String),
-    /// `template`: segments, some of them `{captures}`.
+    /// `template`: a path in which some segments are captures, such as `/tally/{station}`.
     Template(String),
 }
 
 impl PathRule {
-    /// The text of the path.
+    /// The path as written in the file.
     pub fn text(&self) -> &str {
         match self {
             PathRule::Exact(text) | PathRule::Prefix(text) | PathRule::Template(text) => text,
@@ -353,15 +356,15 @@
 /// `copies`: hedged requests, sent while an earlier attempt is in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HedgingRule {
-    /// The time after the attempt before.
+    /// `after`: the time from an attempt to the hedged request that follows it.
     pub delay: Duration,
-    /// The maximum number for a request.
+    /// `most`: the maximum number of hedged requests for one request.
     pub max_per_request: u32,
-    /// The maximum as a fraction of requests.
+    /// `share`: the maximum number as a fraction of all requests.
     pub max_fraction: f64,
 }
 
-/// `queue`: where requests wait while the maximum of requests in flight is reached.
+/// `queue`: the queue for requests that exceed the maximum of requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Queue {
     /// The maximum number of waiting requests.
@@ -370,12 +373,12 @@
     pub max_time: Duration,
 }
 
-/// `upgrade`: switches of protocol that are forwarded; after them bytes are relayed in both directions.
+/// `upgrade`: the protocol upgrades that are forwarded; after one, bytes are relayed in both directions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpgradeRule {
-    /// The protocols, in small letters.
+    /// The protocols, in lower case.
     pub to: Vec<String>,
-    /// The maximum time without any byte in either direction.
+    /// The maximum time without a byte in either direction.
     pub idle: Duration,
 }
 
@@ -384,57 +387,59 @@
 pub struct TenantRate {
     /// Requests per second, over all nodes.
     pub per_s: f64,
-    /// The maximum burst after a time without requests.
+    /// The maximum number of requests in a burst.
     pub burst: f64,
 }
 
-/// The settings of requests that `[defaults]`, a class or a route may have. What is not set is inherited.
+/// The settings of requests that `[defaults]`, a class or a route may have. A setting that is `None` is
+/// inherited.
 #[derive(Clone, Debug, Default)]
 pub struct RequestSettings {
-    /// `time`: the maximum time of a request at this node.
+    /// `time`: the timeout of a request at this node, all attempts included.
     pub timeout: Option<Located<Duration>>,
-    /// `aim`: a response within this time has its full value.
+    /// `aim`: the latency target; a response within this time has its full value.
     pub latency_target: Option<Located<Duration>>,
-    /// `late-worth`: the fraction of the value that a later response has.
+    /// `late-worth`: the value of a response after the latency target, as a fraction of the full value.
     pub late_value: Option<Located<f64>>,
-    /// `worth`: the value of a response, as a weight against other classes.
+    /// `worth`: the priority of the class, as a weight relative to other classes.
     pub priority_weight: Option<Located<f64>>,
-    /// `patience`: how long clients usually wait.
+    /// `patience`: the time that clients usually wait for a response.
     pub client_timeout: Option<Located<Duration>>,
     /// `attempts`: the maximum number of attempts, hedged ones included.
     pub max_attempts: Option<Located<u32>>,
-    /// `attempt-time`: the maximum duration of an attempt.
+    /// `attempt-time`: the timeout of an attempt.
     pub attempt_timeout: Option<Located<Duration>>,
-    /// `connect-time`: the maximum duration of a connect.
+    /// `connect-time`: the timeout for opening a connection to a backend.
     pub connect_timeout: Option<Located<Duration>>,
     /// `retry-on`: the outcomes after which a retry is allowed.
     pub retry_on: Option<Located<RetryOn>>,
-    /// `back-off`: the wait before a retry; `None` inside for none.
+    /// `back-off`: the delay before a retry; `None` inside for no delay.
     pub backoff: Option<Located<Option<Backoff>>>,
     /// `copies`: hedged requests; `None` inside for none.
     pub hedging: Option<Located<Option<HedgingRule>>>,
-    /// `budget`: the budget of retries.
+    /// `budget`: the retry budget.
     pub retry_budget: Option<Located<RetryBudget>>,
     /// `in-hand`: the maximum number of requests in flight; `None` inside for no maximum.
     pub max_in_flight: Option<Located<Option<u32>>>,
-    /// `queue`: where more of them wait; `None` inside for no queue.
+    /// `queue`: the queue for requests beyond that maximum; `None` inside for no queue.
     pub queue: Option<Located<Option<Queue>>>,
     /// `tenant-rate`: the rate limit of each tenant; `None` inside for none.
     pub tenant_rate: Option<Located<Option<TenantRate>>>,
-    /// `retry-after`: how long a rejected client is asked to wait.
+    /// `retry-after`: the minimum `Retry-After` of a rejection.
     pub retry_after: Option<Located<Duration>>,
-    /// `wait`: the maximum time that a request waits for capacity of the backends.
+    /// `wait`: the maximum time that a request is queued until a backend has capacity.
     pub max_queue_time: Option<Located<Duration>>,
     /// `fallback`: the response in place of a rejection; `None` inside for none.
     pub fallback: Option<Located<Option<Fallback>>>,
-    /// `upgrade`: the switches of protocol that are forwarded; `None` inside for none.
+    /// `upgrade`: the protocol upgrades that are forwarded; `None` inside for none.
     pub upgrade: Option<Located<Option<UpgradeRule>>>,
-    /// `gap`: the maximum time without any byte within a response that is forwarded while it arrives.
+    /// `gap`: the maximum time without a byte within a streamed response.
     pub max_stream_gap: Option<Located<Duration>>,
-    /// `whole`: the maximum duration of such a response; `None` inside for no maximum.
+    /// `whole`: the maximum duration of a streamed response; `None` inside for no maximum.
     pub max_stream_duration: Option<Located<Option<Duration>>>,
-    /// `hold`: how long a response of unknown length may pause before what has arrived of it is forwarded.
+    /// `hold`: after a pause of this length in a response of unknown length, the bytes received so far are
+    /// forwarded.
     pub stream_flush_delay: Option<Located<Duration>>,
-    /// `replay`: the maximum size in bytes of a request's body that is buffered so that it can be sent again.
+    /// `replay`: the maximum size in bytes of a request body that is buffered for retries.
     pub replay_limit: Option<Located<u64>>,
 }
--- a/crates/route-config/src/parse/class.rs
+++ b/crates/route-config/src/parse/class.rs
@@ -1,4 +1,4 @@
-//! Parses classes of requests and tenants.
+//! Parses classes and tenants.
 
 use super::header::header_name;
 use super::request_settings::request_settings;
@@ -19,16 +19,16 @@
 /// Parses a `[[class]]` with its settings.
 pub(super) fn class(mut s: Section, report: &mut Report) -> Option<Class> {
     #[derive(Clone, Copy, PartialEq)]
-    enum Word {
+    enum RepeatKind {
         Safe,
         Keyed,
         Unsafe,
     }
-    let words = [("safe", Word::Safe), ("keyed", Word::Keyed), ("unsafe", Word::Unsafe)];
+    let kinds = [("safe", RepeatKind::Safe), ("keyed", RepeatKind::Keyed), ("unsafe", RepeatKind::Unsafe)];
     let scopes = [("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Cell)];
     let name = s.required("name", "\"tally-submit\"", report).and_then(|v| read::name(v, report));
-    let word = s.required("repeat", "\"unsafe\"", report).and_then(|v| read::choice(v, &words, report));
-    let is_keyed = word.as_ref().is_some_and(|word| word.value == Word::Keyed);
+    let kind = s.required("repeat", "\"unsafe\"", report).and_then(|v| read::choice(v, &kinds, report));
+    let is_keyed = kind.as_ref().is_some_and(|kind| kind.value == RepeatKind::Keyed);
     let scope = keyed_only(is_keyed, &mut s, "scope", "\"zone\"", report);
     let scope = scope.and_then(|v| read::choice(v, &scopes, report));
     let window = keyed_only(is_keyed, &mut s, "window", "\"600ms\"", report);
@@ -36,16 +36,16 @@
     let key_header = s.get("key-header").and_then(|v| header_name(v, report));
     let settings = request_settings(&mut s, report);
     s.finish(report);
-    let word = word?;
-    let repeat = match word.value {
-        Word::Safe => Repeat::Safe,
-        Word::Unsafe => Repeat::Unsafe,
-        Word::Keyed => Repeat::Keyed { scope: scope?.value, window: window?.value },
+    let kind = kind?;
+    let repeat = match kind.value {
+        RepeatKind::Safe => Repeat::Safe,
+        RepeatKind::Unsafe => Repeat::Unsafe,
+        RepeatKind::Keyed => Repeat::Keyed { scope: scope?.value, window: window?.value },
     };
-    Some(Class { name: name?, repeat: Located::new(repeat, word.span), key_header, settings })
+    Some(Class { name: name?, repeat: Located::new(repeat, kind.span), key_header, settings })
 }
 
-/// The value of a key that a keyed class must have and others must not have.
+/// The value of a key that is required in a keyed class and not allowed in others.
 fn keyed_only<'t>(
     is_keyed: bool,
     s: &mut Section<'t>,
--- a/crates/route-config/src/parse/cluster.rs
+++ b/crates/route-config/src/parse/cluster.rs
@@ -1,6 +1,6 @@
-//! Parses clusters: their backends, the limits of these, their capacity after a start, and brownout.
+//! Parses clusters: their backends, limits, warm-up and brownout rules.
 
-use super::{count, each};
+use super::{count, parse_tables};
 use crate::diagnostic::{Code, Diagnostic, Report};
 use crate::model::*;
 use crate::read::{self, Section, Value};
@@ -20,24 +20,26 @@
     });
     let limit = s.get("limit").and_then(|v| read::unless_false(v, report, limit));
     let slow_start = s.get("slow-start").and_then(|v| read::positive_duration(v, report));
-    let brownout = s.get("step").map(|v| each(Some(v), "[cluster.step]", report, step));
-    let backends = each(s.get("box"), "[cluster.box]", report, backend);
+    let brownout = s.get("step").map(|v| parse_tables(Some(v), "[cluster.step]", report, brownout_rule));
+    let backends = parse_tables(s.get("box"), "[cluster.box]", report, backend);
     s.finish(report);
     Some(Cluster { name: name?, idle_close, reports, warm_up, limit, slow_start, brownout, backends })
 }
 
-/// The maximum limit of a backend: a machine has no more ports for connections.
+/// The maximum limit of requests in flight at a backend: the number of TCP ports, and so of connections, of
+/// one node.
 const MAX_LIMIT: f64 = 65_535.0;
 
 fn limit(value: Value, report: &mut Report) -> Option<LimitRule> {
     let mut s = read::table(value, "limit", report)?;
     let LimitRule::Adaptive { initial, min, max } = built_in::LIMIT else { return None };
-    let mut part =
+    let mut bound =
         |key: &'static str, min: f64| s.get(key).map(|v| read::number(v, (min, MAX_LIMIT), report));
-    let (fixed, given) = (part("fixed", 1.0), [part("start", 1.0), part("least", 1.0), part("most", 1.0)]);
+    let (fixed, bounds) =
+        (bound("fixed", 1.0), [bound("start", 1.0), bound("least", 1.0), bound("most", 1.0)]);
     s.finish(report);
     if let Some(fixed) = fixed {
-        if given.iter().any(Option::is_some) {
+        if bounds.iter().any(Option::is_some) {
             let message = "a fixed limit can't have bounds";
             let help = "write `limit = { fixed = 50 }`, or bounds without `fixed`";
             report.push(Diagnostic::new(Code::InvalidLimitBounds, value.span(), message, help));
@@ -45,13 +47,13 @@
         }
         return Some(LimitRule::Fixed(fixed?.value));
     }
-    let [own_initial, own_min, own_max] = given;
-    // A default gives way to what the file sets.
-    let max = own_max.map_or(Some(max), |max| Some(max?.value))?;
-    let own_initial = own_initial.map_or(Some(None), |initial| Some(Some(initial?.value)))?;
-    let default_min = min.min(max).min(own_initial.unwrap_or(min));
-    let min = own_min.map_or(Some(default_min), |min| Some(min?.value))?;
-    let initial = own_initial.unwrap_or(initial.min(max).max(min));
+    let [set_initial, set_min, set_max] = bounds;
+    // Bounds that the file does not set are adjusted to those that it sets.
+    let max = set_max.map_or(Some(max), |max| Some(max?.value))?;
+    let set_initial = set_initial.map_or(Some(None), |initial| Some(Some(initial?.value)))?;
+    let default_min = min.min(max).min(set_initial.unwrap_or(min));
+    let min = set_min.map_or(Some(default_min), |min| Some(min?.value))?;
+    let initial = set_initial.unwrap_or(initial.min(max).max(min));
     if !(min..=max).contains(&initial) {
         let message = format!("the initial limit {initial} is outside its bounds, {min} to {max}");
         let help = "set `least` to at most `start`, and `start` to at most `most`";
@@ -61,19 +63,19 @@
     Some(LimitRule::Adaptive { initial, min, max })
 }
 
-/// How long a threshold must be passed, where the file does not set it.
+/// How long a threshold must be passed if the file does not set it.
 const DEFAULT_HOLD_TIME: Duration = Duration::from_secs(1);
 
-fn step(mut s: Section, report: &mut Report) -> Option<BrownoutRule> {
+fn brownout_rule(mut s: Section, report: &mut Report) -> Option<BrownoutRule> {
     let words = [
         ("no-copies", BrownoutRuleAction::DisableHedging),
         ("one-attempt", BrownoutRuleAction::DisableRetries),
         ("shed", BrownoutRuleAction::ShedClasses),
         ("fallback", BrownoutRuleAction::ServeFallback),
     ];
-    let at = s.required("at", "\"10%\"", report).and_then(|v| read::share(v, report));
-    let back = s.required("back", "\"2%\"", report).and_then(|v| read::share(v, report));
-    let after = s.get("after").map(|v| read::positive_duration(v, report));
+    let threshold = s.required("at", "\"10%\"", report).and_then(|v| read::share(v, report));
+    let release_threshold = s.required("back", "\"2%\"", report).and_then(|v| read::share(v, report));
+    let hold_time = s.get("after").map(|v| read::positive_duration(v, report));
     let action = s.required("does", "\"no-copies\"", report).and_then(|v| read::choice(v, &words, report));
     let classes = s.get("classes").map(|v| (v.span(), read::array(v, "class names", report)));
     let span = s.span.clone();
@@ -83,22 +85,16 @@
     for item in named.iter().flat_map(|(_, items)| items) {
         classes.push(read::text(item, report)?);
     }
-    let (at, back, action) = (at?, back?, action?);
+    let (threshold, release_threshold, action) = (threshold?, release_threshold?, action?);
     if (action.value == BrownoutRuleAction::ShedClasses) == classes.is_empty() {
         let message = "`classes` is required in a step that sheds, and not allowed in others";
         let help = "add `classes = [\"look\"]` to a step that sheds, or remove them from another one";
-        let blame = named.map_or(span, |(span, _)| span);
-        report.push(Diagnostic::new(Code::StepClassesMismatch, blame, message, help));
+        let position = named.map_or(span, |(span, _)| span);
+        report.push(Diagnostic::new(Code::StepClassesMismatch, position, message, help));
         return None;
     }
-    let after = after.map_or(Some(DEFAULT_HOLD_TIME), |after| Some(after?.value))?;
-    Some(BrownoutRule {
-        threshold: at,
-        release_threshold: back,
-        hold_time: after,
-        action: action.value,
-        classes,
-    })
+    let hold_time = hold_time.map_or(Some(DEFAULT_HOLD_TIME), |time| Some(time?.value))?;
+    Some(BrownoutRule { threshold, release_threshold, hold_time, action: action.value, classes })
 }
 
 fn warm_up(mut s: Section, report: &mut Report) -> Option<WarmUp> {
@@ -117,7 +113,7 @@
     })
 }
 
-/// The maximum weight. Weights are relative; larger ones would mean nothing.
+/// The maximum weight of a backend. Weights are relative, so larger ones are never needed.
 const MAX_WEIGHT: f64 = 1e6;
 
 fn backend(mut s: Section, report: &mut Report) -> Option<Backend> {
--- a/crates/route-config/src/parse/header.rs
+++ b/crates/route-config/src/parse/header.rs
@@ -1,4 +1,4 @@
-//! Parses names of headers and conditions on them.
+//! Parses header names and the header conditions of routes.
 
 use crate::diagnostic::{Code, Diagnostic, Report};
 use crate::model::{Located, Span};
@@ -6,7 +6,8 @@
 use http::{HeaderName, HeaderValue};
 use toml::de::DeValue;
 
-/// Headers of one connection or of the framing. They differ between the ends, so routes can't match them.
+/// Headers that concern a single connection or the framing of a message. They may differ between client and
+/// backend, so routes can't match them.
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -18,7 +19,7 @@
     "content-length",
 ];
 
-/// Parses the name of a header that goes from end to end.
+/// Parses the name of an end-to-end header.
 pub(super) fn header_name(value: Value, report: &mut Report) -> Option<Located<HeaderName>> {
     let text = read::text(value, report)?;
     named_header(&text.value, text.span, report)
@@ -40,7 +41,8 @@
     Some(Located::new(name, span))
 }
 
-/// Parses the headers that a request must have: each with its value, or `None` for any.
+/// Parses the headers that a request must have, each with its value or `None` for any value. Invalid ones are
+/// reported and left out.
 pub(super) fn headers(value: Value, report: &mut Report) -> Vec<Located<(HeaderName, Option<HeaderValue>)>> {
     let DeValue::Table(table) = value.get_ref() else {
         let _ = read::table(value, "headers", report);
--- a/crates/route-config/src/parse/mod.rs
+++ b/crates/route-config/src/parse/mod.rs
@@ -1,6 +1,6 @@
-//! From text to the model: which keys there are, and the type of each. Checks each value by itself; `check` does so for
-//! values together. One module for each part of the file: [`node`], [`cluster`], [`class`], [`route`], and the
-//! [`request_settings`] that classes, routes and defaults share.
+//! Parses the text of a file to the model: defines the keys and their types. Each value is checked by itself;
+//! `check` checks values against each other. There is a module for each part of the file: [`node`],
+//! [`cluster`], [`class`], [`route`], and the [`request_settings`] that classes, routes and defaults share.
 
 mod class;
 mod cluster;
@@ -14,10 +14,11 @@
 use crate::read::{self, Section, Value};
 use toml::de::DeTable;
 
-/// The maximum size of a file in bytes: some 30,000 routes. Limits the memory and the time of a reload.
+/// The maximum size of a file in bytes, which is enough for about 30,000 routes. Limits the memory and the
+/// time that a reload takes.
 pub const MAX_FILE_SIZE: usize = 8 << 20;
 
-/// Converts the bytes of a file to text.
+/// Converts the bytes of a file to text, if they are UTF-8 and not too many.
 pub fn text(bytes: &[u8]) -> Result<&str, Diagnostic> {
     if bytes.len() > MAX_FILE_SIZE {
         let message = format!("the file has {} bytes, and the maximum is {MAX_FILE_SIZE}", bytes.len());
@@ -31,7 +32,7 @@
     })
 }
 
-/// Parses a file. Values that can't be parsed are in the report, and left out.
+/// Parses a file. Values that can't be parsed are reported and left out.
 pub fn file(text: &str, report: &mut Report) -> File {
     let (document, errors) = DeTable::parse_recoverable(text);
     for e in &errors {
@@ -44,7 +45,7 @@
         ));
     }
     if !errors.is_empty() {
-        // Values of a text with syntax errors would be reported as missing.
+        // After a syntax error, values that the TOML parser skipped would be reported as missing.
         return File::default();
     }
     let mut root = Section::new(document.get_ref(), 0..0, "the file");
@@ -60,21 +61,21 @@
         forwarding: forwarding.map(|section| node::forwarding(section, report)).unwrap_or_default(),
         trace: trace.and_then(|section| node::trace(section, report)),
         node: node.map(|section| node::node(section, report)).unwrap_or_default(),
-        listeners: each(root.get("listener"), "[listener]", report, node::listener),
+        listeners: parse_tables(root.get("listener"), "[listener]", report, node::listener),
         defaults: defaults
             .map(|section| request_settings::only_request_settings(section, report))
             .unwrap_or_default(),
-        clusters: each(root.get("cluster"), "[cluster]", report, cluster::cluster),
-        classes: each(root.get("class"), "[class]", report, class::class),
-        tenants: each(root.get("tenant"), "[tenant]", report, class::tenant),
-        routes: each(root.get("route"), "[route]", report, route::route),
+        clusters: parse_tables(root.get("cluster"), "[cluster]", report, cluster::cluster),
+        classes: parse_tables(root.get("class"), "[class]", report, class::class),
+        tenants: parse_tables(root.get("tenant"), "[tenant]", report, class::tenant),
+        routes: parse_tables(root.get("route"), "[route]", report, route::route),
     };
     root.finish(report);
     file
 }
 
-/// The position of an error that the TOML parser puts between two characters: the one behind it, else the one before, so
-/// that there is something to show.
+/// The position to show for a syntax error. If the TOML parser reports an empty span between two characters,
+/// that is the character after it, or else the last one before it, so that there is something to underline.
 fn shown_span(text: &str, span: Span) -> Span {
     if !span.is_empty() {
         return span;
@@ -89,8 +90,8 @@
     }
 }
 
-/// Parses each table of a list; those that can't be parsed are left out.
-fn each<'t, T>(
+/// Parses each table of an array; those that can't be parsed are left out.
+fn parse_tables<'t, T>(
     value: Option<Value<'t>>,
     name: &str,
     report: &mut Report,
@@ -100,12 +101,12 @@
     sections.into_iter().filter_map(|section| read(section, report)).collect()
 }
 
-/// The same number in a narrower type; `None` where it does not fit.
+/// Converts a number to a narrower type; `None` if it does not fit.
 fn narrow<T: TryFrom<u64>>(at: Located<u64>) -> Option<Located<T>> {
     Some(Located::new(T::try_from(at.value).ok()?, at.span))
 }
 
-/// Parses a whole number within a range into the type that the model has.
+/// Parses an integer within an inclusive range to the type of the model.
 fn count<T: TryFrom<u64>>(value: Value, range: (u64, u64), report: &mut Report) -> Option<Located<T>> {
     read::count(value, range, report).and_then(narrow)
 }
--- a/crates/route-config/src/parse/node.rs
+++ b/crates/route-config/src/parse/node.rs
@@ -1,4 +1,5 @@
-//! Parses what concerns the node: `[node]`, `[log]`, `[admin]`, `[forwarding]`, `[trace]` and the listeners.
+//! Parses the tables that concern the node itself: `[node]`, `[log]`, `[admin]`, `[forwarding]`, `[trace]`
+//! and `[[listener]]`.
 
 use super::count;
 use super::header::header_name;
@@ -13,14 +14,14 @@
 
 /// Parses `[node]`.
 pub(super) fn node(mut s: Section, report: &mut Report) -> Node {
-    let most = u64::from(u32::MAX);
+    let max = u64::from(u32::MAX);
     let node = Node {
         name: s.get("name").and_then(|v| read::name(v, report)),
         zone: s.get("zone").and_then(|v| read::name(v, report)),
         nodes: s.get("nodes").and_then(|v| count(v, (1, 10_000), report)),
         number: s.get("number").and_then(|v| count(v, (0, 9_999), report)),
         seed: s.get("seed").and_then(|v| count(v, (0, i64::MAX as u64), report)),
-        max_sockets: s.get("sockets").and_then(|v| count(v, (64, most), report)),
+        max_sockets: s.get("sockets").and_then(|v| count(v, (64, max), report)),
         max_memory: s.get("memory").and_then(|v| read::bytes(v, (32 << 20, 1 << 40), report)),
         tenant_header: s.get("tenant-header").and_then(|v| header_name(v, report)),
         encoded_slash: s.get("encoded-slash").and_then(|v| {
@@ -41,19 +42,19 @@
 /// Parses `[log]`.
 pub(super) fn log(mut s: Section, report: &mut Report) -> Log {
     let words = [("text", LogFormat::Text), ("json", LogFormat::Json)];
-    let usual = Log::default();
+    let default = Log::default();
     let format = s.get("format").and_then(|v| read::choice(v, &words, report));
     let exchanges = s.get("exchanges").and_then(|v| read::share(v, report));
     let queue = s.get("queue").and_then(|v| count::<u32>(v, (1, 10_000_000), report));
     s.finish(report);
     Log {
-        format: format.map_or(usual.format, |format| format.value),
-        exchanges: exchanges.map_or(usual.exchanges, |share| share.value),
-        queue: queue.map_or(usual.queue, |queue| queue.value as usize),
+        format: format.map_or(default.format, |format| format.value),
+        exchanges: exchanges.map_or(default.exchanges, |share| share.value),
+        queue: queue.map_or(default.queue, |queue| queue.value as usize),
     }
 }
 
-/// Parses `[admin]`: the address where metrics are served.
+/// Parses `[admin]`; `None` without a valid address.
 pub(super) fn admin(mut s: Section, report: &mut Report) -> Option<Located<SocketAddr>> {
     let address = s.required("address", "\"127.0.0.1:9100\"", report).and_then(|v| read::address(v, report));
     s.finish(report);
@@ -80,7 +81,7 @@
     ForwardingRule { write, trusted, via_name }
 }
 
-/// An address or a network.
+/// Parses an IP address or a network.
 fn net(value: Value, report: &mut Report) -> Option<Located<IpNet>> {
     let text = read::text(value, report)?;
     let net = text.value.parse::<IpNet>().ok();
@@ -95,12 +96,12 @@
     }
 }
 
-/// The queue of a trace where the file does not set it: a second of a high rate.
+/// The length of the trace queue if the file does not set it: one second of requests at a high rate.
 const DEFAULT_TRACE_QUEUE: usize = 10_000;
-/// The maximum size of a trace where the file does not set it.
+/// The maximum size of a trace in bytes if the file does not set it.
 const DEFAULT_TRACE_SIZE: u64 = 256 << 20;
 
-/// Parses `[trace]`; `None` without a file to write to.
+/// Parses `[trace]`; `None` without a valid path to write to.
 pub(super) fn trace(mut s: Section, report: &mut Report) -> Option<Trace> {
     let file = s.required("file", "\"/var/tmp/trace.jsonl\"", report).and_then(|v| read::text(v, report));
     let queue = s.get("queue").and_then(|v| count::<u32>(v, (1, 10_000_000), report));
--- a/crates/route-config/src/parse/request_settings.rs
+++ b/crates/route-config/src/parse/request_settings.rs
@@ -1,4 +1,5 @@
-//! Parses the settings that defaults, classes and routes may have: times, attempts, hedging, queues, fallbacks.
+//! Parses the settings that defaults, classes and routes may have: timeouts, attempts, hedging, queues,
+//! fallbacks.
 
 use super::count;
 use crate::diagnostic::{Code, Diagnostic, Report};
@@ -8,17 +9,17 @@
 use http::{HeaderValue, Method};
 use join_up_to::{Backoff, MAX_DURATION, RetryBudget, RetryOn};
 
-/// The maximum number of attempts of a request. More would be a retry storm, whatever the times.
+/// The maximum number of attempts of a request. More would be a retry storm, whatever the timeouts.
 const MAX_ATTEMPTS: u64 = 16;
 
-/// Parses a table that has request settings and nothing else.
+/// Parses a table that has only request settings.
 pub(super) fn only_request_settings(mut s: Section, report: &mut Report) -> RequestSettings {
     let settings = request_settings(&mut s, report);
     s.finish(report);
     settings
 }
 
-/// Parses the request settings of a section, and leaves its other keys.
+/// Parses the request settings of a section; its other keys are left to the caller.
 pub(super) fn request_settings(s: &mut Section, report: &mut Report) -> RequestSettings {
     let most = u64::from(u32::MAX);
     RequestSettings {
@@ -60,7 +61,7 @@
     let mut protocols = Vec::new();
     for item in to? {
         let name = read::text(item, report)?;
-        // A token of RFC 9110, by the form of a method, which is one.
+        // A protocol name is a token (RFC 9110), and so is a method.
         if Method::from_bytes(name.value.as_bytes()).is_err() {
             let message = format!("{:?} is not a valid protocol name", name.value);
             report.push(Diagnostic::new(
@@ -77,10 +78,10 @@
     Some(UpgradeRule { to: protocols, idle })
 }
 
-/// The maximum size of a body that is buffered for a retry. Protects the memory from a single request.
+/// The maximum of `replay`, in bytes. Limits the memory that a single request can take.
 const MAX_REPLAY: u64 = 64 << 20;
 
-/// The maximum size of a fallback's body: a notice, not a page.
+/// The maximum size of a fallback's body in bytes: enough for a notice, not for a page.
 const MAX_FALLBACK_BODY: usize = 16 << 10;
 
 fn fallback(value: Value, report: &mut Report) -> Option<Fallback> {
@@ -149,10 +150,11 @@
     Some(HedgingRule { delay: delay?.value, max_per_request, max_fraction })
 }
 
-/// Hedged requests as a fraction of all, where the file does not set it: the tail, and little more load.
+/// The maximum fraction of hedged requests if the file does not set it: covers the slowest 5% of requests, at
+/// little additional load.
 const DEFAULT_HEDGE_FRACTION: f64 = 0.05;
 
-/// Parses a retry budget: a fraction of first attempts, and a floor per second.
+/// Parses a retry budget: a fraction of first attempts, and a minimum number of retries per second.
 pub(super) fn budget(value: Value, key: &str, report: &mut Report) -> Option<Located<RetryBudget>> {
     let mut s = read::table(value, key, report)?;
     let share = s.required("share", "0.2", report).and_then(|v| read::share(v, report));
@@ -181,7 +183,7 @@
         report.push(Diagnostic::new(Code::NumberOutOfRange, rate.span, message, "remove the route instead"));
         return None;
     }
-    // The requests of a second, and at least one.
+    // The default burst is the requests of one second, and at least one.
     let burst = burst.map_or(Some(rate.value.max(1.0)), |burst| Some(burst?.value))?;
     Some(TenantRate { per_s: rate.value, burst })
 }
--- a/crates/route-config/src/parse/route.rs
+++ b/crates/route-config/src/parse/route.rs
@@ -1,4 +1,4 @@
-//! Parses routes: the conditions that a request must meet, and where it goes then.
+//! Parses routes: their conditions, class, cluster and settings.
 
 use super::header::headers;
 use super::request_settings::request_settings;
@@ -26,10 +26,10 @@
     Some(Route { span, name, host, methods, path, headers, class, cluster, rewrite, key, subject, settings })
 }
 
-/// A variant of [`PathRule`].
+/// The constructor of a variant of [`PathRule`].
 type PathRuleKind = fn(String) -> PathRule;
 
-/// Parses the path of a route, which is set by exactly one of three keys.
+/// Parses the path of a route, which must be set by exactly one of three keys.
 fn path_rule(section: &mut Section, report: &mut Report) -> Option<Located<PathRule>> {
     let mut path = None;
     let rules: [(&'static str, PathRuleKind); 3] =
--- a/crates/route-config/src/plan/clusters.rs
+++ b/crates/route-config/src/plan/clusters.rs
@@ -1,4 +1,4 @@
-//! Compiles clusters: the settings of their balancers, and their backends.
+//! Compiles clusters: their backends and the settings of their balancers.
 
 use super::gate::gate_settings;
 use super::routes::ClusterClass;
@@ -11,20 +11,22 @@
 };
 use std::time::Duration;
 
-/// How long a backend keeps an idle connection where the file does not set it; the node closes it after half of that.
-const IDLE_CLOSE: Duration = Duration::from_secs(15);
+/// The time after which a backend closes an idle connection, if the file does not set it; the node closes it
+/// after half of that.
+const DEFAULT_IDLE_CLOSE: Duration = Duration::from_secs(15);
 
-/// Numbers of names, in alphabetical order, so that a backend more or less in the file changes as few as possible.
-struct Names(Vec<String>);
+/// Numbers names in alphabetical order, so that adding or removing a backend changes as few numbers as
+/// possible.
+struct NameNumbers(Vec<String>);
 
-impl Names {
+impl NameNumbers {
     fn of<'n>(names: impl Iterator<Item = &'n Option<Located<String>>>) -> Self {
         let mut names: Vec<_> = names.flatten().map(|name| name.value.clone()).collect();
         names.sort();
         names.dedup();
-        Names(names)
+        NameNumbers(names)
     }
-    /// The number of a name; no name has a number of its own.
+    /// The number of a name; `None` has the number after the last name.
     fn number(&self, name: Option<&Located<String>>) -> u8 {
         let known = name.and_then(|name| self.0.iter().position(|known| *known == name.value));
         u8::try_from(known.unwrap_or(self.0.len())).unwrap_or(u8::MAX)
@@ -34,8 +36,8 @@
 /// Compiles the clusters of a file.
 pub(super) struct ClusterCompiler<'f> {
     file: &'f File,
-    zones: Names,
-    kinds: Names,
+    zones: NameNumbers,
+    kinds: NameNumbers,
     defaults: Settings,
 }
 
@@ -44,8 +46,8 @@
         let backends = || file.clusters.iter().flat_map(|cluster| &cluster.backends);
         ClusterCompiler {
             file,
-            zones: Names::of(backends().map(|backend| &backend.zone)),
-            kinds: Names::of(backends().map(|backend| &backend.kind)),
+            zones: NameNumbers::of(backends().map(|backend| &backend.zone)),
+            kinds: NameNumbers::of(backends().map(|backend| &backend.kind)),
             defaults: Settings::default(),
         }
     }
@@ -59,7 +61,7 @@
             settings: self.balancer_settings(cluster, classes),
             gate,
             backends: cluster.backends.iter().map(|backend| self.backend(backend)).collect(),
-            idle_close: cluster.idle_close.as_ref().map_or(IDLE_CLOSE, |time| time.value),
+            idle_close: cluster.idle_close.as_ref().map_or(DEFAULT_IDLE_CLOSE, |time| time.value),
             new_backends_warm_up: cluster.warm_up.is_some(),
         }
     }
@@ -92,7 +94,7 @@
             nodes: file.node_count(),
             node: file.node.number.as_ref().map_or(0, |number| number.value),
             zone: self.zones.number(file.node.zone.as_ref()),
-            // A cluster without routes gets no requests; it has a class all the same.
+            // A cluster without routes gets no requests, but the balancer's settings need at least one class.
             classes: if classes.is_empty() { defaults.classes.clone() } else { classes },
             tenants: tenants.collect(),
             over_share_value: 1.0,
--- a/crates/route-config/src/plan/compilation.rs
+++ b/crates/route-config/src/plan/compilation.rs
@@ -1,4 +1,4 @@
-//! Compiles a valid file.
+//! Compiles a valid file to a plan.
 
 use super::Plan;
 use super::clusters::ClusterCompiler;
@@ -12,16 +12,17 @@
 use http_forwarding::forward::Forwarding;
 use http_forwarding::framing::LineEndings;
 
-/// File descriptors of a node whose file does not set them.
+/// The maximum number of file descriptors if the file does not set it.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Memory of a node whose file does not set it: that of the platform's.
+/// The maximum memory in bytes if the file does not set it: the same as for nodes that the platform
+/// configures.
 const DEFAULT_MEMORY: u64 = 192 << 20;
-/// The header that names the tenant where the file does not set it.
-const TENANT_HEADER: HeaderName = HeaderName::from_static("x-account");
-/// The name of a node without one.
+/// The header that names the tenant if the file does not set it.
+const DEFAULT_TENANT_HEADER: HeaderName = HeaderName::from_static("x-account");
+/// The node's name if the file does not set it.
 const DEFAULT_NAME: &str = "marlwinch";
 
-/// Compiles a file whose report is empty.
+/// Compiles a file that was checked without errors.
 pub fn compile(file: &File, checked: Vec<CheckedRoute>) -> Plan {
     let mut compiler = RouteCompiler::new(file);
     let mut conditions = Vec::with_capacity(checked.len());
@@ -42,7 +43,10 @@
         max_sockets: node.max_sockets.as_ref().map_or(DEFAULT_SOCKETS, |n| n.value as usize),
         max_memory: node.max_memory.as_ref().map_or(DEFAULT_MEMORY, |n| n.value),
         encoded_slash: node.encoded_slash.as_ref().map_or(EncodedSlash::Reject, |slash| slash.value),
-        tenant_header: node.tenant_header.as_ref().map_or(TENANT_HEADER, |header| header.value.clone()),
+        tenant_header: node
+            .tenant_header
+            .as_ref()
+            .map_or(DEFAULT_TENANT_HEADER, |header| header.value.clone()),
         tenants: file.tenants.iter().map(|tenant| tenant.name.value.clone()).collect(),
         retry_budget: node.retry_budget.as_ref().map_or(built_in::NODE_RETRY_BUDGET, |budget| budget.value),
         forwarding: forwarding(file),
@@ -59,17 +63,18 @@
     }
 }
 
-/// The fields that tell backends of clients. The default is what backends behind a proxy usually expect.
+/// The header fields that inform backends about the client. By default, those that backends behind a proxy
+/// usually expect.
 fn forwarding(file: &File) -> Forwarding {
     let rule = &file.forwarding;
-    let usual = [ForwardedField::XForwarded, ForwardedField::Via];
-    let write = rule.write.as_ref().map_or(&usual[..], |write| &write.value);
+    let default = [ForwardedField::XForwarded, ForwardedField::Via];
+    let write = rule.write.as_ref().map_or(&default[..], |write| &write.value);
     let name = rule.via_name.as_ref().or(file.node.name.as_ref());
     let name = name.map_or(DEFAULT_NAME, |name| &name.value);
     Forwarding {
         x_forwarded: write.contains(&ForwardedField::XForwarded),
         forwarded: write.contains(&ForwardedField::Forwarded),
-        // A name has only letters, digits and marks that are valid in a header.
+        // A name has only letters, digits, `.`, `_` and `-`, so it is always a valid header value.
         via: HeaderValue::from_str(name).ok().filter(|_| write.contains(&ForwardedField::Via)),
         trusted: rule.trusted.iter().map(|net| net.value).collect(),
     }
--- a/crates/route-config/src/plan/gate.rs
+++ b/crates/route-config/src/plan/gate.rs
@@ -1,4 +1,5 @@
-//! The settings of a cluster's gate: limits of backends, shares of classes and tenants, brownout.
+//! Compiles the settings of a cluster's admission gate: limits of backends, priorities of classes, shares of
+//! tenants, brownout.
 
 use super::routes::ClusterClass;
 use crate::model::{BrownoutRule, BrownoutRuleAction, Cluster, File, LimitRule};
@@ -10,8 +11,8 @@
 use admission_control::limit::LimitBounds;
 use std::time::Duration;
 
-/// The settings of a cluster's gate. Allowances and limits are for all nodes together, of which each takes its part; a
-/// limit that adapts starts there and finds its own.
+/// The settings of a cluster's admission gate. Guaranteed rates and limits are for all nodes together, so
+/// each node takes an equal part; an adaptive limit only starts at that part.
 pub(super) fn gate_settings(file: &File, cluster: &Cluster, classes: &[ClusterClass]) -> GateSettings {
     let nodes = f64::from(file.node_count());
     let rule = cluster.limit.as_ref().map_or(Some(built_in::LIMIT), |limit| limit.value);
@@ -35,8 +36,8 @@
 fn limit_bounds(rule: LimitRule, nodes: f64) -> LimitBounds {
     match rule {
         LimitRule::Fixed(fixed) => {
-            let part = (fixed / nodes).max(1.0);
-            LimitBounds { initial: part, min: 1.0, max: part, is_adaptive: false, nodes }
+            let per_node = (fixed / nodes).max(1.0);
+            LimitBounds { initial: per_node, min: 1.0, max: per_node, is_adaptive: false, nodes }
         }
         LimitRule::Adaptive { initial, min, max } => {
             LimitBounds { initial: (initial / nodes).max(min), min, max, is_adaptive: true, nodes }
@@ -63,8 +64,8 @@
     }
 }
 
-/// Brownout where the file does not set it: hedging is switched off first, as its work may not be needed, then retries
-/// after an attempt that may have been executed.
+/// The built-in brownout rules: hedging is switched off first, as it is optional work, then retries after an
+/// attempt that may have been executed.
 fn built_in_brownout() -> Vec<BrownoutStep> {
     let step = |threshold, release_threshold, hold_s, action| BrownoutStep {
         threshold,
--- a/crates/route-config/src/plan/mod.rs
+++ b/crates/route-config/src/plan/mod.rs
@@ -1,5 +1,5 @@
-//! The compiled form of a valid file: the settings of a balancer for each cluster, the table of routes, the limits.
-//! Decides nothing more: errors of the file were found before.
+//! The compiled form of a valid file: the settings of each cluster's balancer, the routing table and the
+//! limits. Compiling can't fail, as all errors of the file were found before.
 
 mod clusters;
 mod compilation;
@@ -25,58 +25,58 @@
 pub struct Plan {
     /// The node's name.
     pub name: String,
-    /// The seed of random numbers; `None` for another one at each start.
+    /// The seed of the random number generator; `None` for a different one at each start.
     pub seed: Option<u64>,
     /// The maximum number of file descriptors of the node.
     pub max_sockets: usize,
     /// The maximum memory for connections and requests in flight, in bytes.
     pub max_memory: u64,
-    /// Whether `%2F` in a path is kept, or such a request rejected.
+    /// Whether a request with `%2F` in its path is forwarded unchanged or rejected.
     pub encoded_slash: EncodedSlash,
-    /// The header that names the tenant.
+    /// The request header that names the tenant.
     pub tenant_header: HeaderName,
-    /// The tenants by name; empty where requests have no tenant.
+    /// The names of the tenants; empty if the file has none.
     pub tenants: Vec<String>,
-    /// The budget of retries over all clusters.
+    /// The retry budget over all clusters.
     pub retry_budget: RetryBudget,
-    /// The fields that tell backends of clients.
+    /// The header fields that inform backends about the client.
     pub forwarding: Forwarding,
-    /// How strictly line endings of heads are checked.
+    /// Whether heads with lines that end in LF alone are accepted.
     pub line_endings: LineEndings,
-    /// How long responses in progress go on after a shutdown began; `None` for no limit.
+    /// How long responses in progress may continue after a shutdown has begun; `None` for no limit.
     pub stream_end: Option<Duration>,
-    /// The format of the log, and which exchanges are logged.
+    /// The format of the log, and the fraction of exchanges that is logged.
     pub log: Log,
-    /// Where metrics are served.
+    /// The address where metrics are served; `None` to serve none.
     pub admin: Option<SocketAddr>,
-    /// Where accepted requests are recorded.
+    /// Where accepted requests are recorded; `None` to record none.
     pub trace: Option<Trace>,
-    /// Where to listen.
+    /// The addresses to listen on.
     pub listeners: Vec<SocketAddr>,
     /// The clusters.
     pub clusters: Vec<ClusterPlan>,
-    /// Finds a request's route.
+    /// The routing table. Its routes have the same indices as `routes`.
     pub table: RouteTable,
-    /// The routes, by the numbers in the table.
+    /// The routes, by their index in the table.
     pub routes: Vec<RoutePlan>,
-    /// The limits, by their numbers in routes.
+    /// The limits, by [`RoutePlan::limit`].
     pub limits: Vec<Limit>,
 }
 
-/// A cluster.
+/// A compiled cluster.
 #[derive(Debug)]
 pub struct ClusterPlan {
     /// Its name.
     pub name: String,
     /// The settings of its balancer.
     pub settings: Settings,
-    /// The settings of its gate.
+    /// The settings of its admission gate.
     pub gate: admission_control::GateSettings,
     /// Its backends.
     pub backends: Vec<BackendPlan>,
-    /// How long a backend keeps an idle connection.
+    /// The time after which a backend closes an idle connection.
     pub idle_close: Duration,
-    /// Whether a backend that is added later counts as just started.
+    /// Whether a newly added backend is assumed to have just started, and so to need warming up.
     pub new_backends_warm_up: bool,
 }
 
@@ -85,61 +85,62 @@
 pub struct BackendPlan {
     /// Its name.
     pub name: String,
-    /// Its entry of the list.
+    /// Its entry in the balancer's list of servers.
     pub entry: ServerEntry,
-    /// Where it listens.
+    /// The address where it listens.
     pub address: SocketAddr,
 }
 
-/// Where the key of a keyed request is.
+/// Where the idempotency key of a keyed request is found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeySource {
-    /// In this header, which is forwarded unchanged.
+    /// In this header, which is also forwarded unchanged.
     Header(HeaderName),
-    /// In the capture of the path with this number.
+    /// In the capture of the path with this index.
     Capture(usize),
 }
 
 /// A piece of a rewritten path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PathPiece {
-    /// This text.
+    /// Literal text.
     Text(String),
-    /// The text of the capture with this number.
+    /// The text of the capture with this index.
     Capture(usize),
 }
 
-/// A route.
+/// A compiled route.
 #[derive(Debug)]
 pub struct RoutePlan {
-    /// Its name, or one made of its conditions.
+    /// Its name, or one that is made of its conditions if the file does not set it.
     pub name: String,
     /// The name of its class.
     pub class_name: String,
-    /// The number of its cluster.
+    /// The index of its cluster.
     pub cluster: usize,
-    /// The class of its requests, by its number in the cluster's settings.
+    /// The index of the class of its requests in the cluster's settings.
     pub class: usize,
-    /// How far its requests may be repeated.
+    /// Whether and where its requests may be repeated.
     pub repeat: Repeat,
-    /// The number of its limits.
+    /// The index of its limits.
     pub limit: usize,
-    /// Where the key of its requests is, if they are keyed.
+    /// Where the idempotency key of its requests is found; `None` if they are not keyed.
     pub key: Option<KeySource>,
-    /// The number of the capture that identifies what a request is about.
+    /// The index of the capture that identifies the resource that a request concerns.
     pub subject: Option<usize>,
-    /// The path that is forwarded, if not the one that arrived.
+    /// The path that is forwarded; `None` for the requested one.
     pub rewrite: Option<Vec<PathPiece>>,
-    /// The settings of its requests.
+    /// The settings of its requests, after inheritance.
     pub settings: ResolvedSettings,
-    /// Its number in the file.
+    /// Its index in the file.
     pub route_in_file: usize,
-    /// The number of its class in the file.
+    /// The index of its class in the file.
     pub class_in_file: usize,
 }
 
 impl RoutePlan {
-    /// The path that is forwarded for a normalized one; `None` if that is the same.
+    /// The path that is forwarded for a normalized path and its captures; `None` if the route does not
+    /// rewrite it.
     pub fn forwarded_path(&self, path: &str, captures: &Captures) -> Option<String> {
         let pieces = self.rewrite.as_ref()?;
         let text = |piece: &PathPiece| match piece {
--- a/crates/route-config/src/plan/routes.rs
+++ b/crates/route-config/src/plan/routes.rs
@@ -1,4 +1,4 @@
-//! Compiles routes, and the classes and limits that they share.
+//! Compiles routes, and the classes and limits that they refer to.
 
 use super::{KeySource, PathPiece, RoutePlan};
 use crate::admission::Limit;
@@ -10,25 +10,25 @@
 use join_up_to::{AttemptPolicy, Hedging, Repeat};
 use std::collections::HashMap;
 
-/// A class of a cluster: one of the file, or that of a route with settings of its own.
+/// A class of a cluster: one of the file, or one made for a route that overrides settings.
 pub(super) struct ClusterClass {
-    /// The number of its class in the file.
+    /// The index of its class in the file.
     pub(super) class_in_file: usize,
-    /// For the balancer.
+    /// The class as the balancer sees it.
     pub(super) class: join_up_to::Class,
-    /// For the gate.
+    /// The class as the admission gate sees it.
     pub(super) gate: ClassSettings,
 }
 
-/// Compiles routes one by one.
+/// Compiles routes one by one, and collects their classes and limits.
 pub(super) struct RouteCompiler<'f> {
     file: &'f File,
-    /// The settings of each class of the file.
+    /// The resolved settings of each class of the file.
     class_settings: Vec<ResolvedSettings>,
     /// The classes of each cluster.
     classes: Vec<Vec<ClusterClass>>,
     limits: Vec<Limit>,
-    // There may be as many names as routes.
+    // Maps instead of searches, as there may be as many names as routes.
     class_numbers: HashMap<(usize, String), usize>,
     limit_numbers: HashMap<String, usize>,
 }
@@ -51,10 +51,11 @@
         let route = &self.file.routes[checked.number];
         let class = &self.file.classes[checked.class];
         let route_name = route_name(route);
-        // A route without settings of its own shares its class's budgets and limits; one with some has its own.
-        let has_own = checked.settings != self.class_settings[checked.class];
+        // A route whose settings equal those of its class shares the budgets and limits of the class; any
+        // other has its own.
+        let overrides_class = checked.settings != self.class_settings[checked.class];
         let class_name = &class.name.value;
-        let name = if has_own { format!("{class_name} at {route_name}") } else { class_name.clone() };
+        let name = if overrides_class { format!("{class_name} at {route_name}") } else { class_name.clone() };
         let class_number = self.class_number(&checked, class, &name);
         let limit = self.limit_number(&checked, name);
         let captures: Vec<_> = checked.condition.pattern.captures().map(String::from).collect();
@@ -81,7 +82,7 @@
         (self.limits, self.classes)
     }
 
-    /// The number in its cluster of a route's class, which has this name.
+    /// The index of the class with this name in the route's cluster; the class is added if it is new.
     fn class_number(&mut self, checked: &CheckedRoute, class: &Class, name: &str) -> usize {
         let classes = &mut self.classes[checked.cluster];
         *self.class_numbers.entry((checked.cluster, name.to_string())).or_insert_with(|| {
@@ -94,7 +95,7 @@
         })
     }
 
-    /// The number of the limits with this name.
+    /// The index of the limit with this name; the limit is added if it is new.
     fn limit_number(&mut self, checked: &CheckedRoute, name: String) -> usize {
         let (file, limits) = (self.file, &mut self.limits);
         *self.limit_numbers.entry(name.clone()).or_insert_with(|| {
@@ -104,14 +105,15 @@
     }
 }
 
-/// Where the key of a route's requests is, if its class is keyed.
+/// Where the key of a route's requests is found, if its class is keyed. A capture takes precedence over a
+/// header.
 fn key_source(route: &Route, class: &Class, capture: impl Fn(&str) -> Option<usize>) -> Option<KeySource> {
     let Repeat::Keyed { .. } = class.repeat.value else { return None };
     let from_path = route.key.as_ref().and_then(|key| capture(&key.value).map(KeySource::Capture));
     from_path.or_else(|| class.key_header.as_ref().map(|header| KeySource::Header(header.value.clone())))
 }
 
-/// A route's name for logs and limits: its own, or one made of its conditions.
+/// A route's name for logs and limits: the one in the file, or one made of its conditions.
 fn route_name(route: &Route) -> String {
     if let Some(name) = &route.name {
         return name.value.clone();
@@ -123,7 +125,7 @@
     };
     let host = route.host.as_ref().map_or("", |host| &host.value);
     let mut name = format!("{host}{path}");
-    // Routes that differ in methods or headers alone must not share limits of their own.
+    // Routes that differ only in methods or headers need different names, as limits are identified by name.
     for method in route.methods.iter().flat_map(|methods| &methods.value) {
         name = format!("{method} {name}");
     }
@@ -134,7 +136,7 @@
     name
 }
 
-/// A class for the balancer.
+/// The class of a route for the balancer.
 fn balancer_class(repeat: Repeat, settings: &ResolvedSettings) -> join_up_to::Class {
     join_up_to::Class {
         latency_target: settings.latency_target.value.unwrap_or(settings.timeout.value),
@@ -163,7 +165,7 @@
     }
 }
 
-/// A class for the gate.
+/// The class of a route for the admission gate.
 fn gate_class(name: String, settings: &ResolvedSettings) -> ClassSettings {
     ClassSettings {
         name,
@@ -173,9 +175,9 @@
     }
 }
 
-/// The limits at this node. The rate of a tenant is for all nodes together, of which each takes its part.
+/// The limits at one node. The rate of a tenant is for all nodes together, so each node takes an equal part.
 fn limit(name: String, settings: &ResolvedSettings, nodes: u32) -> Limit {
-    let part = |rate: TenantRate| TenantRate {
+    let per_node = |rate: TenantRate| TenantRate {
         per_s: rate.per_s / f64::from(nodes),
         burst: (rate.burst / f64::from(nodes)).max(1.0),
     };
@@ -183,12 +185,12 @@
         name,
         max_in_flight: settings.max_in_flight.value,
         queue: settings.queue.value,
-        tenant_rate: settings.tenant_rate.value.map(part),
+        tenant_rate: settings.tenant_rate.value.map(per_node),
         retry_after: settings.retry_after.value,
     }
 }
 
-/// The pieces of a rewritten path with captures in braces.
+/// Splits a rewrite into literal text and captures.
 fn path_pieces(text: &str, captures: &[String]) -> Vec<PathPiece> {
     let mut pieces = Vec::new();
     let mut rest = text;
--- a/crates/route-config/src/read.rs
+++ b/crates/route-config/src/read.rs
@@ -1,5 +1,5 @@
-//! Parses values of TOML tables: each with its position; errors, also unknown keys, are added to the report. Knows no key
-//! of the file.
+//! Parses values of TOML tables, each with its position. Errors, unknown keys included, are added to the
+//! report. Which keys there are is up to the caller.
 
 use crate::diagnostic::{Code, Diagnostic, Report};
 use crate::model::{Located, Span};
@@ -12,20 +12,21 @@
 /// The minimum similarity of a word to a known one to be suggested.
 const MIN_SIMILARITY: f64 = 0.7;
 
-/// A table that is being parsed. Keys that were not read are unknown ones.
+/// A table that is being parsed. Keys that were not read by the time of [`Section::finish`] are reported as
+/// unknown.
 pub struct Section<'t> {
     table: &'t DeTable<'t>,
     /// The position of the table.
     pub span: Span,
-    /// Its name in messages.
+    /// The name of the table in messages.
     pub name: String,
     known: Vec<&'static str>,
 }
 
-/// A value of the file.
+/// A TOML value with its position.
 pub type Value<'t> = &'t Spanned<DeValue<'t>>;
 
-/// The type of a value in a message.
+/// The name of a value's type in messages.
 fn type_of(value: &DeValue) -> &'static str {
     match value {
         DeValue::String(_) => "a string",
@@ -38,25 +39,25 @@
     }
 }
 
-/// The known word that is most similar to a word, if one is similar at all.
+/// The known word that is most similar to a word; `None` if none is similar enough to be suggested.
 pub fn closest_word<'k>(word: &str, known: impl IntoIterator<Item = &'k str>) -> Option<&'k str> {
     let scored = known.into_iter().map(|k| (strsim::jaro_winkler(word, k), k));
     scored.filter(|(score, _)| *score > MIN_SIMILARITY).max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, k)| k)
 }
 
 impl<'t> Section<'t> {
-    /// Begins to parse a table.
+    /// Starts parsing a table; `name` is its name in messages.
     pub fn new(table: &'t DeTable<'t>, span: Span, name: impl Into<String>) -> Self {
         Section { table, span, name: name.into(), known: Vec::new() }
     }
 
-    /// The value of a key, if it is present.
+    /// The value of an optional key; `None` if it is absent.
     pub fn get(&mut self, key: &'static str) -> Option<Value<'t>> {
         self.known.push(key);
         self.table.get(key)
     }
 
-    /// The value of a required key.
+    /// The value of a required key; if it is absent, that is reported with an example value.
     pub fn required(&mut self, key: &'static str, example: &str, report: &mut Report) -> Option<Value<'t>> {
         let value = self.get(key);
         if value.is_none() {
@@ -67,7 +68,7 @@
         value
     }
 
-    /// Ends the parsing: every key that was not read is an error.
+    /// Finishes the table: reports every key that was not read as unknown.
     pub fn finish(self, report: &mut Report) {
         for key in self.table.keys().filter(|key| !self.known.contains(&key.get_ref().as_ref())) {
             let help = match closest_word(key.get_ref(), self.known.iter().copied()) {
@@ -80,13 +81,13 @@
     }
 }
 
-/// A list of words, for a message.
+/// Formats words as a list for a message, each in backticks.
 pub fn list(words: &[&str]) -> String {
     let quoted: Vec<_> = words.iter().map(|word| format!("`{word}`")).collect();
     quoted.join(", ")
 }
 
-/// Reports a value of the wrong type.
+/// Reports a value of the wrong type; always returns `None`.
 fn wrong_type<T>(value: Value, wanted: &str, report: &mut Report) -> Option<T> {
     let message = format!("expected {wanted}, found {}", type_of(value.get_ref()));
     let help = format!("write {wanted}");
@@ -94,7 +95,7 @@
     None
 }
 
-/// A table.
+/// Parses a table; `name` is its name in messages.
 pub fn table<'t>(value: Value<'t>, name: &str, report: &mut Report) -> Option<Section<'t>> {
     match value.get_ref() {
         DeValue::Table(table) => Some(Section::new(table, value.span(), name)),
@@ -102,7 +103,7 @@
     }
 }
 
-/// A list of tables, such as `[[route]]` makes.
+/// Parses an array of tables, such as `[[route]]`; items that are not tables are reported and left out.
 pub fn tables<'t>(value: Option<Value<'t>>, name: &str, report: &mut Report) -> Vec<Section<'t>> {
     let Some(value) = value else { return Vec::new() };
     match value.get_ref() {
@@ -112,7 +113,7 @@
     }
 }
 
-/// A text.
+/// Parses a string.
 pub fn text(value: Value, report: &mut Report) -> Option<Located<String>> {
     match value.get_ref() {
         DeValue::String(text) => Some(Located::new(text.to_string(), value.span())),
@@ -123,11 +124,11 @@
 /// The maximum length of a name. Names go into logs and metrics.
 const MAX_NAME_LENGTH: usize = 64;
 
-/// A name: letters, digits, `.`, `_` and `-`.
+/// Parses a name: letters, digits, `.`, `_` and `-`.
 pub fn name(value: Value, report: &mut Report) -> Option<Located<String>> {
     let text = text(value, report)?;
-    let good = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
-    if text.value.is_empty() || text.value.len() > MAX_NAME_LENGTH || !text.value.chars().all(good) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '.' | '_' | '-');
+    if text.value.is_empty() || text.value.len() > MAX_NAME_LENGTH || !text.value.chars().all(is_allowed) {
         let message = format!("{:?} is not a valid name", text.value);
         let help = format!("use 1 to {MAX_NAME_LENGTH} letters, digits, `.`, `_` or `-`");
         report.push(Diagnostic::new(Code::InvalidName, text.span, message, help));
@@ -136,19 +137,19 @@
     Some(text)
 }
 
-/// A duration with its unit, longer than zero.
+/// Parses a duration with its unit, longer than zero.
 pub fn positive_duration(value: Value, report: &mut Report) -> Option<Located<Duration>> {
     duration(value, false, report)
 }
 
-/// A duration with its unit, zero included.
+/// Parses a duration with its unit; zero is allowed.
 pub fn duration_or_zero(value: Value, report: &mut Report) -> Option<Located<Duration>> {
     duration(value, true, report)
 }
 
-/// A duration with its unit; zero only where `zero` allows it.
-pub fn duration(value: Value, zero: bool, report: &mut Report) -> Option<Located<Duration>> {
-    let units = "write a number and a unit: `250ms`, `1.5s`, `2m`, `1h`";
+/// Parses a duration with its unit; zero is allowed only if `allow_zero` is set.
+pub fn duration(value: Value, allow_zero: bool, report: &mut Report) -> Option<Located<Duration>> {
+    let unit_help = "write a number and a unit: `250ms`, `1.5s`, `2m`, `1h`";
     let diagnostic = |code, message: String, help: &str| Diagnostic::new(code, value.span(), message, help);
     let text = match value.get_ref() {
         DeValue::String(text) => text,
@@ -161,7 +162,7 @@
         _ => return wrong_type(value, "a quoted duration such as \"250ms\"", report),
     };
     match units::parse_duration(text) {
-        Ok(time) if time.is_zero() && !zero => {
+        Ok(time) if time.is_zero() && !allow_zero => {
             report.push(diagnostic(
                 Code::ZeroDuration,
                 "this duration must not be zero".into(),
@@ -174,7 +175,7 @@
             report.push(diagnostic(
                 Code::MissingDurationUnit,
                 format!("the duration {text:?} has no unit"),
-                units,
+                unit_help,
             ));
             None
         }
@@ -187,15 +188,15 @@
             report.push(diagnostic(
                 Code::InvalidDuration,
                 format!("{text:?} is not a valid duration"),
-                units,
+                unit_help,
             ));
             None
         }
     }
 }
 
-/// A number, whole or not.
-fn figure(value: Value) -> Option<f64> {
+/// The value of an integer or a float; `None` for any other type or if it does not fit.
+fn parse_number(value: Value) -> Option<f64> {
     match value.get_ref() {
         DeValue::Integer(n) => i64::from_str_radix(n.as_str(), n.radix()).ok().map(|n| n as f64),
         DeValue::Float(n) => n.as_str().parse().ok(),
@@ -203,13 +204,13 @@
     }
 }
 
-/// A number within bounds, both of them included.
+/// Parses a number within inclusive bounds.
 pub fn number(value: Value, (min, max): (f64, f64), report: &mut Report) -> Option<Located<f64>> {
     let is_number = matches!(value.get_ref(), DeValue::Integer(_) | DeValue::Float(_));
     if !is_number {
         return wrong_type(value, "a number", report);
     }
-    match figure(value).filter(|n| *n >= min && *n <= max) {
+    match parse_number(value).filter(|n| *n >= min && *n <= max) {
         Some(n) => Some(Located::new(n, value.span())),
         None => {
             let message = "this number is out of range";
@@ -220,7 +221,7 @@
     }
 }
 
-/// A whole number within bounds, both of them included.
+/// Parses an integer within inclusive bounds.
 pub fn count(value: Value, (min, max): (u64, u64), report: &mut Report) -> Option<Located<u64>> {
     let DeValue::Integer(digits) = value.get_ref() else {
         return wrong_type(value, "an integer", report);
@@ -237,11 +238,11 @@
     }
 }
 
-/// A share: `0.25` or `"25%"`.
+/// Parses a share from 0 to 1, such as `0.25` or `"25%"`.
 pub fn share(value: Value, report: &mut Report) -> Option<Located<f64>> {
     let read = match value.get_ref() {
         DeValue::String(text) => units::parse_percent(text),
-        DeValue::Integer(_) | DeValue::Float(_) => figure(value),
+        DeValue::Integer(_) | DeValue::Float(_) => parse_number(value),
         _ => return wrong_type(value, "a share such as 0.2 or \"20%\"", report),
     };
     match read.filter(|share| (0.0..=1.0).contains(share)) {
@@ -259,7 +260,7 @@
     }
 }
 
-/// A rate: `"50/s"`, `"300/m"`; per second.
+/// Parses a rate such as `"50/s"` or `"300/m"`; the result is per second.
 pub fn rate(value: Value, report: &mut Report) -> Option<Located<f64>> {
     let DeValue::String(text) = value.get_ref() else {
         return wrong_type(value, "a quoted rate such as \"50/s\"", report);
@@ -275,7 +276,7 @@
     }
 }
 
-/// A size in bytes: `"64KiB"`.
+/// Parses a size such as `"64KiB"` within inclusive bounds; the result is in bytes.
 pub fn bytes(value: Value, (min, max): (u64, u64), report: &mut Report) -> Option<Located<u64>> {
     let DeValue::String(text) = value.get_ref() else {
         return wrong_type(value, "a quoted size such as \"64MiB\"", report);
@@ -291,7 +292,7 @@
     }
 }
 
-/// An address with its port.
+/// Parses an IP address with a port.
 pub fn address(value: Value, report: &mut Report) -> Option<Located<SocketAddr>> {
     let text = text(value, report)?;
     match text.value.parse() {
@@ -305,7 +306,7 @@
     }
 }
 
-/// One of some words.
+/// Parses one of the given words to the value beside it.
 pub fn choice<T: Copy>(value: Value, words: &[(&str, T)], report: &mut Report) -> Option<Located<T>> {
     let text = text(value, report)?;
     match words.iter().find(|(word, _)| *word == text.value) {
@@ -323,7 +324,7 @@
     }
 }
 
-/// A list of anything.
+/// Parses an array; `what` names its items in messages.
 pub fn array<'t>(value: Value<'t>, what: &str, report: &mut Report) -> Option<Vec<Value<'t>>> {
     match value.get_ref() {
         DeValue::Array(items) => Some(items.iter().collect()),
@@ -331,7 +332,7 @@
     }
 }
 
-/// `false` for none, else the value that `read` parses.
+/// Parses `false` as `None`, and any other value by `read`.
 pub fn unless_false<'t, T>(
     value: Value<'t>,
     report: &mut Report,
--- a/crates/route-config/src/resolve.rs
+++ b/crates/route-config/src/resolve.rs
@@ -1,15 +1,15 @@
-//! Inheritance: what is built in < `[defaults]` < class < route. Each value has the level and the position where it is
-//! set.
+//! Inheritance of settings: a route overrides its class, which overrides `[defaults]`, which overrides the
+//! built-in defaults. Each resolved value records the level and the position where it is set.
 
 use crate::model::{Fallback, HedgingRule, Located, Queue, RequestSettings, Span, TenantRate, UpgradeRule};
 use join_up_to::{Backoff, RetryBudget, RetryOn};
 use std::fmt;
 use std::time::Duration;
 
-/// Where a value is set.
+/// Where a value is set; a greater level overrides a lesser one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// Nowhere in the file: it is the program's default.
+    /// Nowhere in the file: the value is the built-in default.
     BuiltIn,
     /// In `[defaults]`.
     Defaults,
@@ -30,14 +30,14 @@
     }
 }
 
-/// A value after inheritance, with its origin.
+/// A value after inheritance, and where it is set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedValue<T> {
     /// The value.
     pub value: T,
     /// The level that sets it.
     pub level: Level,
-    /// Its position; `None` for what is built in.
+    /// The position of the value; `None` for a built-in default.
     pub span: Option<Span>,
 }
 
@@ -70,42 +70,47 @@
     pub replay_limit: ResolvedValue<u64>,
 }
 
-/// The defaults of a file. Retries follow only an attempt that was certainly never executed, so that these are valid for
-/// every class.
+/// The built-in defaults. They allow a retry only after an attempt that was certainly not executed, so they
+/// are valid for every class.
 pub mod built_in {
     use super::*;
     use crate::model::LimitRule;
 
-    /// The maximum time of a request.
+    /// The timeout of a request.
     pub const TIMEOUT: Duration = Duration::from_secs(5);
-    /// The maximum number of attempts.
+    /// The maximum number of attempts of a request.
     pub const ATTEMPTS: u32 = 3;
-    /// The maximum duration of a connect, or half of the attempt's where that is less.
+    /// The timeout for opening a connection; half of the attempt's timeout if that is shorter.
     pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-    /// How long a rejected client is asked to wait.
+    /// The minimum `Retry-After` of a rejection.
     pub const RETRY_AFTER: Duration = Duration::from_secs(1);
     /// The outcomes after which a retry is allowed.
     pub const RETRY_ON: RetryOn = RetryOn { never_ran: true, error: false, reset: false, timed_out: false };
-    /// Retries: the usual fifth of requests, and one per second where there is little traffic.
+    /// The retry budget of a class: 20% of requests as is usual, and one retry per second for classes with
+    /// little traffic.
     pub const RETRY_BUDGET: RetryBudget = RetryBudget { share: 0.2, per_s: 1.0 };
-    /// Retries over all clusters, whatever the budgets of their classes add up to.
+    /// The retry budget over all clusters, whatever the budgets of their classes add up to.
     pub const NODE_RETRY_BUDGET: RetryBudget = RetryBudget { share: 0.2, per_s: 10.0 };
-    /// After this time without any byte on a connection that has switched protocols, one side has disappeared.
+    /// The idle timeout of a connection after a protocol upgrade: without a byte for so long, one side has
+    /// disappeared.
     pub const TUNNEL_IDLE: Duration = Duration::from_secs(60);
-    /// A backend without any byte for this time within a response has stopped.
+    /// The maximum gap within a streamed response: a backend that sends no byte for so long has stopped.
     pub const MAX_STREAM_GAP: Duration = Duration::from_secs(10);
-    /// A backend that has its response complete writes it without a pause of this length; one that generates it does not.
+    /// The pause in a response after which the bytes received so far are forwarded. A backend that has the
+    /// complete response writes it without such a pause; one that generates it does not.
     pub const STREAM_FLUSH_DELAY: Duration = Duration::from_millis(10);
-    /// The bodies that are buffered for a retry: nearly all, and little memory each.
+    /// The maximum size in bytes of a request body that is buffered for retries. Nearly all bodies are
+    /// smaller, and each takes little memory.
     pub const REPLAY_LIMIT: u64 = 64 << 10;
-    /// How long responses in progress go on after a shutdown began.
+    /// How long responses in progress may continue after a shutdown has begun.
     pub const STREAM_END: Duration = Duration::from_secs(30);
-    /// The limit of a backend: enough for one that serves many requests at once to show that within a second, and few
-    /// for one with a single core to catch up with.
+    /// The limit of requests in flight at a backend. The initial value is high enough for a backend that
+    /// serves many requests at once to show that within a second, and low enough for one with a single core
+    /// to catch up with.
     pub const LIMIT: LimitRule = LimitRule::Adaptive { initial: 16.0, min: 2.0, max: 10_000.0 };
 }
 
-/// The levels from which a class's or a route's settings are inherited, the weakest first.
+/// The levels from which the settings of a class or a route are resolved, in ascending order of precedence.
 pub struct Levels<'a>(pub Vec<(Level, &'a RequestSettings)>);
 
 impl Levels<'_> {
@@ -119,7 +124,7 @@
         })
     }
 
-    fn or<T: Clone>(
+    fn with_default<T: Clone>(
         &self,
         get: impl Fn(&RequestSettings) -> &Option<Located<T>>,
         built_in: T,
@@ -127,7 +132,7 @@
         self.find(get).unwrap_or(ResolvedValue { value: built_in, level: Level::BuiltIn, span: None })
     }
 
-    fn maybe<T: Clone>(
+    fn optional<T: Clone>(
         &self,
         get: impl Fn(&RequestSettings) -> &Option<Located<T>>,
     ) -> ResolvedValue<Option<T>> {
@@ -137,33 +142,33 @@
         }
     }
 
-    /// Resolves every value.
+    /// Resolves every setting.
     pub fn resolve(&self) -> ResolvedSettings {
-        let timeout = self.or(|t| &t.timeout, built_in::TIMEOUT);
-        let attempt_timeout = self.maybe(|t| &t.attempt_timeout);
+        let timeout = self.with_default(|s| &s.timeout, built_in::TIMEOUT);
+        let attempt_timeout = self.optional(|s| &s.attempt_timeout);
         let connect = built_in::CONNECT_TIMEOUT.min(attempt_timeout.value.unwrap_or(timeout.value) / 2);
         ResolvedSettings {
-            latency_target: self.maybe(|t| &t.latency_target),
-            late_value: self.or(|t| &t.late_value, 1.0),
-            priority_weight: self.or(|t| &t.priority_weight, 1.0),
-            client_timeout: self.maybe(|t| &t.client_timeout),
-            max_attempts: self.or(|t| &t.max_attempts, built_in::ATTEMPTS),
-            connect_timeout: self.or(|t| &t.connect_timeout, connect),
-            retry_on: self.or(|t| &t.retry_on, built_in::RETRY_ON),
-            backoff: self.or(|t| &t.backoff, None),
-            hedging: self.or(|t| &t.hedging, None),
-            retry_budget: self.or(|t| &t.retry_budget, built_in::RETRY_BUDGET),
-            max_in_flight: self.or(|t| &t.max_in_flight, None),
-            queue: self.or(|t| &t.queue, None),
-            tenant_rate: self.or(|t| &t.tenant_rate, None),
-            retry_after: self.or(|t| &t.retry_after, built_in::RETRY_AFTER),
-            max_queue_time: self.maybe(|t| &t.max_queue_time),
-            fallback: self.or(|t| &t.fallback, None),
-            upgrade: self.or(|t| &t.upgrade, None),
-            max_stream_gap: self.or(|t| &t.max_stream_gap, built_in::MAX_STREAM_GAP),
-            max_stream_duration: self.or(|t| &t.max_stream_duration, None),
-            stream_flush_delay: self.or(|t| &t.stream_flush_delay, built_in::STREAM_FLUSH_DELAY),
-            replay_limit: self.or(|t| &t.replay_limit, built_in::REPLAY_LIMIT),
+            latency_target: self.optional(|s| &s.latency_target),
+            late_value: self.with_default(|s| &s.late_value, 1.0),
+            priority_weight: self.with_default(|s| &s.priority_weight, 1.0),
+            client_timeout: self.optional(|s| &s.client_timeout),
+            max_attempts: self.with_default(|s| &s.max_attempts, built_in::ATTEMPTS),
+            connect_timeout: self.with_default(|s| &s.connect_timeout, connect),
+            retry_on: self.with_default(|s| &s.retry_on, built_in::RETRY_ON),
+            backoff: self.with_default(|s| &s.backoff, None),
+            hedging: self.with_default(|s| &s.hedging, None),
+            retry_budget: self.with_default(|s| &s.retry_budget, built_in::RETRY_BUDGET),
+            max_in_flight: self.with_default(|s| &s.max_in_flight, None),
+            queue: self.with_default(|s| &s.queue, None),
+            tenant_rate: self.with_default(|s| &s.tenant_rate, None),
+            retry_after: self.with_default(|s| &s.retry_after, built_in::RETRY_AFTER),
+            max_queue_time: self.optional(|s| &s.max_queue_time),
+            fallback: self.with_default(|s| &s.fallback, None),
+            upgrade: self.with_default(|s| &s.upgrade, None),
+            max_stream_gap: self.with_default(|s| &s.max_stream_gap, built_in::MAX_STREAM_GAP),
+            max_stream_duration: self.with_default(|s| &s.max_stream_duration, None),
+            stream_flush_delay: self.with_default(|s| &s.stream_flush_delay, built_in::STREAM_FLUSH_DELAY),
+            replay_limit: self.with_default(|s| &s.replay_limit, built_in::REPLAY_LIMIT),
             timeout,
             attempt_timeout,
         }
@@ -171,26 +176,27 @@
 }
 
 impl ResolvedSettings {
-    /// When the balancer ends a request at the latest: at its timeout, or at its latency target where a later response has no
-    /// value.
+    /// The time after which the balancer ends a request: its timeout, or its latency target if a later
+    /// response has no value.
     pub fn deadline(&self) -> Duration {
         let latency_target = self.latency_target.value.filter(|_| self.late_value.value == 0.0);
         latency_target.unwrap_or(self.timeout.value).min(self.timeout.value)
     }
 
-    /// The maximum duration of an attempt.
+    /// The maximum duration of an attempt: its own timeout, but at most the deadline of the request.
     pub fn max_attempt_duration(&self) -> Duration {
         self.attempt_timeout.value.unwrap_or(self.deadline()).min(self.deadline())
     }
 
-    /// All backoffs before attempt number `attempt`, from 0, at their maximum.
+    /// The maximum sum of all back-offs before an attempt; the first attempt is number 0.
     pub fn backoffs_before(&self, attempt: u32) -> Duration {
         let Some(backoff) = self.backoff.value else { return Duration::ZERO };
         (1..=attempt).map(|n| backoff.max_delay_after(n)).fold(Duration::ZERO, Duration::saturating_add)
     }
 
-    /// When attempt number `attempt`, from 0, begins at the latest, if each one before has its maximum duration and an
-    /// outcome that is retried. An attempt that was certainly never executed has ended with its connect.
+    /// The latest start of an attempt, if each one before it takes its maximum duration and is retried; the
+    /// first attempt is number 0. If only attempts that were certainly not executed are retried, each of
+    /// those ends within the connect timeout.
     pub fn latest_start(&self, attempt: u32) -> Duration {
         let one = match self.retry_on.value.may_have_run() {
             true => self.max_attempt_duration(),
--- a/crates/route-config/src/route.rs
+++ b/crates/route-config/src/route.rs
@@ -1,47 +1,49 @@
-//! The table of routes: which route a request matches. The most specific wins: first by host (exact, then the longest
-//! wildcard, then any), then by path, segment by segment from the left (a literal before a capture before the rest of a
-//! prefix), then by headers (a value counts two, a presence one). Two routes that some request matches
-//! equally are an error of the file, so nothing here depends on the order in which they were written.
+//! The routing table: finds the route that a request matches. The most specific route wins: first by host
+//! (exact, then the longest wildcard, then any), then by path, segment by segment from the left (a literal
+//! before a capture before the remainder of a prefix), then by headers (a required value scores 2, a required
+//! presence 1). Two routes that match some request equally well are an error of the file, so the result does
+//! not depend on the order of routes in the file.
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use quick_error::quick_error;
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
-/// The maximum number of segments of a route's path, and of its captures. Limits the depth of the search.
+/// The maximum number of segments of a route's path, and so of its captures. Limits the recursion of the
+/// search.
 pub const MAX_SEGMENTS: usize = 32;
 
 /// A segment of a route's path.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Segment {
-    /// This text.
+    /// Exactly this text.
     Literal(String),
-    /// Any one segment that is not empty, by a name.
+    /// Any single non-empty segment, captured under this name.
     Capture(String),
 }
 
-/// A route's path, ready to be matched.
+/// A route's path, parsed into segments.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pattern {
     /// The segments from the left. A path that ends in a slash ends in an empty literal.
     pub segments: Vec<Segment>,
-    /// Whether paths below it match as well.
+    /// Whether all paths below it match as well.
     pub is_prefix: bool,
 }
 
 quick_error! {
-    /// Why a text is no pattern.
+    /// Why a path is not a valid pattern.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum PatternError {
         /// More segments than [`MAX_SEGMENTS`].
         TooDeep {
             display("it has more than {} segments", MAX_SEGMENTS)
         }
-        /// A brace outside of a capture: a capture is a whole segment, `{name}`.
+        /// A brace outside of a capture. A capture is a whole segment, `{name}`.
         InvalidBraces {
             display("a capture must be a whole segment, such as `/{{station}}/`")
         }
-        /// Two captures of one name.
+        /// Two captures with the same name.
         DuplicateCapture {
             display("two of its captures have the same name")
         }
@@ -49,20 +51,20 @@
 }
 
 impl Pattern {
-    /// A normalized path, exactly.
+    /// A pattern that matches exactly this normalized path.
     pub fn exact(path: &str) -> Result<Self, PatternError> {
         let segments: Vec<_> = segments(path).map(|s| Segment::Literal(s.into())).collect();
         Pattern { segments, is_prefix: false }.validated()
     }
 
-    /// A path and all below it; a slash at its end makes no difference.
+    /// A pattern that matches a path and all paths below it. A trailing slash of `path` is ignored.
     pub fn prefix(path: &str) -> Result<Self, PatternError> {
         let path = path.strip_suffix('/').unwrap_or(path);
         let segments: Vec<_> = segments(path).map(|s| Segment::Literal(s.into())).collect();
         Pattern { segments, is_prefix: true }.validated()
     }
 
-    /// A path with captures.
+    /// A pattern with captures in braces.
     pub fn template(path: &str) -> Result<Self, PatternError> {
         let read = |s: &str| match s.strip_prefix('{').and_then(|s| s.strip_suffix('}')) {
             Some(name) if is_capture_name(name) => Ok(Segment::Capture(name.into())),
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The names of its captures, from the left.
+    /// The names of the captures, from the left.
     pub fn captures(&self) -> impl Iterator<Item = &str> {
         self.segments.iter().filter_map(|segment| match segment {
             Segment::Capture(name) => Some(name.as_str()),
@@ -93,52 +95,53 @@
     }
 }
 
-/// Whether a capture may have this name.
+/// Whether a name consists of ASCII letters, digits, `_` and `-`, as that of a capture must.
 pub fn is_capture_name(name: &str) -> bool {
     !name.is_empty() && name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'_' || b == b'-')
 }
 
-/// The segments of a normalized path: `/a/b` has two, `/a/` too, the last of them empty, `/` one.
+/// The segments of a normalized path: `/a/b` has two, `/a/` has two of which the last is empty, and `/` has
+/// one.
 pub fn segments(path: &str) -> impl Iterator<Item = &str> {
     path.split('/').skip(1)
 }
 
-/// Which hosts a route is for.
+/// The hosts that a route matches.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub enum HostRule {
-    /// All.
+    /// All hosts, and requests without one.
     #[default]
     Any,
-    /// All that end in this, which begins with a dot.
+    /// All hosts with this suffix, which begins with a dot.
     Suffix(String),
-    /// This one.
+    /// Exactly this host, normalized.
     Exact(String),
 }
 
-/// A header that must be present, and its value where that matters.
+/// A header that must be present, and its required value; `None` for any value.
 pub type HeaderRule = (HeaderName, Option<HeaderValue>);
 
-/// What a request must have to match a route.
+/// The conditions that a request must meet to match a route.
 #[derive(Clone, Debug)]
 pub struct Condition {
-    /// Its host.
+    /// The hosts that match.
     pub host: HostRule,
-    /// Its path.
+    /// The paths that match.
     pub pattern: Pattern,
-    /// Its method, one of these.
+    /// The request's method must be one of these.
     pub methods: Vec<Method>,
-    /// Its headers, all of these.
+    /// The request must have all of these headers.
     pub headers: Vec<HeaderRule>,
 }
 
 impl Condition {
-    /// How specific its headers are.
+    /// How specific the headers are; a route with a higher score wins.
     fn score(&self) -> usize {
         self.headers.iter().map(|(_, value)| if value.is_some() { 2 } else { 1 }).sum()
     }
 
-    fn admits(&self, method: &Method, headers: &HeaderMap) -> bool {
-        // A header that occurs twice has no single value.
+    fn matches(&self, method: &Method, headers: &HeaderMap) -> bool {
+        // A header that occurs more than once does not have the required value.
         let is_met = |(name, value): &HeaderRule| match value {
             Some(value) => headers.get_all(name).iter().eq([value]),
             None => headers.contains_key(name),
@@ -147,7 +150,7 @@
     }
 }
 
-/// Where in the path each capture of a route is, from the left.
+/// The byte ranges of a route's captures within the matched path, from the left.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Captures {
     spans: [(u32, u32); MAX_SEGMENTS],
@@ -155,13 +158,13 @@
 }
 
 impl Captures {
-    /// The text of a capture in the path that was matched.
+    /// The text of a capture, by its index; `path` must be the path that was matched.
     pub fn get<'p>(&self, path: &'p str, number: usize) -> Option<&'p str> {
         let (start, end) = *self.spans[..self.count].get(number)?;
         path.get(start as usize..end as usize)
     }
     fn push(&mut self, start: usize, end: usize) {
-        // A path's length is bounded by that of a head, far below what fits here.
+        // The maximum length of a request head keeps positions far below `u32::MAX`.
         self.spans[self.count] = (start as u32, end as u32);
         self.count += 1;
     }
@@ -170,21 +173,21 @@
     }
 }
 
-/// The result of the search for a route.
-// It lives on the stack for one call; a box would cost an allocation for each request.
+/// The result of a search for a route.
+// It lives on the stack for one call; boxing the captures would cost an allocation for each request.
 #[allow(clippy::large_enum_variant)]
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouteMatch {
-    /// The request matches this route.
+    /// The request matches a route.
     Route {
-        /// Its number in the file.
+        /// The index of the route in the list that the table was built from.
         number: usize,
-        /// What its path captures.
+        /// The captures of the request's path.
         captures: Captures,
     },
-    /// The path has routes for other methods or headers only; these are the methods.
+    /// Routes for this path require another method; these are the methods, sorted.
     MethodNotAllowed(Vec<Method>),
-    /// No route has this path.
+    /// No route matches, and no route for this path requires another method.
     NotFound,
 }
 
@@ -192,12 +195,12 @@
 struct TreeNode {
     literals: HashMap<Box<str>, u32>,
     capture: Option<u32>,
-    /// Routes that end here, and those with this prefix, the most specific first.
+    /// Routes whose path ends at this node, the most specific first; `prefixes` also match all paths below.
     exact: Vec<u32>,
     prefixes: Vec<u32>,
 }
 
-/// The routes of one rule for hosts, as a tree of segments.
+/// The routes with the same host rule, as a tree of path segments.
 struct Tree {
     nodes: Vec<TreeNode>,
 }
@@ -212,13 +215,13 @@
     fn insert(&mut self, number: u32, pattern: &Pattern) {
         let mut at = 0;
         for segment in &pattern.segments {
-            let fresh = self.nodes.len() as u32;
+            let new_node = self.nodes.len() as u32;
             let node = &mut self.nodes[at];
             let next = match segment {
-                Segment::Literal(text) => *node.literals.entry(text.as_str().into()).or_insert(fresh),
-                Segment::Capture(_) => *node.capture.get_or_insert(fresh),
+                Segment::Literal(text) => *node.literals.entry(text.as_str().into()).or_insert(new_node),
+                Segment::Capture(_) => *node.capture.get_or_insert(new_node),
             };
-            if next == fresh {
+            if next == new_node {
                 self.nodes.push(TreeNode::default());
             }
             at = next as usize;
@@ -228,22 +231,22 @@
     }
 }
 
-/// One search for a route.
+/// The state of one search for a route.
 struct Search<'s> {
     conditions: &'s [Condition],
     path: &'s str,
     method: &'s Method,
     headers: &'s HeaderMap,
     captures: Captures,
-    /// Methods of routes whose path matches and which the request does not match.
+    /// The methods of routes that match the path but not the request's method.
     other_methods: Vec<Method>,
 }
 
 impl Search<'_> {
-    fn first(&mut self, among: &[u32]) -> Option<usize> {
-        for number in among {
+    fn first_match(&mut self, routes: &[u32]) -> Option<usize> {
+        for number in routes {
             let condition = &self.conditions[*number as usize];
-            if condition.admits(self.method, self.headers) {
+            if condition.matches(self.method, self.headers) {
                 return Some(*number as usize);
             }
             if !condition.methods.contains(self.method) {
@@ -253,32 +256,33 @@
         None
     }
 
-    /// Searches below a node; `start` is where the next segment begins, `None` once there is none.
-    fn below(&mut self, tree: &Tree, at: u32, start: Option<usize>) -> Option<usize> {
+    /// Searches the subtree of a node; `start` is the position of the next segment, `None` after the last
+    /// one.
+    fn search_below(&mut self, tree: &Tree, at: u32, start: Option<usize>) -> Option<usize> {
         let node = &tree.nodes[at as usize];
         let Some(start) = start else {
-            return self.first(&node.exact).or_else(|| self.first(&node.prefixes));
+            return self.first_match(&node.exact).or_else(|| self.first_match(&node.prefixes));
         };
         let path = self.path;
         let end = path[start..].find('/').map_or(path.len(), |length| start + length);
         let next = (end < path.len()).then_some(end + 1);
         if let Some(child) = node.literals.get(&path[start..end])
-            && let Some(found) = self.below(tree, *child, next)
+            && let Some(found) = self.search_below(tree, *child, next)
         {
             return Some(found);
         }
         if let Some(child) = node.capture.filter(|_| end > start) {
             self.captures.push(start, end);
-            if let Some(found) = self.below(tree, child, next) {
+            if let Some(found) = self.search_below(tree, child, next) {
                 return Some(found);
             }
             self.captures.pop();
         }
-        self.first(&node.prefixes)
+        self.first_match(&node.prefixes)
     }
 }
 
-/// All routes of a file.
+/// Finds the route of a request among all routes of a file.
 #[derive(Default)]
 pub struct RouteTable {
     conditions: Vec<Condition>,
@@ -294,7 +298,7 @@
 }
 
 impl RouteTable {
-    /// Builds the table. The number of a route is its index in the list.
+    /// Builds the table. Routes are identified by their index in the list.
     pub fn new(conditions: Vec<Condition>) -> Self {
         let mut table = RouteTable::default();
         let mut order: Vec<_> = conditions.iter().enumerate().collect();
@@ -311,7 +315,8 @@
         table
     }
 
-    /// Finds the route for a host, a normalized path, a method and headers.
+    /// Finds the route for a normalized host, a normalized path, a method and headers. A path that does not
+    /// begin with a slash has no route.
     pub fn find(&self, host: Option<&str>, path: &str, method: &Method, headers: &HeaderMap) -> RouteMatch {
         if !path.starts_with('/') {
             return RouteMatch::NotFound;
@@ -332,7 +337,7 @@
         let suffixes = dots.filter_map(|suffix| self.suffixes.get(suffix));
         for tree in exact.into_iter().chain(suffixes).chain([&self.any]) {
             search.captures.count = 0;
-            if let Some(number) = search.below(tree, 0, Some(1)) {
+            if let Some(number) = search.search_below(tree, 0, Some(1)) {
                 return RouteMatch::Route { number, captures: search.captures };
             }
         }
@@ -345,8 +350,9 @@
     }
 }
 
-/// The pairs of routes that some request matches equally: the same host and shape, a method in common, headers equally
-/// specific and not contradictory. Each route comes as the second of a pair at most once.
+/// The pairs of routes that match some request equally well: they have the same host and path shape, a method
+/// in common, and headers of the same score that don't contradict each other. Each route is the second of at
+/// most one pair.
 pub fn ambiguous_routes(conditions: &[Condition]) -> Vec<(usize, usize)> {
     let mut groups: HashMap<_, Vec<usize>> = HashMap::new();
     for (number, condition) in conditions.iter().enumerate() {
@@ -361,27 +367,29 @@
     let mut pairs = Vec::new();
     for group in groups.into_values().filter(|group| group.len() > 1) {
         let mut ambiguous = HashSet::new();
-        // Those with the very same headers are found by a lookup: there may be thousands.
-        let mut same: HashMap<(Vec<&HeaderRule>, &Method), usize> = HashMap::new();
+        // Routes with identical headers are found by a lookup, as there may be thousands of them.
+        let mut identical: HashMap<(Vec<&HeaderRule>, &Method), usize> = HashMap::new();
         for number in &group {
             let condition = &conditions[*number];
             for method in &condition.methods {
-                let first = *same.entry((sorted(condition), method)).or_insert(*number);
+                let first = *identical.entry((sorted_headers(condition), method)).or_insert(*number);
                 if first != *number && ambiguous.insert(*number) {
                     pairs.push((first, *number));
                 }
             }
         }
-        // Where all require values of the same headers, the others differ in one of them.
+        // If all routes require values for the same headers, any two that remain differ in a value and can't
+        // overlap.
         let is_distinct = |n: &usize| {
-            has_all_values(&conditions[*n]) && names(&conditions[*n]).eq(names(&conditions[group[0]]))
+            has_all_values(&conditions[*n])
+                && header_names(&conditions[*n]).eq(header_names(&conditions[group[0]]))
         };
         if group.iter().all(is_distinct) {
             continue;
         }
         for (i, a) in group.iter().enumerate() {
             for b in &group[i + 1..] {
-                if !ambiguous.contains(b) && overlap(&conditions[*a], &conditions[*b]) {
+                if !ambiguous.contains(b) && can_both_match(&conditions[*a], &conditions[*b]) {
                     ambiguous.insert(*b);
                     pairs.push((*a, *b));
                 }
@@ -392,18 +400,18 @@
     pairs
 }
 
-fn sorted(condition: &Condition) -> Vec<&HeaderRule> {
+fn sorted_headers(condition: &Condition) -> Vec<&HeaderRule> {
     let mut rules: Vec<_> = condition.headers.iter().collect();
     rules.sort_by(|a, b| a.0.as_str().cmp(b.0.as_str()));
     rules
 }
 
-fn names(condition: &Condition) -> impl Iterator<Item = &HeaderName> {
-    sorted(condition).into_iter().map(|(name, _)| name)
+fn header_names(condition: &Condition) -> impl Iterator<Item = &HeaderName> {
+    sorted_headers(condition).into_iter().map(|(name, _)| name)
 }
 
-/// Whether some request has a method and headers for both.
-fn overlap(x: &Condition, y: &Condition) -> bool {
+/// Whether some request meets the method and header conditions of both routes.
+fn can_both_match(x: &Condition, y: &Condition) -> bool {
     let contradict = |(name, value): &HeaderRule, (other, theirs): &HeaderRule| {
         name == other && value.is_some() && theirs.is_some() && value != theirs
     };
@@ -411,7 +419,7 @@
         && !x.headers.iter().any(|mine| y.headers.iter().any(|theirs| contradict(mine, theirs)))
 }
 
-/// Whether all its headers have values.
+/// Whether the condition requires a value for each of its headers.
 fn has_all_values(condition: &Condition) -> bool {
     condition.headers.iter().all(|(_, value)| value.is_some())
 }
--- a/crates/route-config/src/target.rs
+++ b/crates/route-config/src/target.rs
@@ -1,5 +1,7 @@
-//! Normalization of paths and hosts: routes match the normalized form, and that form is forwarded. Two spellings that a
-//! backend may treat as one path must not be two here, nor one spelling that it may treat as two be one.
+//! Normalization of paths and hosts. Routes match the normalized path, and that path is forwarded, so that
+//! the node and the backend always agree on which path is meant: spellings that a backend may treat as the
+//! same path have the same normalized form, and spellings that backends interpret differently are rejected,
+//! except `%2F` where the file keeps it.
 
 use quick_error::quick_error;
 use std::borrow::Cow;
@@ -8,7 +10,7 @@
     /// Why a path is rejected.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum PathError {
-        /// It does not begin with a slash.
+        /// The path does not begin with a slash.
         MissingSlash {
             display("the path does not begin with a slash")
         }
@@ -16,42 +18,43 @@
         InvalidEscape {
             display("the path has a % without two hexadecimal digits")
         }
-        /// A byte that a path must not have, plain or escaped: a control character, a blank, a backslash, a fragment.
+        /// A byte that is not allowed in a path: a control character or a backslash, even if escaped, and
+        /// unescaped also a blank, a non-ASCII byte or a delimiter such as `#`.
         InvalidByte {
             display("the path has a byte that paths don't have")
         }
-        /// A slash written as `%2F`: backends differ in whether it separates two segments.
+        /// A slash written as `%2F`: backends differ in whether it separates segments.
         EncodedSlash {
             display("the path has an encoded slash")
         }
-        /// Its dot segments lead above the root.
+        /// The dot segments lead above the root.
         AboveRoot {
             display("the path climbs above the root")
         }
-        /// A dot segment with parameters, such as `..;a`: backends differ in whether it is one.
+        /// A dot segment with parameters, such as `..;a`: backends differ in whether it is a dot segment.
         DotSegmentWithParameters {
             display("the path has a dot segment with parameters")
         }
     }
 }
 
-/// What becomes of a slash that is written as `%2F` in a path.
+/// How a slash that is written as `%2F` in a path is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EncodedSlash {
-    /// It stays as it is, within its segment.
+    /// It is kept as `%2F` within its segment.
     Keep,
     /// The path is rejected.
     Reject,
 }
 
-/// Normalizes a path (RFC 3986, section 6.2.2): escapes of unreserved characters are decoded, others are in capitals, dot
-/// segments and empty segments are removed.
+/// Normalizes a path (RFC 3986, section 6.2.2): escapes of unreserved characters are decoded, other escapes
+/// are written in upper case, and dot segments and empty segments are removed.
 pub fn normalize_path(raw: &str, encoded_slash: EncodedSlash) -> Result<Cow<'_, str>, PathError> {
     if !raw.starts_with('/') {
         return Err(PathError::MissingSlash);
     }
     let bytes = raw.as_bytes();
-    // The usual path is normalized already.
+    // Most paths are normalized already and need no allocation.
     if is_normalized(bytes) {
         return Ok(Cow::Borrowed(raw));
     }
@@ -86,7 +89,8 @@
     Ok(Cow::Owned(path))
 }
 
-/// Whether a path has only plain characters, no empty segment and no segment that begins with a dot.
+/// Whether a path is certainly normalized: no escapes, no empty segments, and no segment that begins with a
+/// dot.
 fn is_normalized(path: &[u8]) -> bool {
     let is_plain = |b: &u8| b.is_ascii_alphanumeric() || b"-_~!$&'()*+,;=:@".contains(b);
     let mut before = b' ';
@@ -97,7 +101,7 @@
     })
 }
 
-/// Decodes escapes of unreserved characters.
+/// Decodes escapes of unreserved characters, and writes the others in upper case.
 fn unescape(bytes: &[u8], encoded_slash: EncodedSlash) -> Result<String, PathError> {
     let mut unescaped = String::with_capacity(bytes.len());
     let mut at = 0;
@@ -129,7 +133,7 @@
     Ok(unescaped)
 }
 
-/// Normalizes a host: without port and final dot, in small letters. `None` if it is no host.
+/// Normalizes a host: without port and trailing dot, in lower case. `None` if it is not a valid host.
 pub fn normalize_host(raw: &str) -> Option<Cow<'_, str>> {
     let name = if raw.starts_with('[') {
         &raw[..=raw.find(']')?]
--- a/crates/route-config/tests/corpus.rs
+++ b/crates/route-config/tests/corpus.rs
@@ -1,6 +1,6 @@
-//! A folder of files: the valid ones have no errors, each invalid one has exactly the errors that it states, at the lines
-//! where it states them. An error is expected on a line by `#~ MW100` at its end, or, in a file that can't have such a
-//! comment, by a line `MW100 14` of the file beside it that ends in `.expect`.
+//! A folder of files: the valid ones have no errors, each invalid one has exactly the errors that it states,
+//! at the lines where it states them. An error is expected on a line by `#~ MW100` at its end, or, in a file
+//! that can't have such a comment, by a line `MW100 14` of the file beside it that ends in `.expect`.
 
 use route_config::diagnostic::{Code, Lines};
 use std::collections::BTreeSet;
@@ -92,7 +92,8 @@
             expected(&path, &std::fs::read(&path).expect("a file")).into_iter().map(|(code, _)| code),
         );
     }
-    // A file that is too large is made by a test of its own, and a folder in place of one is none that can be read.
+    // A file that is too large is made by a test of its own, and a folder in place of one is none that can be
+    // read.
     let elsewhere = [Code::FileTooLarge, Code::UnreadableFile];
     let missing: Vec<_> = Code::ALL
         .iter()
--- a/crates/route-config/tests/routes.rs
+++ b/crates/route-config/tests/routes.rs
@@ -18,8 +18,8 @@
     headers: usize,
 }
 
-/// The same by the words of the page: exact host, longest wildcard, any; segment by segment a literal, a capture, the
-/// rest; a header's value two, its presence one.
+/// The same by the words of the page: exact host, longest wildcard, any; segment by segment a literal, a
+/// capture, the rest; a header's value two, its presence one.
 fn specific(
     c: &Condition,
     host: Option<&str>,
--- a/crates/route-config/tests/rules.rs
+++ b/crates/route-config/tests/rules.rs
@@ -1,5 +1,6 @@
-//! Whatever file is valid: no sequence of outcomes makes the compiled settings send what must not be sent. Files are
-//! generated, and for each one every sequence of outcomes up to its attempts is played, at the extremes of time.
+//! Whatever file is valid: no sequence of outcomes makes the compiled settings send what must not be sent.
+//! Files are generated, and for each one every sequence of outcomes up to its attempts is played, at the
+//! extremes of time.
 
 use join_up_to::*;
 use proptest::prelude::*;
