--- a/crates/route-config/benches/file.rs
+++ b/crates/route-config/benches/file.rs
@@ -1,5 +1,5 @@
-//! What the file costs: finding a route among 10, 1,000 and 100,000, and reading and checking a file of
-//! 10,000. `cargo bench -p route-config`.
+//! Measures finding a route among 10, 1,000 and 100,000, and loading a file of 10,000 routes. Run with `cargo
+//! bench -p route-config`.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use http::{HeaderMap, Method};
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 use std::hint::black_box;
 
-/// Routes of the usual sort: three literal segments, every other one with a capture behind.
+/// A table of typical routes: three literal segments, and a capture after them in every other route.
 fn table(routes: usize) -> RouteTable {
     let condition = |n: usize| {
         let (area, district, sort) = (n / 1000, n / 10 % 100, n % 10);
--- a/crates/route-config/src/admission/tests.rs
+++ b/crates/route-config/src/admission/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn requests_are_in_flight_and_queued_up_to_their_maximum_and_in_order() {
+fn requests_beyond_the_maximum_are_queued_and_admitted_in_order() {
     let mut admission = Admission::new(&[limit(Some(2), Some((2, 100)), None)], &[]);
     let mut arrive = |id| admission.admit(ms(id), 0, None, id);
     assert_eq!([arrive(1), arrive(2)], [AdmissionDecision::Admit, AdmissionDecision::Admit]);
@@ -31,13 +31,13 @@
         AdmissionDecision::Reject { reason: RejectionReason::QueueFull, retry_after: ms(500) }
     );
     assert_eq!(admission.finish(1), Some(3));
-    assert_eq!(admission.finish(4), None, "one that leaves the queue frees no capacity");
+    assert_eq!(admission.finish(4), None, "a request that leaves the queue frees no capacity");
     assert_eq!(admission.finish(2), None);
     assert_eq!((admission.finish(3), admission.finish(3), admission.counts()), (None, None, (0, 0)));
 }
 
 #[test]
-fn each_tenant_has_its_own_rate_and_retry_after() {
+fn each_tenant_has_its_own_rate_limit_and_retry_after() {
     let tenants = ["x".to_string(), "y".to_string()];
     let mut admission = Admission::new(&[limit(None, None, Some((0.5, 2.0)))], &tenants);
     let mut arrive = |now, tenant, id| admission.admit(ms(now), 0, Some(tenant), id);
@@ -52,12 +52,12 @@
         AdmissionDecision::Reject { reason: RejectionReason::RateLimit, retry_after: ms(500) }
     );
     assert_eq!(arrive(2000, 0, 6), AdmissionDecision::Admit);
-    // A clock that runs back adds nothing.
+    // A clock that goes backwards adds no tokens.
     assert!(matches!(arrive(1000, 0, 7), AdmissionDecision::Reject { .. }));
 }
 
 #[test]
-fn a_new_file_keeps_counts_and_admits_queued_requests_with_capacity() {
+fn a_reload_keeps_counts_and_admits_queued_requests_that_fit_the_new_limits() {
     let tenants = ["x".to_string()];
     let tight = Limit {
         tenant_rate: Some(TenantRate { per_s: 1.0, burst: 5.0 }),
@@ -75,7 +75,7 @@
     ));
     let wide = Limit { max_in_flight: Some(3), ..tight.clone() };
     assert_eq!(admission.replace(&[wide], &tenants), [2, 3]);
-    assert_eq!(admission.replace(&[], &tenants), [4, 5], "a removed limit delays nobody");
+    assert_eq!(admission.replace(&[], &tenants), [4, 5], "requests queued at a removed limit are admitted");
     assert_eq!((1..=5).filter_map(|id| admission.finish(id)).count(), 0);
     assert_eq!(admission.counts(), (0, 0));
 }
@@ -83,7 +83,7 @@
 #[derive(Clone, Debug)]
 enum Step {
     Arrive { limit: usize, tenant: usize, after: u64 },
-    Done(usize),
+    Finish(usize),
     Replace(Vec<(Option<u32>, Option<u32>)>),
 }
 
@@ -91,7 +91,7 @@
     prop_oneof![
         6 => (0usize..3, 0usize..3, 0u64..50)
             .prop_map(|(limit, tenant, after)| Step::Arrive { limit, tenant, after }),
-        4 => any::<usize>().prop_map(Step::Done),
+        4 => any::<usize>().prop_map(Step::Finish),
         1 => prop::collection::vec((prop::option::of(1u32..4), prop::option::of(1u32..4)), 0..3)
             .prop_map(Step::Replace),
     ]
@@ -101,51 +101,54 @@
     /// Nothing is queued while there is capacity, nothing is counted twice, and nothing is left once all are
     /// finished.
     #[test]
-    fn counts_add_up(brownout in prop::collection::vec(step(), 1..200)) {
+    fn no_request_is_lost_or_counted_twice(steps in prop::collection::vec(step(), 1..200)) {
         let mut admission = Admission::default();
-        let (mut now, mut id, mut going, mut waiting) = (ms(0), 0, Vec::new(), Vec::new());
-        let start = |woken: Vec<u64>, going: &mut Vec<u64>, waiting: &mut Vec<u64>| {
-            for id in woken {
-                assert!(waiting.contains(&id), "{id} is admitted and was not queued");
-                waiting.retain(|other| *other != id);
-                going.push(id);
+        let (mut now, mut id, mut in_flight, mut queued) = (ms(0), 0, Vec::new(), Vec::new());
+        let move_to_in_flight = |admitted: Vec<u64>, in_flight: &mut Vec<u64>, queued: &mut Vec<u64>| {
+            for id in admitted {
+                assert!(queued.contains(&id), "{id} is admitted but was not queued");
+                queued.retain(|other| *other != id);
+                in_flight.push(id);
             }
         };
-        for step in brownout {
+        for step in steps {
             match step {
                 Step::Arrive { limit, tenant, after } => {
                     (now, id) = (now + ms(after), id + 1);
                     match admission.admit(now, limit, Some(tenant), id) {
-                        AdmissionDecision::Admit => going.push(id),
-                        AdmissionDecision::Queue { .. } => waiting.push(id),
+                        AdmissionDecision::Admit => in_flight.push(id),
+                        AdmissionDecision::Queue { .. } => queued.push(id),
                         AdmissionDecision::Reject { .. } => {}
                     }
                 }
-                Step::Done(which) => {
-                    let all = going.len() + waiting.len();
+                Step::Finish(which) => {
+                    let all = in_flight.len() + queued.len();
                     if all == 0 { continue }
                     let which = which % all;
-                    let id = if which < going.len() { going.remove(which) } else { waiting.remove(which - going.len()) };
-                    let woken = admission.finish(id);
-                    start(woken.into_iter().collect(), &mut going, &mut waiting);
+                    let id = match which.checked_sub(in_flight.len()) {
+                        None => in_flight.remove(which),
+                        Some(which) => queued.remove(which),
+                    };
+                    let admitted = admission.finish(id);
+                    move_to_in_flight(admitted.into_iter().collect(), &mut in_flight, &mut queued);
                 }
                 Step::Replace(limits) => {
                     let limits: Vec<_> = limits.iter().enumerate().map(|(i, (max_in_flight, queue))| Limit {
                         name: format!("limit {i}"),
                         ..limit(*max_in_flight, queue.map(|length| (length, 100)), None)
                     }).collect();
-                    let woken = admission.replace(&limits, &[]);
-                    start(woken, &mut going, &mut waiting);
+                    let admitted = admission.replace(&limits, &[]);
+                    move_to_in_flight(admitted, &mut in_flight, &mut queued);
                 }
             }
             for slot in &admission.slots {
                 prop_assert!(slot.queue.is_empty() || !slot.has_capacity(), "{slot:?}");
             }
-            prop_assert_eq!(admission.counts().1, waiting.len());
+            prop_assert_eq!(admission.counts().1, queued.len());
         }
-        while let Some(id) = going.pop().or_else(|| waiting.pop()) {
-            let woken = admission.finish(id);
-            start(woken.into_iter().collect(), &mut going, &mut waiting);
+        while let Some(id) = in_flight.pop().or_else(|| queued.pop()) {
+            let admitted = admission.finish(id);
+            move_to_in_flight(admitted.into_iter().collect(), &mut in_flight, &mut queued);
         }
         prop_assert_eq!(admission.counts(), (0, 0));
     }
--- a/crates/route-config/src/diagnostic/tests.rs
+++ b/crates/route-config/src/diagnostic/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn errors_beyond_the_maximum_are_counted_only() {
+fn errors_beyond_the_maximum_are_only_counted() {
     let mut report = Report::default();
     (0..1000).for_each(|i| report.push(Diagnostic::new(Code::UnknownKey, i..i + 1, "x", "y")));
     assert_eq!(
--- a/crates/route-config/src/target/tests.rs
+++ b/crates/route-config/src/target/tests.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_path_is_normalized() {
-    for (raw, form) in [
+fn paths_are_normalized_or_rejected() {
+    for (raw, normalized) in [
         ("/", "/"),
         ("/a/b.c", "/a/b.c"),
         ("//a///b//", "/a/b/"),
@@ -20,7 +20,7 @@
         ("/a;v=1/b", "/a;v=1/b"),
         ("/.a/..b", "/.a/..b"),
     ] {
-        assert_eq!(normalize_path(raw, EncodedSlash::Reject).as_deref(), Ok(form), "{raw}");
+        assert_eq!(normalize_path(raw, EncodedSlash::Reject).as_deref(), Ok(normalized), "{raw}");
     }
     for (raw, error) in [
         ("", PathError::MissingSlash),
@@ -44,19 +44,19 @@
         assert_eq!(normalize_path(raw, EncodedSlash::Reject), Err(error), "{raw}");
     }
     assert_eq!(normalize_path("/a%2fb/%2e", EncodedSlash::Keep).as_deref(), Ok("/a%2Fb/"));
-    // Decoded once, never twice.
+    // Escapes are decoded only once.
     assert_eq!(normalize_path("/%252e%252e/a", EncodedSlash::Reject).as_deref(), Ok("/%252e%252e/a"));
 }
 
 #[test]
-fn a_host_is_normalized() {
-    for (raw, form) in [
+fn hosts_are_normalized_or_rejected() {
+    for (raw, normalized) in [
         ("Tally.Example:8080", "tally.example"),
         ("tally.example.", "tally.example"),
         ("10.0.0.1", "10.0.0.1"),
         ("[::1]:80", "[::1]"),
     ] {
-        assert_eq!(normalize_host(raw).as_deref(), Some(form), "{raw}");
+        assert_eq!(normalize_host(raw).as_deref(), Some(normalized), "{raw}");
     }
     for raw in ["", ":80", "a b", "a/b", "[::1", "a:80:90", "a:x", "ü"] {
         assert_eq!(normalize_host(raw), None, "{raw}");
@@ -64,16 +64,17 @@
 }
 
 proptest! {
-    /// Any input: no panic, and the result is normalized already.
+    /// Normalizing any input does not panic, and normalizing the result again does not change it.
     #[test]
     fn normalization_is_idempotent(raw in "[/.%2eE5cfF;a\\PC]{0,40}", keep: bool) {
         let encoded_slash = if keep { EncodedSlash::Keep } else { EncodedSlash::Reject };
-        if let Ok(form) = normalize_path(&raw, encoded_slash) {
-            prop_assert!(normalize_path(&form, encoded_slash).is_ok_and(|again| again == form));
-            prop_assert!(form.starts_with('/') && !form.contains("//") && !form.contains("/../"));
+        if let Ok(normalized) = normalize_path(&raw, encoded_slash) {
+            prop_assert!(normalize_path(&normalized, encoded_slash).is_ok_and(|again| again == normalized));
+            prop_assert!(normalized.starts_with('/'));
+            prop_assert!(!normalized.contains("//") && !normalized.contains("/../"));
         }
-        if let Some(form) = normalize_host(&raw) {
-            prop_assert!(normalize_host(&form).is_some_and(|again| again == form));
+        if let Some(normalized) = normalize_host(&raw) {
+            prop_assert!(normalize_host(&normalized).is_some_and(|again| again == normalized));
         }
     }
 }
--- a/crates/route-config/tests/corpus.rs
+++ b/crates/route-config/tests/corpus.rs
@@ -1,6 +1,7 @@
-//! A folder of files: the valid ones have no errors, each invalid one has exactly the errors that it states,
-//! at the lines where it states them. An error is expected on a line by `#~ MW100` at its end, or, in a file
-//! that can't have such a comment, by a line `MW100 14` of the file beside it that ends in `.expect`.
+//! Loads the files of `tests/corpus`: those in `good` have no errors, and each in `bad` has exactly the
+//! errors that it declares, at the lines that it declares. An error is declared by `#~ MW100` at the end of
+//! its line or, for a file that can't have such a comment, by a line `MW100 14` in a file of the same name
+//! that ends in `.expect`.
 
 use route_config::diagnostic::{Code, Lines};
 use std::collections::BTreeSet;
@@ -14,7 +15,7 @@
     files.into_iter().filter(|path| path.extension().is_some_and(|end| end == "toml")).collect()
 }
 
-/// The errors that a file states, in order: code and line.
+/// The errors that a file declares, as codes and lines, sorted by line and code.
 fn expected(path: &Path, bytes: &[u8]) -> Vec<(String, usize)> {
     let beside = path.with_extension("expect");
     let mut expected = Vec::new();
@@ -34,20 +35,20 @@
 }
 
 fn found(bytes: &[u8]) -> Vec<(String, usize)> {
-    let Err(refused) = route_config::load(bytes) else { return Vec::new() };
+    let Err(invalid) = route_config::load(bytes) else { return Vec::new() };
     let text = String::from_utf8_lossy(bytes);
     let lines = Lines::of(&text);
-    let mut found: Vec<_> = refused
+    let mut found: Vec<_> = invalid
         .diagnostics
         .iter()
-        .map(|fault| (fault.code.as_str().to_string(), lines.position(fault.span.start).line))
+        .map(|error| (error.code.as_str().to_string(), lines.position(error.span.start).line))
         .collect();
     found.sort_by(|a, b| (a.1, &a.0).cmp(&(b.1, &b.0)));
     found
 }
 
 #[test]
-fn invalid_files_have_the_errors_that_they_state() {
+fn invalid_files_have_exactly_the_errors_that_they_declare() {
     let files = files("bad");
     assert!(files.len() >= 60, "{} bad files", files.len());
     let mut wrong = Vec::new();
@@ -55,7 +56,7 @@
         let bytes = std::fs::read(&path).expect("a file");
         let (expected, found) = (expected(&path, &bytes), found(&bytes));
         if expected.is_empty() {
-            wrong.push(format!("{}: says no fault that it has; found {found:?}", path.display()));
+            wrong.push(format!("{}: declares no error; found {found:?}", path.display()));
         } else if expected != found {
             wrong.push(format!("{}: expected {expected:?}, found {found:?}", path.display()));
         }
@@ -69,13 +70,13 @@
     assert!(files.len() >= 20, "{} good files", files.len());
     for path in files {
         let bytes = std::fs::read(&path).expect("a file");
-        if let Err(refused) = route_config::load(&bytes) {
-            panic!("{}: {:#?}", path.display(), refused.diagnostics);
+        if let Err(invalid) = route_config::load(&bytes) {
+            panic!("{}: {:#?}", path.display(), invalid.diagnostics);
         }
     }
 }
 
-/// The files of `deploy/` that are for operators are examples to learn from, so they must be valid as well.
+/// Operators start from the example in `deploy/`, so it must be valid.
 #[test]
 fn the_example_is_valid() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example.toml");
@@ -83,7 +84,7 @@
     assert!(route_config::load(&bytes).is_ok(), "{:#?}", route_config::load(&bytes).err());
 }
 
-/// Every code but those of the file as a thing on the disk occurs in some invalid file.
+/// Each code occurs in some invalid file, except those that concern the file on disk.
 #[test]
 fn every_code_has_an_invalid_file() {
     let mut covered = BTreeSet::new();
@@ -92,18 +93,18 @@
             expected(&path, &std::fs::read(&path).expect("a file")).into_iter().map(|(code, _)| code),
         );
     }
-    // A file that is too large is made by a test of its own, and a folder in place of one is none that can be
-    // read.
+    // Tested elsewhere: a file that is too large is generated, and an unreadable one is no file of this
+    // folder.
     let elsewhere = [Code::FileTooLarge, Code::UnreadableFile];
     let missing: Vec<_> = Code::ALL
         .iter()
         .filter(|code| !elsewhere.contains(code) && !covered.contains(code.as_str()))
         .map(|code| code.as_str())
         .collect();
-    assert!(missing.is_empty(), "no file for {missing:?}");
+    assert!(missing.is_empty(), "no invalid file for {missing:?}");
 }
 
-/// The operators' page has each code, with what it is about.
+/// The operators' page lists each code with its summary.
 #[test]
 fn every_code_is_on_the_operators_page() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/operators/file.md");
@@ -115,30 +116,30 @@
 }
 
 #[test]
-fn every_error_has_a_position_within_the_text_and_a_help() {
+fn every_error_has_a_position_within_the_text_and_a_help_line() {
     for path in files("bad") {
         let bytes = std::fs::read(&path).expect("a file");
-        let Err(refused) = route_config::load(&bytes) else { continue };
-        for fault in refused.diagnostics {
-            assert!(fault.span.end <= bytes.len() && fault.span.start <= fault.span.end, "{fault:?}");
-            assert!(!fault.help.is_empty() && !fault.message.contains('\n'), "{fault:?}");
+        let Err(invalid) = route_config::load(&bytes) else { continue };
+        for error in invalid.diagnostics {
+            assert!(error.span.end <= bytes.len() && error.span.start <= error.span.end, "{error:?}");
+            assert!(!error.help.is_empty() && !error.message.contains('\n'), "{error:?}");
         }
     }
 }
 
 #[test]
-fn a_file_of_ten_megabytes_is_rejected_without_being_parsed() {
-    let line = b"# a line of remarks\n";
+fn a_file_of_ten_mebibytes_is_rejected_without_being_parsed() {
+    let line = b"# a line of comment\n";
     let bytes: Vec<u8> = line.iter().copied().cycle().take(10 << 20).collect();
-    let refused = route_config::load(&bytes).expect_err("too large");
-    assert_eq!(refused.diagnostics[0].code, Code::FileTooLarge);
+    let invalid = route_config::load(&bytes).expect_err("too large");
+    assert_eq!(invalid.diagnostics[0].code, Code::FileTooLarge);
 }
 
-/// Many errors are counted, and the first are returned.
+/// The first 200 errors are returned, and the others are only counted.
 #[test]
-fn errors_in_many_lines_are_counted() {
+fn errors_beyond_the_maximum_are_only_counted() {
     let text: String = (0..5000).map(|i| format!("odd{i} = 1\n")).collect();
-    let refused = route_config::load(text.as_bytes()).expect_err("odd keys");
-    assert_eq!(refused.diagnostics.len() + refused.omitted, 5000);
-    assert!(refused.diagnostics.len() <= 200);
+    let invalid = route_config::load(text.as_bytes()).expect_err("unknown keys");
+    assert_eq!(invalid.diagnostics.len() + invalid.omitted, 5000);
+    assert!(invalid.diagnostics.len() <= 200);
 }
--- a/crates/route-config/tests/routes.rs
+++ b/crates/route-config/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The table of routes against a matcher that looks at each route in turn and knows nothing of trees.
+//! Compares the routing table with a reference matcher that checks each route in turn, without a tree.
 
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 use proptest::prelude::*;
@@ -10,23 +10,24 @@
 use route_config::target::EncodedSlash;
 use std::cmp::Ordering;
 
-/// How specific a route is for a request that it matches, to be compared from the left.
+/// How specific a route is for a request that it matches; compared field by field.
 #[derive(PartialEq, Eq, PartialOrd, Ord, Debug, Clone)]
-struct Specific {
+struct Specificity {
     host: usize,
     path: Vec<u8>,
     headers: usize,
 }
 
-/// The same by the words of the page: exact host, longest wildcard, any; segment by segment a literal, a
-/// capture, the rest; a header's value two, its presence one.
-fn specific(
+/// How specific a route is for a request, by the documented order: exact host, longest wildcard, any host;
+/// then segment by segment a literal, a capture, the remainder of a prefix; then 2 for each header value and
+/// 1 for each presence. `None` if the route does not match.
+fn specificity(
     c: &Condition,
     host: Option<&str>,
     path: &str,
     method: &Method,
     headers: &HeaderMap,
-) -> Option<Specific> {
+) -> Option<Specificity> {
     let host = match (&c.host, host) {
         (HostRule::Any, _) => 0,
         (HostRule::Exact(name), Some(host)) if name == host => usize::MAX,
@@ -59,23 +60,23 @@
             _ => return None,
         }
     }
-    Some(Specific { host, path: rank, headers: score })
+    Some(Specificity { host, path: rank, headers: score })
 }
 
-/// The best of all, and whether another is as good.
-fn naive(
+/// The most specific route of all that match, and whether another one is equally specific.
+fn reference_match(
     conditions: &[Condition],
     host: Option<&str>,
     path: &str,
     method: &Method,
     headers: &HeaderMap,
 ) -> (Option<usize>, bool) {
-    let mut best: Option<(usize, Specific)> = None;
+    let mut best: Option<(usize, Specificity)> = None;
     let mut tie = false;
     for (number, condition) in conditions.iter().enumerate() {
-        let Some(its) = specific(condition, host, path, method, headers) else { continue };
-        match best.as_ref().map_or(Ordering::Greater, |(_, best)| its.cmp(best)) {
-            Ordering::Greater => (best, tie) = (Some((number, its)), false),
+        let Some(specificity) = specificity(condition, host, path, method, headers) else { continue };
+        match best.as_ref().map_or(Ordering::Greater, |(_, best)| specificity.cmp(best)) {
+            Ordering::Greater => (best, tie) = (Some((number, specificity)), false),
             Ordering::Equal => tie = true,
             Ordering::Less => {}
         }
@@ -89,7 +90,7 @@
         2 => Just(Segment::Capture(String::new())),
     ];
     (prop::collection::vec(segment, 0..4), any::<bool>()).prop_map(|(mut segments, is_prefix)| {
-        // Empty segments are there at the end of a path only, and not before a is_prefix.
+        // Only the last segment of a path may be empty, and none of a prefix.
         let last = segments.len();
         let mut number = 0;
         for (i, segment) in segments.iter_mut().enumerate() {
@@ -135,7 +136,7 @@
         .prop_map(|(host, pattern, methods, headers)| Condition { host, pattern, methods, headers })
 }
 
-/// Tables without ambiguous routes, as files have them.
+/// Lists of routes without ambiguous ones, as in valid files.
 fn table() -> impl Strategy<Value = Vec<Condition>> {
     prop::collection::vec(condition(), 0..40).prop_map(|mut conditions| {
         let ambiguous: Vec<_> = ambiguous_routes(&conditions).into_iter().map(|(_, second)| second).collect();
@@ -191,14 +192,14 @@
     #![proptest_config(config(600))]
 
     #[test]
-    fn the_table_finds_what_a_look_at_each_route_finds(
+    fn the_table_finds_the_same_route_as_the_reference_matcher(
         conditions in table(),
         example in prop::collection::vec(example(), 1..60),
     ) {
         let table = RouteTable::new(conditions.clone());
         for (host, path, method, headers) in example {
-            let (best, tie) = naive(&conditions, host, &path, &method, &headers);
-            prop_assert!(!tie, "two routes are as good for {method} {path}, and ambiguous_routes() saw none");
+            let (best, tie) = reference_match(&conditions, host, &path, &method, &headers);
+            prop_assert!(!tie, "two routes match {method} {path} equally, but ambiguous_routes() has none");
             match table.find(host, &path, &method, &headers) {
                 RouteMatch::Route { number, captures } => {
                     prop_assert_eq!(Some(number), best);
@@ -215,11 +216,11 @@
                     prop_assert_eq!(best, None);
                     prop_assert!(!methods.contains(&method));
                     for other in &methods {
-                        let there = |c: &Condition| {
+                        let matches = |c: &Condition| {
                             let bare = Condition { headers: Vec::new(), ..c.clone() };
-                            specific(&bare, host, &path, other, &HeaderMap::new()).is_some()
+                            specificity(&bare, host, &path, other, &HeaderMap::new()).is_some()
                         };
-                        prop_assert!(conditions.iter().any(there), "{other} is not taken by {path}");
+                        prop_assert!(conditions.iter().any(matches), "no route for {path} accepts {other}");
                     }
                 }
                 RouteMatch::NotFound => prop_assert_eq!(best, None),
@@ -227,9 +228,11 @@
         }
     }
 
-    /// Routes that are reported as ambiguous are so: a request is found that matches both equally.
+    /// For each pair of routes reported as ambiguous there is a request that both match equally well.
     #[test]
-    fn a_tie_is_shown_by_a_request(conditions in prop::collection::vec(condition(), 0..30)) {
+    fn ambiguous_routes_match_some_request_equally_well(
+        conditions in prop::collection::vec(condition(), 0..30),
+    ) {
         for (first, second) in ambiguous_routes(&conditions) {
             let (a, b) = (&conditions[first], &conditions[second]);
             let path: String = a.pattern.segments.iter().map(|segment| match segment {
@@ -252,14 +255,15 @@
                 }
             }
             let method = method.expect("a method in common");
-            let its = |c| specific(c, host.as_deref(), &path, method, &headers);
-            prop_assert!(its(a).is_some() && its(a) == its(b), "{a:?} and {b:?} at {path}");
+            let specificity_of = |c| specificity(c, host.as_deref(), &path, method, &headers);
+            let (of_a, of_b) = (specificity_of(a), specificity_of(b));
+            prop_assert!(of_a.is_some() && of_a == of_b, "{a:?} and {b:?} at {path}");
         }
     }
 
-    /// Arbitrary bytes of a target: no panic, from normalization to the match.
+    /// An arbitrary target causes no panic, neither in normalization nor in the search for a route.
     #[test]
-    fn no_target_makes_it_panic(conditions in table(), raw in "\\PC{0,60}", host in "\\PC{0,20}") {
+    fn no_request_target_causes_a_panic(conditions in table(), raw in "\\PC{0,60}", host in "\\PC{0,20}") {
         let table = RouteTable::new(conditions);
         if let Ok(path) = route_config::target::normalize_path(&raw, EncodedSlash::Keep) {
             let host = route_config::target::normalize_host(&host);
@@ -270,10 +274,10 @@
     }
 }
 
-/// A prefix is one at a segment's end only, and its own path is below it too.
+/// A prefix matches whole segments only, and also its own path.
 #[test]
-fn a_prefix_ends_with_a_segment() {
-    let prefix = Pattern::prefix("/a/b/").expect("a prefix");
+fn a_prefix_matches_whole_segments_only() {
+    let prefix = Pattern::prefix("/a/b/").expect("a valid prefix");
     let methods = vec![Method::GET];
     let table =
         RouteTable::new(vec![Condition { host: HostRule::Any, pattern: prefix, methods, headers: vec![] }]);
--- a/crates/route-config/tests/rules.rs
+++ b/crates/route-config/tests/rules.rs
@@ -1,6 +1,6 @@
-//! Whatever file is valid: no sequence of outcomes makes the compiled settings send what must not be sent.
-//! Files are generated, and for each one every sequence of outcomes up to its attempts is played, at the
-//! extremes of time.
+//! For every valid file, no sequence of outcomes makes a balancer with the compiled settings send what the
+//! rules forbid. Files are generated, and for each of them every sequence of outcomes that its attempts allow
+//! is run, at the extremes of time.
 
 use join_up_to::*;
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
 const START: Duration = Duration::from_secs(1000);
 const ID: RequestId = RequestId(7);
 
-/// The settings of a class as text, some of them contradictory, so that many files are invalid.
+/// The settings of a class as text. Some contradict each other, so that many files are invalid.
 fn request_settings() -> impl Strategy<Value = String> {
     let ms = |range: std::ops::Range<u64>| range.prop_map(|ms| format!("\"{ms}ms\""));
     let line = |key: &'static str, value: BoxedStrategy<String>| {
@@ -64,7 +64,8 @@
 }
 
 fn file() -> impl Strategy<Value = String> {
-    (class(), request_settings(), prop::option::weighted(0.3, request_settings())).prop_map(|(class, terms, of_route)| {
+    let route_settings = prop::option::weighted(0.3, request_settings());
+    (class(), request_settings(), route_settings).prop_map(|(class, settings, route_settings)| {
         let mut text = String::from("[[listener]]\naddress = \"127.0.0.1:0\"\n[[cluster]]\nname = \"a\"\n");
         for n in 0..8 {
             text += &format!(
@@ -74,18 +75,18 @@
                 n % 4,
             );
         }
-        text += &format!("[[class]]\nname = \"c\"\n{class}{terms}");
+        text += &format!("[[class]]\nname = \"c\"\n{class}{settings}");
         let route = "[[route]]\nclass = \"c\"\ncluster = \"a\"\nprefix = ";
-        text + &format!("{route}\"/\"\n{route}\"/b\"\n{}", of_route.unwrap_or_default())
+        text + &format!("{route}\"/\"\n{route}\"/b\"\n{}", route_settings.unwrap_or_default())
     })
 }
 
-/// How one attempt ends: which of those that are out, how, and how long after it could have been.
+/// How one attempt ends: which of those in progress, with which outcome, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct End {
     which: usize,
     outcome: Outcome,
-    /// 0 at once, 1 just before its time is over, 2 when it is.
+    /// 0: at once; 1: just before its timeout; 2: at its timeout.
     when: u8,
 }
 
@@ -114,35 +115,36 @@
     }
 }
 
-/// One request of a class, with bookkeeping of its own.
-struct Play<'p> {
+/// Drives the balancer for one request of a class, with its own records of what was sent, to check the rules
+/// independently of the balancer.
+struct Run<'p> {
     balancer: Balancer,
     class: &'p Class,
     servers: BTreeMap<ServerId, ServerEntry>,
     now: Duration,
     sent: Vec<Sent>,
     timers: Vec<(Duration, u64)>,
-    answers: usize,
+    responses: usize,
 }
 
-impl<'p> Play<'p> {
+impl<'p> Run<'p> {
     fn begin(plan: &'p Plan, class: usize) -> Self {
         let cluster = &plan.clusters[0];
         let entries: Vec<_> = cluster.backends.iter().map(|b| b.entry).collect();
-        let mut play = Play {
+        let mut run = Run {
             balancer: Balancer::new(cluster.settings.clone(), 5),
             class: &cluster.settings.classes[class],
             servers: entries.iter().map(|entry| (entry.id, *entry)).collect(),
             now: START,
             sent: Vec::new(),
             timers: Vec::new(),
-            answers: 0,
+            responses: 0,
         };
-        play.handle(Event::List { kind: ListKind::Full, version: 1, entries });
-        let remaining = play.class.deadline;
+        run.handle(Event::List { kind: ListKind::Full, version: 1, entries });
+        let remaining = run.class.deadline;
         let new = NewRequest { id: ID, class, tenant: 0, key: 0, remaining, cost: None, client_retry: false };
-        play.handle(Event::Request(new));
-        play
+        run.handle(Event::Request(new));
+        run
     }
 
     fn handle(&mut self, event: Event) {
@@ -152,49 +154,52 @@
             match action {
                 Action::Send { server, timeout, .. } => self.check_send(server, timeout),
                 Action::Refuse { .. } => {
-                    let ran = self.sent.iter().any(Sent::may_have_run);
-                    let harmless =
+                    let may_have_run = self.sent.iter().any(Sent::may_have_run);
+                    let is_harmless =
                         matches!(self.class.repeat, Repeat::Safe | Repeat::Keyed { scope: Scope::All, .. });
-                    assert!(!ran || harmless, "refused, and it may have run");
-                    self.answers += 1;
+                    assert!(
+                        !may_have_run || is_harmless,
+                        "rejected as harmless to retry, but it may have been executed"
+                    );
+                    self.responses += 1;
                 }
-                Action::Fail { .. } => self.answers += 1,
+                Action::Fail { .. } => self.responses += 1,
                 Action::SetTimer { after, token } => self.timers.push((self.now + after, token)),
                 Action::Cancel { .. } => {}
                 other => panic!("unexpected {other:?}"),
             }
         }
-        assert!(self.answers <= 1, "a second answer");
+        assert!(self.responses <= 1, "a second response");
     }
 
     fn check_send(&mut self, server: ServerId, timeout: Duration) {
-        assert_eq!(self.answers, 0, "sent after its answer");
+        assert_eq!(self.responses, 0, "sent after the response");
         let end = START + self.class.deadline;
         assert!(self.now < end && self.now + timeout <= end, "sent beyond its deadline");
-        assert!(self.sent.iter().all(|s| s.server != server), "to a box that has had it");
-        let most = self.class.attempt_policy.max_attempts.expect("a file says it");
-        assert!(self.sent.len() < most as usize, "more attempts than allowed");
+        assert!(self.sent.iter().all(|s| s.server != server), "sent again to the same backend");
+        let max_attempts = self.class.attempt_policy.max_attempts.expect("set in every plan");
+        assert!(self.sent.len() < max_attempts as usize, "more attempts than allowed");
         if let Some(first) = self.sent.iter().find(|s| s.may_have_run()) {
-            let (home, there) = (&self.servers[&first.server], &self.servers[&server]);
+            let (first_entry, entry) = (&self.servers[&first.server], &self.servers[&server]);
             match self.class.repeat {
                 Repeat::Safe => {}
-                Repeat::Unsafe => panic!("an unsafe request that may have run is sent again"),
+                Repeat::Unsafe => panic!("an unsafe request is sent again after it may have been executed"),
                 Repeat::Keyed { scope, window } => {
-                    assert!(self.now < first.at + window, "a keyed request is sent after its window");
-                    let inside = match scope {
+                    assert!(self.now < first.at + window, "a keyed request is sent again after its window");
+                    let is_in_scope = match scope {
                         Scope::All => true,
-                        Scope::Zone => home.zone == there.zone,
-                        Scope::Cell => home.cell == there.cell,
+                        Scope::Zone => first_entry.zone == entry.zone,
+                        Scope::Cell => first_entry.cell == entry.cell,
                     };
-                    assert!(inside, "a keyed request leaves its scope");
+                    assert!(is_in_scope, "a keyed request is sent to a backend outside its scope");
                 }
             }
         }
         self.sent.push(Sent { server, at: self.now, until: self.now + timeout, outcome: None });
     }
 
-    /// Lets the timers ring that are due until then, in order.
-    fn pass(&mut self, until: Duration) {
+    /// Advances the time to `until`, and fires the timers that are due by then, in order.
+    fn advance(&mut self, until: Duration) {
         while let Some(first) = self.timers.iter().map(|(at, _)| *at).min().filter(|at| *at <= until) {
             let at = self.timers.iter().position(|(at, _)| *at == first).expect("a timer");
             let (due, token) = self.timers.remove(at);
@@ -204,30 +209,36 @@
         self.now = self.now.max(until);
     }
 
-    fn out(&self) -> Vec<usize> {
+    fn in_progress(&self) -> Vec<usize> {
         (0..self.sent.len()).filter(|i| self.sent[*i].outcome.is_none()).collect()
     }
 
-    /// Waits for an attempt that is out, and returns how many are; none once the answer is there.
-    fn settle(&mut self) -> usize {
-        while self.answers == 0 && self.out().is_empty() {
-            let next = self.timers.iter().map(|(at, _)| *at).min().expect("a timer, or it never ends");
-            self.pass(next);
+    /// Advances the time until an attempt is in progress, and returns the number of those; 0 after the
+    /// response.
+    fn wait_for_attempt(&mut self) -> usize {
+        while self.responses == 0 && self.in_progress().is_empty() {
+            let next = self
+                .timers
+                .iter()
+                .map(|(at, _)| *at)
+                .min()
+                .expect("a timer, as the request would never end without one");
+            self.advance(next);
         }
-        if self.answers > 0 { 0 } else { self.out().len() }
+        if self.responses > 0 { 0 } else { self.in_progress().len() }
     }
 
     fn end(&mut self, end: End) {
-        let out = self.out();
-        let number = out[end.which.min(out.len() - 1)];
+        let in_progress = self.in_progress();
+        let number = in_progress[end.which.min(in_progress.len() - 1)];
         let until = self.sent[number].until;
         let at = match end.when {
             0 => self.now,
             1 => until.saturating_sub(Duration::from_millis(1)).max(self.now),
             _ => until.max(self.now),
         };
-        self.pass(at);
-        if self.answers > 0 {
+        self.advance(at);
+        if self.responses > 0 {
             return;
         }
         self.sent[number].outcome = Some(end.outcome);
@@ -244,28 +255,32 @@
     }
 }
 
-/// Plays every sequence of ends from here on; returns how many there were.
+/// Runs every sequence of ends that begins with `path`, and returns their number.
 fn explore(plan: &Plan, class: usize, path: &mut Vec<End>) -> usize {
-    let mut play = Play::begin(plan, class);
-    let mut out = play.settle();
+    let mut run = Run::begin(plan, class);
+    let mut in_progress = run.wait_for_attempt();
     for end in path.iter() {
-        play.end(*end);
-        out = play.settle();
+        run.end(*end);
+        in_progress = run.wait_for_attempt();
     }
-    if out == 0 {
-        assert_eq!(play.answers, 1, "one answer");
-        assert!(play.now <= START + play.class.deadline, "in time: {:?}", play.now - START);
+    if in_progress == 0 {
+        assert_eq!(run.responses, 1, "exactly one response");
+        assert!(
+            run.now <= START + run.class.deadline,
+            "a response after the deadline: {:?}",
+            run.now - START
+        );
         return 1;
     }
-    let mut leaves = 0;
-    for which in 0..out {
+    let mut sequences = 0;
+    for which in 0..in_progress {
         for (outcome, when) in ENDS {
             path.push(End { which, outcome, when });
-            leaves += explore(plan, class, path);
+            sequences += explore(plan, class, path);
             path.pop();
         }
     }
-    leaves
+    sequences
 }
 
 #[test]
@@ -278,31 +293,31 @@
         ..Config::default()
     };
     let mut runner = TestRunner::new(config);
-    let (mut accepted, mut refused, mut leaves, mut retried) = (0, 0, 0, 0);
+    let (mut accepted, mut rejected, mut sequences, mut retried) = (0, 0, 0, 0);
     while accepted < ACCEPTED {
-        assert!(refused < 5000, "{refused} files refused and only {accepted} accepted");
+        assert!(rejected < 5000, "{rejected} files rejected and only {accepted} accepted");
         let text = file().new_tree(&mut runner).expect("a file").current();
         let Ok(loaded) = route_config::load(text.as_bytes()) else {
-            refused += 1;
+            rejected += 1;
             continue;
         };
         accepted += 1;
         for class in 0..loaded.plan.clusters[0].settings.classes.len() {
-            let played = std::panic::catch_unwind(|| explore(&loaded.plan, class, &mut Vec::new()));
-            let played = played.unwrap_or_else(|_| panic!("under this file:\n{text}"));
-            leaves += played;
-            retried += usize::from(played > ENDS.len());
+            let run_count = std::panic::catch_unwind(|| explore(&loaded.plan, class, &mut Vec::new()));
+            let run_count = run_count.unwrap_or_else(|_| panic!("under this file:\n{text}"));
+            sequences += run_count;
+            retried += usize::from(run_count > ENDS.len());
         }
     }
-    // Else the generator has stopped to try what it is for.
+    // Otherwise the generator no longer creates the files that this test is for.
     assert!(retried > ACCEPTED / 3, "only {retried} classes had a second attempt");
-    assert!(refused > ACCEPTED / 2, "only {refused} files were refused");
-    println!("{accepted} files accepted, {refused} refused, {leaves} sequences played");
+    assert!(rejected > ACCEPTED / 2, "only {rejected} files were rejected");
+    println!("{accepted} files accepted, {rejected} rejected, {sequences} sequences run");
 }
 
-/// The same for the example that operators begin with.
+/// Checks the same for the example that operators start from.
 #[test]
-fn the_example_keeps_the_rules() {
+fn no_sequence_of_outcomes_breaks_a_rule_under_the_example() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/example.toml");
     let loaded = route_config::load(&std::fs::read(path).expect("the example")).expect("a good file");
     for class in 0..loaded.plan.clusters[0].settings.classes.len() {
