--- a/crates/route-config/src/explain.rs
+++ b/crates/route-config/src/explain.rs
@@ -1,6 +1,6 @@
 //! Explains how a request would be handled: its route, where each of its settings comes from, and every
 //! attempt that could be made, with its times. All of this is read from the plan; nothing is simulated. The
-//! text is for operators.
+//! text is for operators, so its wording must stay as it is.
 
 use crate::diagnostic::Lines;
 use crate::model::File;
--- a/crates/route-config/src/model.rs
+++ b/crates/route-config/src/model.rs
@@ -82,11 +82,11 @@
     pub max_memory: Option<Located<u64>>,
     /// The request header that names the tenant.
     pub tenant_header: Option<Located<HeaderName>>,
-    /// Whether a request with `%2F` in its path is forwarded unchanged or rejected.
+    /// Whether `%2F` in a path is kept, or the request is rejected.
     pub encoded_slash: Option<Located<EncodedSlash>>,
     /// `further-attempts`: the retry budget over all clusters.
     pub retry_budget: Option<Located<RetryBudget>>,
-    /// Whether a request or response head with a line that ends in LF alone is accepted.
+    /// Whether a head with a line that ends in LF alone is accepted.
     pub line_endings: Option<Located<LineEndings>>,
     /// How long responses in progress may continue after a shutdown has begun or their backend drains; `None`
     /// inside for no limit.
@@ -174,7 +174,7 @@
     pub warm_up: Option<Located<WarmUp>>,
     /// The limit of requests in flight at a backend; `None` inside for no limit.
     pub limit: Option<Located<Option<LimitRule>>>,
-    /// The time over which the share of a newly added backend grows to its full share of requests.
+    /// The time over which a newly added backend's share of the requests grows to its full value.
     pub slow_start: Option<Located<Duration>>,
     /// `[[cluster.step]]`: the brownout rules; `None` for the built-in ones.
     pub brownout: Option<Vec<BrownoutRule>>,
--- a/crates/route-config/src/plan/mod.rs
+++ b/crates/route-config/src/plan/mod.rs
@@ -31,7 +31,7 @@
     pub max_sockets: usize,
     /// The maximum memory for connections and requests in flight, in bytes.
     pub max_memory: u64,
-    /// Whether a request with `%2F` in its path is forwarded unchanged or rejected.
+    /// Whether `%2F` in a path is kept, or the request is rejected.
     pub encoded_slash: EncodedSlash,
     /// The request header that names the tenant.
     pub tenant_header: HeaderName,
--- a/crates/route-config/src/route.rs
+++ b/crates/route-config/src/route.rs
@@ -412,11 +412,11 @@
 
 /// Whether some request meets the method and header conditions of both routes.
 fn can_both_match(x: &Condition, y: &Condition) -> bool {
-    let contradict = |(name, value): &HeaderRule, (other, theirs): &HeaderRule| {
-        name == other && value.is_some() && theirs.is_some() && value != theirs
+    let contradict = |(name, value): &HeaderRule, (other_name, other_value): &HeaderRule| {
+        name == other_name && value.is_some() && other_value.is_some() && value != other_value
     };
     x.methods.iter().any(|method| y.methods.contains(method))
-        && !x.headers.iter().any(|mine| y.headers.iter().any(|theirs| contradict(mine, theirs)))
+        && !x.headers.iter().any(|a| y.headers.iter().any(|b| contradict(a, b)))
 }
 
 /// Whether the condition requires a value for each of its headers.
