--- a/crates/route-config/src/check/node.rs
+++ b/crates/route-config/src/check/node.rs
@@ -1,14 +1,15 @@
-//! Checks of the node and its tenants.
+//! Checks of the node's settings and of the tenants' shares.
 
 use crate::diagnostic::{Code, Diagnostic, Report};
 use crate::model::File;
 use crate::read::closest_word;
 use std::collections::HashSet;
 
-/// The maximum number of zones of the balancer.
+/// The maximum number of zones that the balancer distinguishes.
 const MAX_ZONES: usize = 200;
 
-/// The node's zone has backends, there are not too many zones, and its number is less than the number of nodes.
+/// Checks that the node's zone has backends, that there are not too many zones, and that the node's index is
+/// below the number of nodes.
 pub(super) fn node(file: &File, report: &mut Report) {
     let zones: HashSet<_> = file
         .clusters
@@ -19,33 +20,33 @@
     if let Some(zone) = file.node.zone.as_ref().filter(|zone| !zones.contains(zone.value.as_str())) {
         let help = match closest_word(&zone.value, zones.iter().copied()) {
             Some(known) => format!("did you mean `{known}`?"),
-            None => "boxes say theirs with `zone`".into(),
+            None => "set `zone` for the backends that are in it".into(),
         };
-        let message = format!("no box is in the zone `{}`", zone.value);
+        let message = format!("no backend is in the zone `{}`", zone.value);
         report.push(Diagnostic::new(Code::UnknownZone, zone.span.clone(), message, help));
     }
     if zones.len() > MAX_ZONES {
         let span = file.clusters[0].name.span.clone();
-        let message = format!("the boxes are in {} zones", zones.len());
-        let help = format!("{MAX_ZONES} zones are told apart at most");
+        let message = format!("the backends are in {} zones", zones.len());
+        let help = format!("use at most {MAX_ZONES} zones");
         report.push(Diagnostic::new(Code::NumberOutOfRange, span, message, help));
     }
     let nodes = file.node_count();
     if let Some(number) = file.node.number.as_ref().filter(|number| number.value >= nodes) {
-        let message = format!("there is no node number {} among {nodes}", number.value);
-        let help = "`number` counts from 0 and `nodes` is how many there are";
+        let message = format!("node number {} is not below the number of nodes, {nodes}", number.value);
+        let help = "`number` counts from 0, and `nodes` is the number of nodes";
         report.push(Diagnostic::new(Code::NumberOutOfRange, number.span.clone(), message, help));
     }
 }
 
-/// The tenants' shares add up to 1 at most.
+/// Checks that the tenants' shares add up to at most 1.
 pub(super) fn shares(file: &File, report: &mut Report) {
     let sum: f64 = file.tenants.iter().filter_map(|t| Some(t.share.as_ref()?.value)).sum();
-    // Sums of decimal fractions are not exact.
+    // The tolerance allows for rounding in sums of decimal fractions.
     if let Some(last) = file.tenants.iter().rev().find_map(|t| t.share.as_ref()).filter(|_| sum > 1.0 + 1e-6)
     {
         let message = format!("the tenants' shares add up to {:.1}%", sum * 100.0);
-        let help = "make them 100% together, or less";
+        let help = "lower them to at most 100% in total";
         report.push(Diagnostic::new(Code::SharesExceedOne, last.span.clone(), message, help));
     }
 }
--- a/crates/route-config/src/check/request_settings.rs
+++ b/crates/route-config/src/check/request_settings.rs
@@ -1,5 +1,5 @@
-//! Checks of request settings against each other, so that no sequence of outcomes breaks a rule: repeats, times, budgets,
-//! responses.
+//! Checks the settings of a class or a route against each other, so that no sequence of attempts and outcomes
+//! can break a rule.
 
 use crate::diagnostic::{Code, Diagnostic, Report};
 use crate::model::{Class, File, Span};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use units::format_duration;
 
-/// The position of a value, or that of the class if it is built in.
+/// The position of a value, or that of the class's name if the value is a built-in default.
 pub(super) fn span_of<T>(value: &ResolvedValue<T>, class: &Class) -> Span {
     value.span.clone().unwrap_or_else(|| class.name.span.clone())
 }
@@ -16,7 +16,7 @@
 /// Checks the settings of a class or a route.
 pub(super) fn request_settings(file: &File, class: &Class, settings: &ResolvedSettings, report: &mut Report) {
     let mut check = SettingsCheck { file, class, settings, report };
-    check.unsafe_repeats();
+    check.unsafe_retries();
     check.hedging();
     check.key_window();
     check.attempts();
@@ -25,14 +25,14 @@
     check.budget();
     check.latency_target();
     check.tenant_rates();
-    check.wait();
+    check.max_queue_time();
     check.fallback();
     check.upgrade();
-    check.pauses();
+    check.stream_limits();
     check.queue();
 }
 
-/// The settings that are being checked, and their class.
+/// The check of the resolved settings of a class or of one of its routes.
 struct SettingsCheck<'a> {
     file: &'a File,
     class: &'a Class,
@@ -41,52 +41,56 @@
 }
 
 impl SettingsCheck<'_> {
-    /// Reports an error of these settings, with a related position.
+    /// Reports an error, with an optional related position and its label.
     fn report_error(
         &mut self,
         code: Code,
         span: Span,
         message: String,
         help: String,
-        also: Option<(Span, &str)>,
+        related: Option<(Span, &str)>,
     ) {
         let diagnostic = Diagnostic::new(code, span, message, help);
-        self.report.push(match also {
+        self.report.push(match related {
             Some((span, what)) => diagnostic.with_related(span, what),
             None => diagnostic,
         });
     }
 
-    /// The position of a value of these settings.
+    /// The position to report for a value.
     fn span_of<T>(&self, value: &ResolvedValue<T>) -> Span {
         span_of(value, self.class)
     }
 
     /// Whether a request may have more than one attempt.
-    fn repeats(&self) -> bool {
+    fn allows_retries(&self) -> bool {
         self.settings.max_attempts.value > 1
     }
 
-    /// An unsafe request is not retried once it may have been executed.
-    fn unsafe_repeats(&mut self) {
+    /// An unsafe request must not be retried after an attempt that may have been executed.
+    fn unsafe_retries(&mut self) {
         let class = self.class;
         let settings = self.settings;
         let name = &self.class.name.value;
         if self.class.repeat.value == Repeat::Unsafe
-            && self.repeats()
+            && self.allows_retries()
             && settings.retry_on.value.may_have_run()
         {
             self.report_error(
                 Code::UnsafeRetried,
                 self.span_of(&settings.retry_on),
-                format!("`{name}` is unsafe, and would be sent again after it may have run"),
-                "write `retry-on = [\"never-ran\"]` or `attempts = 1` for it".into(),
-                Some((class.repeat.span.clone(), "unsafe: it must never run twice")),
+                format!(
+                    "class `{name}` is unsafe, but allows retries after an attempt that may have been \
+                 executed"
+                ),
+                "set `retry-on = [\"never-ran\"]` or `attempts = 1`".into(),
+                Some((class.repeat.span.clone(), "unsafe: must not be executed twice")),
             );
         }
     }
 
-    /// Hedged requests are sent while their attempt lasts, within the maximum of attempts, and never for an unsafe class.
+    /// Hedged requests must be sent while the previous attempt is in progress, count as attempts, and are not
+    /// allowed for an unsafe class.
     fn hedging(&mut self) {
         let class = self.class;
         let settings = self.settings;
@@ -96,9 +100,9 @@
                 self.report_error(
                     Code::UnsafeHedged,
                     self.span_of(&settings.hedging),
-                    format!("`{name}` is unsafe, and a second copy of it would run beside the first"),
-                    "write `copies = false` for it".into(),
-                    Some((class.repeat.span.clone(), "unsafe: it must never run twice")),
+                    format!("class `{name}` is unsafe, but allows hedged requests, which run in parallel"),
+                    "set `copies = false`".into(),
+                    Some((class.repeat.span.clone(), "unsafe: must not be executed twice")),
                 );
             }
             if hedging.delay >= settings.max_attempt_duration() {
@@ -106,12 +110,13 @@
                     Code::HedgeTooLate,
                     self.span_of(&settings.hedging),
                     format!(
-                        "a copy after {} is due when its attempt is over, after {}",
+                        "a hedged request after {} is too late: the attempt times out after {}",
                         format_duration(hedging.delay),
                         format_duration(settings.max_attempt_duration())
                     ),
-                    "let `after` be a part of the attempt's time, such as its usual 95th percentile".into(),
-                    settings.attempt_timeout.span.clone().map(|span| (span, "the attempt's time")),
+                    "set `after` below the attempt's timeout, such as to the 95th percentile of latencies"
+                        .into(),
+                    settings.attempt_timeout.span.clone().map(|span| (span, "the attempt's timeout")),
                 );
             }
             if hedging.max_per_request >= settings.max_attempts.value {
@@ -119,132 +124,135 @@
                     Code::HedgesWithoutAttempts,
                     self.span_of(&settings.hedging),
                     format!(
-                        "{} copies and a first attempt are more than {}",
+                        "{} hedged requests and the first attempt exceed the maximum of {} attempts",
                         hedging.max_per_request, settings.max_attempts.value
                     ),
-                    format!("write `attempts = {}` or fewer copies", hedging.max_per_request + 1),
+                    format!("set `attempts = {}`, or allow fewer `copies`", hedging.max_per_request + 1),
                     settings
                         .max_attempts
                         .span
                         .clone()
-                        .map(|span| (span, "the most attempts, copies included")),
+                        .map(|span| (span, "the maximum number of attempts, hedged ones included")),
                 );
             }
         }
     }
 
-    /// A keyed request is not sent again after backends have forgotten its key.
+    /// A keyed request must not be sent again after backends have forgotten its key.
     fn key_window(&mut self) {
         let class = self.class;
         let settings = self.settings;
         let name = &self.class.name.value;
         let deadline = settings.deadline();
         if let Repeat::Keyed { window, .. } = self.class.repeat.value {
-            let by_copies =
+            let last_hedge =
                 settings.hedging.value.map_or(Duration::ZERO, |c| c.delay.saturating_mul(c.max_per_request));
-            let last = if self.repeats() && settings.retry_on.value.may_have_run() {
-                settings.latest_start(settings.max_attempts.value - 1).min(deadline).max(by_copies)
+            let last = if self.allows_retries() && settings.retry_on.value.may_have_run() {
+                settings.latest_start(settings.max_attempts.value - 1).min(deadline).max(last_hedge)
             } else {
-                by_copies
+                last_hedge
             };
             if last >= window {
                 let help = match settings.attempt_timeout.value {
-                    None => "limit each attempt with `attempt-time`, or retry only what never ran".into(),
+                    None => {
+                        "limit each attempt with `attempt-time`, or set `retry-on = [\"never-ran\"]`".into()
+                    }
                     Some(_) => format!(
-                        "shorten `attempt-time` or `back-off`, or let the boxes remember for {}",
+                        "shorten `attempt-time` or `back-off`, or extend `window` beyond {}",
                         format_duration(last)
                     ),
                 };
-                let blame = if settings.retry_on.value.may_have_run() {
+                let position = if settings.retry_on.value.may_have_run() {
                     self.span_of(&settings.retry_on)
                 } else {
                     self.span_of(&settings.hedging)
                 };
                 self.report_error(
                     Code::RetryAfterKeyWindow,
-                    blame,
+                    position,
                     format!(
-                        "`{name}` may be sent again {} after its first send, and boxes remember its key for {}",
+                        "class `{name}` allows an attempt {} after the first, but backends remember its key \
+                         for {}",
                         format_duration(last),
                         format_duration(window)
                     ),
                     help,
-                    Some((class.repeat.span.clone(), "keyed")),
+                    Some((class.repeat.span.clone(), "the class is keyed")),
                 );
             }
         }
     }
 
-    /// The attempts and the waits between them fit into the request's timeout.
+    /// All attempts and the back-offs between them must fit into the request's timeout.
     fn attempts(&mut self) {
         let settings = self.settings;
-        let time = settings.timeout.value;
+        let timeout = settings.timeout.value;
         let deadline = settings.deadline();
-        if let Some(attempt) = settings.attempt_timeout.value.filter(|attempt| *attempt > time) {
+        if let Some(attempt) = settings.attempt_timeout.value.filter(|attempt| *attempt > timeout) {
             self.report_error(
                 Code::AttemptTooLong,
                 self.span_of(&settings.attempt_timeout),
                 format!(
-                    "an attempt of {} is longer than its request, which has {}",
+                    "the attempt's timeout of {} exceeds the request's timeout of {}",
                     format_duration(attempt),
-                    format_duration(time)
+                    format_duration(timeout)
                 ),
-                format!("write at most \"{}\"", format_duration(time)),
-                settings.timeout.span.clone().map(|span| (span, "the request's time")),
+                format!("set at most \"{}\"", format_duration(timeout)),
+                settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
             );
-        } else if self.repeats() {
+        } else if self.allows_retries() {
             let last = settings.max_attempts.value - 1;
             let total = match settings.attempt_timeout.value {
                 Some(attempt) => settings.latest_start(last).saturating_add(attempt),
-                // Without a timeout of its own an attempt may use all the time, and the next one has none: only the
-                // certain waits count.
+                // Without a timeout of its own, an attempt may use all the time that is left, and no other
+                // follows it. Only the back-offs are certain then.
                 None => settings.backoffs_before(last).saturating_add(Duration::from_nanos(1)),
             };
             if total > deadline {
-                let blame = if settings.attempt_timeout.span.is_some() {
+                let position = if settings.attempt_timeout.span.is_some() {
                     &settings.attempt_timeout.span
                 } else {
                     &settings.backoff.span
                 };
                 self.report_error(
                     Code::AttemptsExceedTimeout,
-                    blame.clone().unwrap_or_else(|| self.span_of(&settings.max_attempts)),
+                    position.clone().unwrap_or_else(|| self.span_of(&settings.max_attempts)),
                     format!(
-                        "{} attempts and the waits between them may take {}, and the request has {}",
+                        "{} attempts and the back-offs between them may take {}, but the request ends after \
+                         {}",
                         settings.max_attempts.value,
                         format_duration(total),
                         format_duration(deadline)
                     ),
-                    "write fewer attempts, shorter ones or shorter waits, or give the request more time"
-                        .into(),
-                    settings.timeout.span.clone().map(|span| (span, "the request's time")),
+                    "allow fewer attempts, shorten them or the back-offs, or extend `time`".into(),
+                    settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
                 );
             }
         }
     }
 
-    /// No request lasts longer than its client waits.
+    /// A request must not last longer than its client waits.
     fn client_timeout(&mut self) {
         let settings = self.settings;
-        let time = settings.timeout.value;
+        let timeout = settings.timeout.value;
         if let Some(client_timeout) =
-            settings.client_timeout.value.filter(|client_timeout| time > *client_timeout)
+            settings.client_timeout.value.filter(|client_timeout| timeout > *client_timeout)
         {
             self.report_error(
                 Code::ExceedsClientTimeout,
                 self.span_of(&settings.timeout),
                 format!(
-                    "clients wait for {}, and a request may take {}",
+                    "clients wait for {}, but a request may take {}",
                     format_duration(client_timeout),
-                    format_duration(time)
+                    format_duration(timeout)
                 ),
-                format!("write `time = \"{}\"` or less", format_duration(client_timeout)),
-                settings.client_timeout.span.clone().map(|span| (span, "the clients' patience")),
+                format!("set `time = \"{}\"` or less", format_duration(client_timeout)),
+                settings.client_timeout.span.clone().map(|span| (span, "the clients' timeout")),
             );
         }
     }
 
-    /// A connect leaves time for a response.
+    /// Opening a connection must leave time for a response. The built-in default is not checked.
     fn connect_timeout(&mut self) {
         let settings = self.settings;
         if settings.connect_timeout.span.is_some()
@@ -254,21 +262,21 @@
                 Code::ConnectTooLong,
                 self.span_of(&settings.connect_timeout),
                 format!(
-                    "a connect of {} leaves nothing of an attempt of {}",
+                    "a connect timeout of {} leaves no time for a response within an attempt of {}",
                     format_duration(settings.connect_timeout.value),
                     format_duration(settings.max_attempt_duration())
                 ),
-                "write a part of the attempt's time".into(),
+                "set it below the attempt's timeout".into(),
                 None,
             );
         }
     }
 
-    /// Retries have a budget.
+    /// Retries need a budget greater than zero.
     fn budget(&mut self) {
         let settings = self.settings;
         let name = &self.class.name.value;
-        if self.repeats()
+        if self.allows_retries()
             && settings.retry_budget.value.share == 0.0
             && settings.retry_budget.value.per_s == 0.0
         {
@@ -276,76 +284,78 @@
                 Code::RetriesWithoutBudget,
                 self.span_of(&settings.retry_budget),
                 format!(
-                    "`{name}` may have {} attempts, and a budget of none beyond the first",
+                    "class `{name}` allows {} attempts, but its retry budget is zero",
                     settings.max_attempts.value
                 ),
-                "write `attempts = 1`, or a budget such as `{ share = 0.2, floor = \"1/s\" }`".into(),
-                settings.max_attempts.span.clone().map(|span| (span, "the most attempts")),
+                "set `attempts = 1`, or a budget such as `{ share = 0.2, floor = \"1/s\" }`".into(),
+                settings.max_attempts.span.clone().map(|span| (span, "the maximum number of attempts")),
             );
         }
     }
 
-    /// The latency target is within the timeout.
+    /// The latency target must not exceed the timeout.
     fn latency_target(&mut self) {
         let settings = self.settings;
-        let time = settings.timeout.value;
+        let timeout = settings.timeout.value;
         if let Some(latency_target) =
-            settings.latency_target.value.filter(|latency_target| *latency_target > time)
+            settings.latency_target.value.filter(|latency_target| *latency_target > timeout)
         {
             self.report_error(
                 Code::LatencyTargetTooLong,
                 self.span_of(&settings.latency_target),
                 format!(
-                    "the aim of {} is longer than the request's time, {}",
+                    "the latency target of {} exceeds the request's timeout of {}",
                     format_duration(latency_target),
-                    format_duration(time)
+                    format_duration(timeout)
                 ),
-                format!("write at most \"{}\"", format_duration(time)),
-                settings.timeout.span.clone().map(|span| (span, "the request's time")),
+                format!("set at most \"{}\"", format_duration(timeout)),
+                settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
             );
         }
     }
 
-    /// The rates of all tenants together reach the floor of the retry budget.
+    /// The rate limits of all tenants together must reach the floor of the retry budget.
     fn tenant_rates(&mut self) {
         let settings = self.settings;
         if let Some(rate) = settings.tenant_rate.value {
-            let all = rate.per_s * self.file.tenants.len().max(1) as f64;
-            if all < settings.retry_budget.value.per_s {
+            let total_rate = rate.per_s * self.file.tenants.len().max(1) as f64;
+            if total_rate < settings.retry_budget.value.per_s {
                 self.report_error(
                     Code::TenantRatesBelowRetryBudget,
                     self.span_of(&settings.tenant_rate),
                     format!(
-                        "all tenants together may send {all} requests a second, and the budget's floor is {} retries",
+                        "all tenants together may send {total_rate} requests per second, but the retry \
+                         budget's floor is {}",
                         settings.retry_budget.value.per_s
                     ),
-                    "lower the floor of `budget`, or allow more requests".into(),
-                    settings.retry_budget.span.clone().map(|span| (span, "the budget")),
+                    "lower the floor of `budget`, or raise `tenant-rate`".into(),
+                    settings.retry_budget.span.clone().map(|span| (span, "the retry budget")),
                 );
             }
         }
     }
 
-    /// A wait leaves time for a response.
-    fn wait(&mut self) {
+    /// Queueing for capacity of the backends must leave time for a response.
+    fn max_queue_time(&mut self) {
         let settings = self.settings;
         let deadline = settings.deadline();
-        if let Some(wait) = settings.max_queue_time.value.filter(|wait| *wait >= deadline) {
+        if let Some(queue_time) = settings.max_queue_time.value.filter(|time| *time >= deadline) {
             self.report_error(
                 Code::QueueTooLong,
                 self.span_of(&settings.max_queue_time),
                 format!(
-                    "a wait of {} leaves nothing of the request's {}",
-                    format_duration(wait),
+                    "queueing for {} leaves no time for a response within the request's {}",
+                    format_duration(queue_time),
                     format_duration(deadline)
                 ),
-                "let it wait for a part of its time, so that an answer can still come".into(),
-                settings.timeout.span.clone().map(|span| (span, "the request's time")),
+                "set it well below the request's timeout".into(),
+                settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
             );
         }
     }
 
-    /// Only a safe class may have a fallback: its clients may take that for a response.
+    /// Only a safe class may have a fallback: clients of other classes could take it for the success of their
+    /// request.
     fn fallback(&mut self) {
         let class = self.class;
         let settings = self.settings;
@@ -355,15 +365,15 @@
                 Code::FallbackInClassWithEffects,
                 self.span_of(&settings.fallback),
                 format!(
-                    "`{name}` has effects, and a client that gets a fallback would think that it had one"
+                    "class `{name}` has side effects, and a client could take the fallback for a success"
                 ),
-                "write `fallback = false` here, or make it that of a safe class".into(),
-                Some((class.repeat.span.clone(), "has effects")),
+                "set `fallback = false`, or use a safe class".into(),
+                Some((class.repeat.span.clone(), "the class has side effects")),
             );
         }
     }
 
-    /// Protocols are switched by GET, so only a safe class can have that.
+    /// Protocol upgrades are requested by GET, so only a safe class can have them.
     fn upgrade(&mut self) {
         let class = self.class;
         let settings = self.settings;
@@ -373,37 +383,36 @@
                 Code::UpgradeInClassWithEffects,
                 self.span_of(&settings.upgrade),
                 format!(
-                    "`{name}` has effects, and a switch of protocol comes by GET, which it does not take"
+                    "class `{name}` has side effects and rejects GET, by which protocol upgrades are \
+                     requested"
                 ),
-                "write `upgrade = false` here, or give those requests a safe class".into(),
-                Some((class.repeat.span.clone(), "has effects")),
+                "set `upgrade = false`, or use a safe class".into(),
+                Some((class.repeat.span.clone(), "the class has side effects")),
             );
         }
     }
 
-    /// The maximum gap of a stream is shorter than its maximum duration.
-    fn pauses(&mut self) {
+    /// The maximum gap within a stream, if set, must not exceed its maximum duration.
+    fn stream_limits(&mut self) {
         let settings = self.settings;
-        if let Some(whole) = settings
-            .max_stream_duration
-            .value
-            .filter(|whole| *whole < settings.max_stream_gap.value && settings.max_stream_gap.span.is_some())
-        {
+        if let Some(max_duration) = settings.max_stream_duration.value.filter(|max_duration| {
+            *max_duration < settings.max_stream_gap.value && settings.max_stream_gap.span.is_some()
+        }) {
             self.report_error(
                 Code::StreamShorterThanGap,
                 self.span_of(&settings.max_stream_gap),
                 format!(
-                    "a pause of {} is never reached: the answer is cut after {}",
+                    "a gap of {} is never reached: the response ends after {}",
                     format_duration(settings.max_stream_gap.value),
-                    format_duration(whole)
+                    format_duration(max_duration)
                 ),
-                format!("write at most \"{}\"", format_duration(whole)),
-                settings.max_stream_duration.span.clone().map(|span| (span, "cut here")),
+                format!("set at most \"{}\"", format_duration(max_duration)),
+                settings.max_stream_duration.span.clone().map(|span| (span, "the maximum duration")),
             );
         }
     }
 
-    /// A queue has a maximum of requests in flight that fills it, and leaves time for a response.
+    /// A queue needs a maximum number of requests in flight, and must leave time for a response.
     fn queue(&mut self) {
         let settings = self.settings;
         let deadline = settings.deadline();
@@ -412,8 +421,8 @@
                 self.report_error(
                     Code::QueueWithoutLimit,
                     self.span_of(&settings.queue),
-                    "nothing waits in this queue, as there is no limit on requests in hand".into(),
-                    "add `in-hand = 100`, or leave the queue out".into(),
+                    "this queue is never used, as requests in flight have no maximum".into(),
+                    "add `in-hand = 100`, or remove the queue".into(),
                     None,
                 );
             }
@@ -422,12 +431,12 @@
                     Code::QueueTooLong,
                     self.span_of(&settings.queue),
                     format!(
-                        "a wait of {} leaves nothing of the request's {}",
+                        "queueing for {} leaves no time for a response within the request's {}",
                         format_duration(queue.max_time),
                         format_duration(deadline)
                     ),
-                    "let it wait for a part of its time, so that an answer can still come".into(),
-                    settings.timeout.span.clone().map(|span| (span, "the request's time")),
+                    "set it well below the request's timeout".into(),
+                    settings.timeout.span.clone().map(|span| (span, "the request's timeout")),
                 );
             }
         }
