--- a/crates/marlwinch/src/command/checks.rs
+++ b/crates/marlwinch/src/command/checks.rs
@@ -1,5 +1,5 @@
-//! Tools of the system beside its roles: the checks of settings, configuration and policy files, and the status of a
-//! coordinator. Each writes to the output that it is passed and returns the exit code.
+//! The commands that check settings, configuration and policy files, and the command that shows the status of
+//! a coordinator. Each writes its result to the given output and returns the exit code.
 
 use super::exit::INVALID_FILE;
 use super::status_client::fetch_status;
@@ -13,7 +13,7 @@
 use std::process::ExitCode;
 
 quick_error! {
-    /// Why a policy file can't be used.
+    /// Why a policy file is rejected.
     #[derive(Debug)]
     pub enum PolicyFileError {
         /// The file can't be read.
@@ -21,7 +21,7 @@
             display("{}: {error}", path.display())
             source(error)
         }
-        /// The text is not a valid policy; with its first error.
+        /// The text is not a valid policy. Holds the first error.
         Invalid(path: PathBuf, error: PolicyError) {
             display("{}: {error}", path.display())
             source(error)
@@ -29,18 +29,20 @@
     }
 }
 
-/// Checks a settings file. Writes its first error, or the node that it belongs to.
+/// Checks a settings file. Writes the first error, or the name of the node if there is none.
 pub fn check_settings(path: &Path, out: &mut impl Write) -> ExitCode {
     match Settings::load(path) {
-        Ok(settings) => {
-            write_lines(out, &[format!("{}: settings of {}", path.display(), settings.node_name)], 0)
-        }
+        Ok(settings) => write_lines(
+            out,
+            &[format!("{}: valid settings for node {}", path.display(), settings.node_name)],
+            0,
+        ),
         Err(error) => write_lines(out, &[error.to_string()], INVALID_FILE),
     }
 }
 
-/// Checks a configuration as a coordinator does. Writes each error on a line of its own, or how
-/// many routes, services and tenants there are.
+/// Checks a configuration with the validation of the coordinators. Writes one line for each error, or the
+/// generation and the numbers of routes, services and tenants if there is none.
 pub fn check_configuration(path: &Path, out: &mut impl Write) -> ExitCode {
     let bytes = match std::fs::read(path) {
         Ok(bytes) => bytes,
@@ -51,7 +53,11 @@
             let (generation, routes) = (configuration.generation, configuration.routes.len());
             let (services, tenants) = (configuration.services.len(), configuration.tenants.len());
             let counts = format!("{routes} routes, {services} services, {tenants} tenants");
-            write_lines(out, &[format!("{}: generation {generation}, {counts}", path.display())], 0)
+            write_lines(
+                out,
+                &[format!("{}: valid configuration, generation {generation}: {counts}", path.display())],
+                0,
+            )
         }
         Err(errors) => {
             let line = |error: &configuration::ConfigurationError| format!("{}: {error}", path.display());
@@ -70,15 +76,16 @@
     Policy::parse(&text).map_err(|error| PolicyFileError::Invalid(path.into(), error))
 }
 
-/// Checks a policy file. Writes its first error, or that there is none.
+/// Checks a policy file. Writes the first error, or that the file is valid.
 pub fn check_policy(path: &Path, out: &mut impl Write) -> ExitCode {
     match read_policy(path) {
-        Ok(_) => write_lines(out, &[format!("{}: a sound policy", path.display())], 0),
+        Ok(_) => write_lines(out, &[format!("{}: valid policy", path.display())], 0),
         Err(error) => write_lines(out, &[error.to_string()], INVALID_FILE),
     }
 }
 
-/// Fetches the status of the coordinator with this control address and writes it as a table.
+/// Fetches the status of the coordinator with this control address and writes it as tables. Writes the error
+/// and returns [`INVALID_FILE`] if that fails.
 pub fn show_status(address: SocketAddrV4, out: &mut impl Write) -> ExitCode {
     match fetch_status(address) {
         Ok(status) => write_lines(out, &format_status(&status), 0),
@@ -86,7 +93,7 @@
     }
 }
 
-/// Writes lines. A reader that has closed its end, such as `head`, is no error.
+/// Writes lines. Write errors are ignored, as a reader such as `head` may close the pipe early.
 fn write_lines(out: &mut impl Write, lines: &[String], code: u8) -> ExitCode {
     for line in lines {
         let _ = writeln!(out, "{line}");
--- a/crates/marlwinch/src/command/status_client.rs
+++ b/crates/marlwinch/src/command/status_client.rs
@@ -10,29 +10,29 @@
 const STEP_TIMEOUT: Duration = Duration::from_secs(3);
 /// The largest response that is read, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 8 << 20;
-/// What ends the head of a response.
+/// The end of the header section of a response.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 quick_error! {
-    /// Why there is no status.
+    /// Why the status could not be fetched.
     #[derive(Debug)]
     pub enum StatusError {
-        /// A step of the exchange failed.
+        /// A step of the exchange failed or timed out.
         Io(step: &'static str, peer: SocketAddrV4, error: std::io::Error) {
             display("{step} {peer}: {error}")
             source(error)
         }
-        /// The response ends within its head.
+        /// The response ends before the end of its header section.
         MissingHeadEnd(peer: SocketAddrV4) {
-            display("answer of {peer}: it has no end of its head")
+            display("response of {peer}: ended within the header section")
         }
-        /// The response has another status code than 200; with its first line.
+        /// The status code of the response is not 200. Holds its status line.
         UnexpectedStatus(peer: SocketAddrV4, status_line: String) {
-            display("answer of {peer}: {status_line}")
+            display("response of {peer}: {status_line}")
         }
-        /// The body is not the status of a coordinator.
+        /// The body is not a valid status of a coordinator.
         InvalidBody(peer: SocketAddrV4, error: serde_json::Error) {
-            display("answer of {peer}: {error}")
+            display("response of {peer}: invalid status: {error}")
             source(error)
         }
     }
@@ -55,13 +55,14 @@
     serde_json::from_slice(body).map_err(|error| StatusError::InvalidBody(address, error))
 }
 
-/// Sends the request and reads until the coordinator closes. HTTP/1.0 asks for a body that is not chunked.
+/// Sends the request and reads until the coordinator closes the connection. As the request is HTTP/1.0, the
+/// body is not chunked.
 fn exchange(address: SocketAddrV4) -> Result<Vec<u8>, StatusError> {
     let io_error = |step| move |error| StatusError::Io(step, address, error);
     let mut stream =
         TcpStream::connect_timeout(&SocketAddr::V4(address), STEP_TIMEOUT).map_err(io_error("connect to"))?;
-    stream.set_read_timeout(Some(STEP_TIMEOUT)).map_err(io_error("set time-out of"))?;
-    stream.set_write_timeout(Some(STEP_TIMEOUT)).map_err(io_error("set time-out of"))?;
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).map_err(io_error("set a time-out for"))?;
+    stream.set_write_timeout(Some(STEP_TIMEOUT)).map_err(io_error("set a time-out for"))?;
     let request = format!("GET /api/status HTTP/1.0\r\nHost: {address}\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).map_err(io_error("write to"))?;
     let mut response = Vec::new();
--- a/crates/marlwinch/src/command/status_table.rs
+++ b/crates/marlwinch/src/command/status_table.rs
@@ -1,16 +1,16 @@
-//! Formats the status of a coordinator as a table for the terminal.
+//! Formats the status of a coordinator as tables for the terminal.
 
 use coordinator::agents::AgentStatus;
 use coordinator::index_audits::{AuditedBackend, IndexStatus, MismatchStatus};
 use coordinator::status::{CoordinatorStatus, EndpointListStatus, MemberStatus};
 
-/// Formats a status. Each item is a line without its end.
+/// Formats a status. Each item is a line without its newline.
 pub fn format_status(status: &CoordinatorStatus) -> Vec<String> {
     let mut lines = vec![format!(
         "{}: {}, {}",
         status.node,
-        if status.has_quorum_contact { "in touch with a majority" } else { "NOT in touch with a majority" },
-        if status.acting_head { "acting head" } else { "not the head" },
+        if status.has_quorum_contact { "quorum contact" } else { "NO quorum contact" },
+        if status.acting_head { "acting head" } else { "not the acting head" },
     )];
     let configuration = &status.configuration;
     lines.push(format!(
@@ -24,13 +24,17 @@
     };
     lines.push(format!("view {}:", view.number));
     lines.extend(format_table(
-        &["place", "node", "address", "zone", "heard"],
+        &["position", "node", "address", "zone", "recent contact"],
         view.members.iter().map(member_row),
     ));
-    lines.push(format!("nodes: {}, {} connected here", status.nodes, status.agents.len()));
+    lines.push(format!(
+        "nodes: {} in the fleet, {} connected to this coordinator",
+        status.nodes,
+        status.agents.len()
+    ));
     if !status.agents.is_empty() {
         lines.extend(format_table(
-            &["node", "zone", "in force", "behind", "heard ms ago"],
+            &["node", "zone", "applied", "lag", "received ms ago"],
             status.agents.iter().map(agent_row),
         ));
     }
@@ -40,27 +44,35 @@
     lines
 }
 
-/// Formats the audit of the index: every backend, and the newest mismatches.
+/// Formats the audit of the index of prompt blocks: every backend, and the newest mismatches.
 fn format_index(index: &IndexStatus) -> Vec<String> {
     let matching = index.backends.iter().filter(|backend| backend.state == "matching").count();
     let mut lines = vec![format!("index: {matching} of {} backends match", index.backends.len())];
     let headers = [
         "backend",
-        "parts",
+        "blocks",
         "unconfirmed",
         "compared ms ago",
         "dropped",
         "forgotten",
-        "sizes",
-        "by themselves",
+        "size differs",
+        "gone by themselves",
         "state",
     ];
     lines.extend(format_table(&headers, index.backends.iter().map(backend_row)));
     let (count, older) = (index.mismatches.len(), index.older_mismatches);
     lines.push(format!("mismatches: {count} shown, {older} older"));
     if count > 0 {
-        let headers =
-            ["backend", "part", "kind", "in index", "at backend", "seen ms ago", "looks", "outcome"];
+        let headers = [
+            "backend",
+            "block",
+            "kind",
+            "tokens in index",
+            "tokens at backend",
+            "first seen ms ago",
+            "observations",
+            "outcome",
+        ];
         lines.extend(format_table(&headers, index.mismatches.iter().map(mismatch_row)));
     }
     lines
@@ -96,8 +108,11 @@
 }
 
 fn format_endpoint_list(list: &EndpointListStatus) -> String {
-    let reader = list.reader.as_deref().unwrap_or("nobody known");
-    format!("backends: {} in list {}, {} ms old, read by {reader}", list.count, list.version, list.age_ms)
+    let reader = list.reader.as_deref().unwrap_or("an unknown node");
+    format!(
+        "backends: {} in list version {}, {} ms old, fetched by {reader}",
+        list.count, list.version, list.age_ms
+    )
 }
 
 fn member_row(member: &MemberStatus) -> Vec<String> {
@@ -120,7 +135,7 @@
     ]
 }
 
-/// Formats rows under their headers, each column as wide as its widest cell.
+/// Formats rows below their headers. Each column is as wide as its widest cell.
 fn format_table(headers: &[&str], rows: impl Iterator<Item = Vec<String>>) -> Vec<String> {
     let mut table = vec![headers.iter().map(|header| header.to_string()).collect::<Vec<_>>()];
     table.extend(rows);
--- a/crates/marlwinch/tests/system_tools.rs
+++ b/crates/marlwinch/tests/system_tools.rs
@@ -1,4 +1,4 @@
-//! The system's commands beside its roles: checks of files, and a coordinator's status as a table.
+//! The commands that check settings, configuration and policy files, and the table of a coordinator's status.
 
 use marlwinch::command::checks::{check_configuration, check_policy, check_settings};
 use marlwinch::command::status_client::fetch_status;
@@ -20,55 +20,57 @@
 {"node":"frontend-b-1","zone":"b","in_force":11,"lag":1,"heard_ms_ago":1200}],"later":1}"#;
 
 const TABLE: &str = "\
-core-a-1: in touch with a majority, acting head
+core-a-1: quorum contact, acting head
 configuration: generation 31, sequence 12 committed, 12 stored
-backends: 16 in list 907, 240 ms old, read by core-a-1
+backends: 16 in list version 907, 240 ms old, fetched by core-a-1
 view 4:
-  place  node      address         zone  heard
-  1      core-a-1  10.1.0.29:7680  a     yes
-  2      core-b-1  10.2.0.37:7680  b     yes
-  voter  ?         10.3.0.30:7680  c     NO
-nodes: 2, 2 connected here
-  node          zone  in force  behind  heard ms ago
-  frontend-a-1  a     12        0       80
-  frontend-b-1  b     11        1       1200";
+  position  node      address         zone  recent contact
+  1         core-a-1  10.1.0.29:7680  a     yes
+  2         core-b-1  10.2.0.37:7680  b     yes
+  voter     ?         10.3.0.30:7680  c     NO
+nodes: 2 in the fleet, 2 connected to this coordinator
+  node          zone  applied  lag  received ms ago
+  frontend-a-1  a     12       0    80
+  frontend-b-1  b     11       1    1200";
 
-/// A coordinator that answers one question with these bytes.
-fn coordinator(answer: String) -> SocketAddrV4 {
+/// Starts a coordinator that sends these bytes as the response to one request.
+fn start_coordinator(response: String) -> SocketAddrV4 {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind");
-    let SocketAddr::V4(address) = listener.local_addr().expect("address") else { panic!("not version 4") };
+    let SocketAddr::V4(address) = listener.local_addr().expect("address") else {
+        panic!("not an IPv4 address")
+    };
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("accept");
-        let (mut request, mut piece) = (Vec::new(), [0; 512]);
+        let (mut request, mut chunk) = (Vec::new(), [0; 512]);
         while !request.ends_with(b"\r\n\r\n") {
-            let count = stream.read(&mut piece).expect("read");
-            request.extend_from_slice(&piece[..count]);
+            let count = stream.read(&mut chunk).expect("read");
+            request.extend_from_slice(&chunk[..count]);
         }
         assert!(request.starts_with(b"GET /api/status HTTP/1.0\r\n"));
-        stream.write_all(answer.as_bytes()).expect("write");
+        stream.write_all(response.as_bytes()).expect("write");
     });
     address
 }
 
 #[test]
-fn a_status_is_shown_as_a_table() {
-    let answer = format!("HTTP/1.0 200 OK\r\nContent-Type: application/json\r\n\r\n{STATUS}");
-    let status = fetch_status(coordinator(answer)).expect("a status");
+fn status_is_formatted_as_tables() {
+    let response = format!("HTTP/1.0 200 OK\r\nContent-Type: application/json\r\n\r\n{STATUS}");
+    let status = fetch_status(start_coordinator(response)).expect("a status");
     assert_eq!(format_status(&status).join("\n"), TABLE);
 }
 
 #[test]
-fn an_answer_that_is_no_status_is_reported_with_its_sender() {
-    let address = coordinator("HTTP/1.0 404 Not Found\r\n\r\n".into());
-    let told = fetch_status(address).expect_err("no status").to_string();
-    assert_eq!(told, format!("answer of {address}: HTTP/1.0 404 Not Found"));
-    let address = coordinator("HTTP/1.0 200 OK\r\n\r\n{\"node\":".into());
-    let told = fetch_status(address).expect_err("no status").to_string();
-    assert!(told.starts_with(&format!("answer of {address}: EOF")), "{told}");
+fn an_invalid_status_response_is_reported_with_the_address() {
+    let address = start_coordinator("HTTP/1.0 404 Not Found\r\n\r\n".into());
+    let error = fetch_status(address).expect_err("no status").to_string();
+    assert_eq!(error, format!("response of {address}: HTTP/1.0 404 Not Found"));
+    let address = start_coordinator("HTTP/1.0 200 OK\r\n\r\n{\"node\":".into());
+    let error = fetch_status(address).expect_err("no status").to_string();
+    assert!(error.starts_with(&format!("response of {address}: invalid status: EOF")), "{error}");
 }
 
-/// A file with a text, in a folder that lasts as long as the test.
-fn file(name: &str, text: &str) -> PathBuf {
+/// Writes a file to the temporary folder of the tests.
+fn write_file(name: &str, text: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("write");
     path
@@ -79,37 +81,38 @@
 }
 
 #[test]
-fn files_are_checked_line_by_line() {
+fn checks_write_a_summary_or_one_line_per_error() {
     let mut out = Vec::new();
-    let good = file("good.yaml", "node_name: n\nip: 10.0.0.1\ninternal_port_range: [7680, 7695]\n");
+    let good = write_file("good.yaml", "node_name: n\nip: 10.0.0.1\ninternal_port_range: [7680, 7695]\n");
     assert_eq!(format!("{:?}", check_settings(&good, &mut out)), exit(0));
-    let bad = file("bad.yaml", "node_name: n\nip: 10.0.0.1\ninternal_port_range: [7680, 7680]\n");
+    let bad = write_file("bad.yaml", "node_name: n\nip: 10.0.0.1\ninternal_port_range: [7680, 7680]\n");
     assert_eq!(format!("{:?}", check_settings(&bad, &mut out)), exit(3));
-    let good_too = file("good.json", r#"{"generation":7,"services":[{"name":"s"}]}"#);
+    let good_too = write_file("good.json", r#"{"generation":7,"services":[{"name":"s"}]}"#);
     assert_eq!(format!("{:?}", check_configuration(&good_too, &mut out)), exit(0));
-    let bad_too = file("bad.json", r#"{"generation":7,"services":[{"name":"s"},{"name":"s"},{"name":"s"}]}"#);
+    let bad_too =
+        write_file("bad.json", r#"{"generation":7,"services":[{"name":"s"},{"name":"s"},{"name":"s"}]}"#);
     assert_eq!(format!("{:?}", check_configuration(&bad_too, &mut out)), exit(3));
-    let told = String::from_utf8(out).expect("text");
+    let output = String::from_utf8(out).expect("text");
     let expected = [
-        format!("{}: settings of n", good.display()),
+        format!("{}: valid settings for node n", good.display()),
         format!("{}: internal_port_range: has 1 port, but 2 are required", bad.display()),
-        format!("{}: generation 7, 0 routes, 1 services, 0 tenants", good_too.display()),
+        format!("{}: valid configuration, generation 7: 0 routes, 1 services, 0 tenants", good_too.display()),
         format!("{}: /services/1/name: the same name as /services/0", bad_too.display()),
         format!("{}: /services/2/name: the same name as /services/1", bad_too.display()),
         String::new(),
     ];
     let expected = expected.join("\n");
-    assert_eq!(told, expected);
+    assert_eq!(output, expected);
 }
 
 #[test]
-fn a_policy_file_is_checked_with_the_place_of_its_fault() {
-    let good = file("good.toml", "[routing]\nslack = 0.02\n");
-    let bad = file("bad.toml", "[routing]\nslack = 7\n");
+fn an_invalid_policy_is_reported_with_line_and_column() {
+    let good = write_file("good.toml", "[routing]\nslack = 0.02\n");
+    let bad = write_file("bad.toml", "[routing]\nslack = 7\n");
     let mut out = Vec::new();
     assert_eq!(format!("{:?}", check_policy(&good, &mut out)), exit(0));
     assert_eq!(format!("{:?}", check_policy(&bad, &mut out)), exit(3));
-    let told = String::from_utf8(out).expect("text");
-    assert!(told.contains("good.toml: a sound policy"), "{told}");
-    assert!(told.contains("bad.toml: line 2, column 9: 7 is not between 0 and 1"), "{told}");
+    let output = String::from_utf8(out).expect("text");
+    assert!(output.contains("good.toml: valid policy"), "{output}");
+    assert!(output.contains("bad.toml: line 2, column 9: 7 is not between 0 and 1"), "{output}");
 }
