--- a/crates/marlwinch/src/command/overload/error.rs
+++ b/crates/marlwinch/src/command/overload/error.rs
@@ -6,21 +6,21 @@
     /// Why a surge can't be simulated.
     #[derive(Debug)]
     pub enum SurgeError {
-        /// There is no rate.
+        /// The rate is missing.
         MissingRate {
             display("--overload needs --rate, such as --rate 2000/s")
         }
-        /// The simulation would take too long; with the highest rate, in requests a second.
+        /// The simulation would take too long. Holds the highest rate, in requests per second.
         RateTooHigh(highest: f64) {
-            display("--rate: at most {highest:.0}/s can be played")
+            display("--rate: too high, at most {highest:.0}/s can be simulated")
         }
-        /// An option names a class that no route has; with the option, the class, and all that there are.
+        /// An option names a class that no route has. Holds the option, the class and the known classes.
         UnknownClass(option: &'static str, class: String, known: String) {
-            display("{option}: no route is of the class `{class}`; there are {known}")
+            display("{option}: no route has the class `{class}`; known classes: {known}")
         }
-        /// A part of the mix names a tenant that the file has not.
+        /// A part of the mix names a tenant that the file does not define.
         UnknownTenant(tenant: String) {
-            display("--mix: the file has no tenant `{tenant}`")
+            display("--mix: the file defines no tenant `{tenant}`")
         }
     }
 }
--- a/crates/marlwinch/src/command/overload/mix.rs
+++ b/crates/marlwinch/src/command/overload/mix.rs
@@ -1,4 +1,4 @@
-//! The mix of requests of a surge: which classes and tenants they are of, checked against a plan of routes.
+//! The mix of requests of a surge by class and tenant, checked against the plan of routes.
 
 use super::arguments::{MixPart, OverloadArguments};
 use super::error::SurgeError;
@@ -12,7 +12,7 @@
     classes
 }
 
-/// Checks that a class which an option names is a class of the plan.
+/// Checks that the plan has a class that an option names.
 pub fn check_class(plan: &Plan, option: &'static str, class: &str) -> Result<(), SurgeError> {
     let known = known_classes(plan);
     if known.contains(&class) {
@@ -21,7 +21,8 @@
     Err(SurgeError::UnknownClass(option, class.into(), known.join(", ")))
 }
 
-/// The mix of the arguments, or all classes and tenants evenly. Each part has a tenant, if the plan has tenants.
+/// The mix of the arguments, or all classes and tenants with equal weight. Each part has a tenant if the plan
+/// has any.
 pub fn resolve_mix(plan: &Plan, arguments: &OverloadArguments) -> Result<Vec<MixPart>, SurgeError> {
     let mut parts = Vec::new();
     if arguments.mix.is_empty() {
--- a/crates/marlwinch/src/command/overload/mod.rs
+++ b/crates/marlwinch/src/command/overload/mod.rs
@@ -1,5 +1,6 @@
-//! `marlwinch explain --overload`: which requests would be served and which rejected under a surge. Translates the arguments
-//! for the package `overload-simulation`, which plays the surge in virtual time, and formats its result.
+//! `marlwinch explain --overload`: which requests would be served and which rejected during a surge.
+//! Translates the arguments for the package `overload-simulation`, which simulates the surge in virtual time,
+//! and formats its result.
 
 mod arguments;
 mod error;
@@ -15,13 +16,14 @@
 use streams::{NamedStream, SIMULATED_SECONDS};
 use table::ClusterLoad;
 
-/// The most requests of a simulation: it takes some seconds.
+/// The largest number of requests of a simulation. So many take some seconds.
 const MAX_REQUESTS: f64 = 5e6;
 
-/// Simulates the surge for each cluster of a plan that receives requests of it. Returns a table for each.
+/// Simulates the surge for each cluster of the plan that receives requests of it. Returns one table for each
+/// cluster.
 ///
 /// # Errors
-/// The arguments name a class or tenant that the plan has not, or a rate that is missing or too high.
+/// The arguments name an unknown class or tenant, or the rate is missing or too high.
 pub fn explain_overload(plan: &Plan, arguments: &OverloadArguments) -> Result<String, SurgeError> {
     let rate = arguments.rate.ok_or(SurgeError::MissingRate)?;
     if rate * f64::from(SIMULATED_SECONDS) > MAX_REQUESTS {
@@ -50,7 +52,8 @@
     Ok(out)
 }
 
-/// The surge at a cluster. It is played with one node: the others are assumed to have as much of backends and requests.
+/// The surge at a cluster. One node is simulated with all ready backends and all requests; the other nodes
+/// are assumed to have the same ratio of backends to requests.
 fn cluster_surge(cluster: &ClusterPlan, arguments: &OverloadArguments, streams: &[NamedStream]) -> Surge {
     let ready =
         cluster.backends.iter().filter(|backend| backend.entry.state == join_up_to::ServerState::Ready);
--- a/crates/marlwinch/src/command/overload/streams.rs
+++ b/crates/marlwinch/src/command/overload/streams.rs
@@ -5,7 +5,7 @@
 use route_config::Plan;
 use std::time::Duration;
 
-/// The length of a surge.
+/// The duration of a surge.
 pub const SIMULATED_SECONDS: u32 = 30;
 /// The service time of a class without one in the arguments.
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(20);
@@ -14,13 +14,13 @@
 pub struct NamedStream {
     /// The name of its class.
     pub class: String,
-    /// The name of its tenant; empty without one.
+    /// The name of its tenant; empty if it has none.
     pub tenant: String,
     /// Its requests.
     pub stream: Stream,
 }
 
-/// The routes of a class that are alike to a surge: they lead to the same class of the same cluster.
+/// Where routes of a class lead. Routes with the same cluster and class count as one target of a surge.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RouteTarget {
     cluster: usize,
@@ -28,7 +28,8 @@
     time_limit: Duration,
 }
 
-/// The streams of a cluster: the requests of each part of the mix, divided evenly among the targets of its class's routes.
+/// The streams of a cluster. The requests of a part of the mix are divided evenly among the targets of its
+/// class.
 pub fn cluster_streams(
     plan: &Plan,
     cluster: usize,
@@ -75,7 +76,8 @@
     targets
 }
 
-/// The first time that names the class, else the first one for all classes. (`max_by_key` returns the last of equals.)
+/// The first time for this class, otherwise the first time for all classes. The list is reversed because
+/// `max_by_key` returns the last of equal items.
 fn service_time(times: &[ServiceTime], class: &str) -> Duration {
     let applies = |time: &&ServiceTime| time.class.as_ref().is_none_or(|its_class| its_class == class);
     let times = times.iter().rev().filter(applies);
--- a/crates/marlwinch/src/command/overload/table.rs
+++ b/crates/marlwinch/src/command/overload/table.rs
@@ -1,11 +1,11 @@
-//! Formats what a cluster did under a surge as a table for the terminal.
+//! Formats the result of a surge at a cluster as a table for the terminal.
 
 use super::streams::{NamedStream, SIMULATED_SECONDS};
 use overload_simulation::{StreamTally, Tally};
 use std::fmt::Write;
 
-/// The first part of a surge, in which concurrency limits adapt: it is left out of the last line.
-const LEARNING_SECONDS: u32 = 10;
+/// The concurrency limits adapt in the first seconds of a surge, so the last line of a table leaves them out.
+const WARM_UP_SECONDS: u32 = 10;
 
 /// A cluster and its load, for the first line of its table.
 pub struct ClusterLoad<'a> {
@@ -13,9 +13,9 @@
     pub name: &'a str,
     /// The number of its backends.
     pub backends: usize,
-    /// The requests that all its backends can work on at once.
+    /// The number of requests that all its backends together execute concurrently.
     pub cores: f64,
-    /// The work that is offered, as a number of such requests.
+    /// The offered load: arrival rate times mean service time, comparable to `cores`.
     pub offered: f64,
 }
 
@@ -27,13 +27,14 @@
     // Writing to a string can't fail.
     let _ = writeln!(
         out,
-        "cluster  {name}: {backends} boxes, {cores:.0} at once; work for {offered:.1} of these comes ({:.0}%)",
+        "cluster  {name}: {backends} backends for {cores:.0} concurrent requests; \
+         offered load {offered:.1} ({:.0}%)",
         100.0 * offered / cores.max(1.0)
     );
     let _ = writeln!(
         out,
         "  {:<class_width$}  {:<tenant_width$} {:>9} {:>9} {:>8} {:>8} {:>9} {:>9}",
-        "class", "tenant", "come/s", "served/s", "served", "refused", "p50", "p99"
+        "class", "tenant", "offered/s", "served/s", "served", "rejected", "p50", "p99"
     );
     for (stream, tally) in streams.iter().zip(&tally.streams) {
         let NamedStream { class, tenant, .. } = stream;
@@ -46,8 +47,9 @@
     });
     let _ = writeln!(
         out,
-        "  once limits are learnt {:.0} a second are served; a box may hold {lowest:.0} to {highest:.0} then; {} steps taken at the end",
-        tally.goodput(LEARNING_SECONDS as usize, SIMULATED_SECONDS as usize),
+        "  after the first {WARM_UP_SECONDS} s: {:.0} served/s; at the end: \
+         concurrency limit per backend {lowest:.0} to {highest:.0}, brownout level {}",
+        tally.goodput(WARM_UP_SECONDS as usize, SIMULATED_SECONDS as usize),
         tally.brownout_level
     );
 }
@@ -55,7 +57,7 @@
 fn write_figures(out: &mut String, tally: &StreamTally) {
     let percent = |part: u64| 100.0 * part as f64 / tally.arrived.max(1) as f64;
     let per_second = |count: u64| count as f64 / f64::from(SIMULATED_SECONDS);
-    // The histogram counts microseconds.
+    // The histogram is in microseconds.
     let latency_ms = |quantile| tally.latency.value_at_quantile(quantile) as f64 / 1000.0;
     let _ = writeln!(
         out,
--- a/crates/marlwinch/tests/overload.rs
+++ b/crates/marlwinch/tests/overload.rs
@@ -391,7 +391,7 @@
     assert!(served("correct", "pati") > 190.0, "what is worth more goes first\n{text}");
     for (rest, what) in [
         (&["--mix", "look=1"][..], "--rate"),
-        (&["--rate", "10/s", "--mix", "lok=1"], "no route is of the class `lok`"),
+        (&["--rate", "10/s", "--mix", "lok=1"], "no route has the class `lok`"),
         (&["--rate", "10/s", "--mix", "look@demak=1"], "no tenant `demak`"),
         (&["--rate", "1e9/s"], "--rate"),
         (&["--rate", "0/s"], "--rate"),
