--- a/crates/marlwinch/src/command/cli.rs
+++ b/crates/marlwinch/src/command/cli.rs
@@ -1,5 +1,5 @@
-//! The commands that are parsed with clap: the standalone proxy and its tools. The commands of the system are in
-//! [`system`](super::system).
+//! The commands that are parsed with clap: the standalone proxy and its tools. [`system`](super::system) has
+//! the commands of the distributed system.
 
 use super::demo::{self, DemoArguments, DemoOutcome};
 use super::exit::{FAILURE, INVALID_FILE, USAGE, fail};
@@ -18,30 +18,35 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The exit code where no route matches the request that is to be explained.
+/// The exit code if no route matches the request of `explain`.
 const NO_ROUTE: u8 = 4;
-/// The exit code where the load generator fell behind, so that its report is not valid.
+/// The exit code if the load generator fell behind its schedule, so that its report is not valid.
 const INVALID_REPORT: u8 = 5;
-/// The exit code where the demonstration found a rule broken.
+/// The exit code if a rule was broken in the demonstration, or its report is not valid.
 const RULE_BROKEN: u8 = 6;
 
 const ABOUT: &str = concat!(
-    "A load-balancing node: it takes clients' requests, sends each to a box by Join-Up-To(m), and sees to ",
-    "repeats, refusals, drains and cold boxes.\n\n",
-    "With no command it is the platform's node: ROUTER_CONFIG names its configuration, as README.md says.",
+    "A load-balancing reverse proxy: selects a backend for each request by Join-Up-To(m), and handles ",
+    "retries, overload, draining backends and slow start.\n\n",
+    "Without a command it runs as the platform's node. ROUTER_CONFIG is the path of its configuration; ",
+    "see README.md.",
 );
 
 const AFTER: &str = "\
 Exit codes:
-  0  all is well
-  1  the node could not start, or could not go on
-  2  the command line makes no sense
-  3  the operator's file is refused
-  4  no route takes the request that was to be explained
-  5  the load generator could not keep up: its report says why, and is not valid
-  6  the demonstration found a rule broken, or is not valid
-
-Of `trial`: 0 passed, 1 something was found, 2 the plan is bad, 3 the rig could not keep up, so that there is no verdict
+  0  success
+  1  failure, such as a node that could not start or an output file that could not be written
+  2  invalid command line, or an invalid load plan or report
+  3  invalid node configuration file
+  4  explain: no route matches the request
+  5  load: the generator fell behind its schedule; the report has the reason and is not valid
+  6  demo: a rule was broken, or the report is not valid
+
+Exit codes of `trial`:
+  0  passed
+  1  violations found, or failure
+  2  invalid command line, plan or history
+  3  no verdict, as the machine was too slow
 
 Examples:
   marlwinch check deploy/example.toml
@@ -52,8 +57,10 @@
   marlwinch load 127.0.0.1:8080 --rate 200 --for 10s
   marlwinch trial run stalled --report reports
 
-A running node takes its file in anew on SIGHUP, whole or not at all, and ends on SIGTERM or SIGINT once all that it has
-taken is answered. It logs to standard error; MARLWINCH_LOG=debug shows each attempt that fails.";
+Signals to a node: SIGHUP reloads its file, or keeps the current one if the new one is invalid. \
+SIGTERM and SIGINT shut it down after all accepted requests have a response.
+
+The node logs to standard error. MARLWINCH_LOG=debug logs each failed attempt.";
 
 #[derive(Parser)]
 #[command(name = "marlwinch", version, about = ABOUT, after_help = AFTER, max_term_width = 110)]
@@ -62,46 +69,48 @@
     command: Option<Command>,
 }
 
-/// The commands. The comments of the variants and fields are the help text.
+/// The commands. The doc comments of the variants and fields are the help text.
 #[derive(Subcommand)]
 enum Command {
-    /// Play an evening on loopback: boxes, discovery, a node and traffic, and what became of the four rules
+    /// Run a demonstration on loopback: backends with failures, discovery, a node and load; then check four
+    /// rules
     Demo(DemoArguments),
-    /// Send load on an open-loop schedule, or compare two reports of it
+    /// Send load on an open-loop schedule, or compare two reports
     Load(LoadArguments),
-    /// Play bad evenings with many processes of this program and broken links between them
+    /// Test nodes with injected faults: run a plan with many processes of this program, and check what
+    /// happened
     #[command(subcommand)]
     Trial(TrialCommand),
-    /// Run a node from an operator's file alone, with the boxes listed in it
+    /// Run a node with the backends that its configuration file lists
     Run {
-        /// The operator's file (TOML); docs/operators/file.md has every key
+        /// The node's configuration file (TOML); docs/operators/file.md describes every key
         file: PathBuf,
     },
-    /// Check an operator's file: every fault with its place, the rule it would break, and what to write instead
+    /// Check a node's configuration file: print each error with its location, its reason and a correction
     Check {
-        /// The operator's file
+        /// The node's configuration file (TOML)
         file: PathBuf,
-        /// Print one JSON object, to standard output
+        /// Print the result as one JSON object to standard output
         #[arg(long)]
         json: bool,
     },
-    /// Show what would become of a request: its route, class and limits, and every attempt that could be made; or, with
-    /// --overload, who would be served and who refused in a surge
+    /// Show how a node would handle a request: its route, class, limits and possible attempts; or, with
+    /// --overload, which requests would be served and rejected during a surge
     Explain {
-        /// The operator's file
+        /// The node's configuration file (TOML)
         file: PathBuf,
-        /// The request's method
+        /// Method of the request
         #[arg(required_unless_present = "overload")]
         method: Option<Method>,
-        /// Its path, perhaps with a query, as a client would send it
+        /// Path of the request, with or without a query, as a client sends it
         #[arg(required_unless_present = "overload")]
         path: Option<String>,
-        /// Play a surge of --rate through the limits of the file, in virtual time
+        /// Simulate a surge with the rate of --rate and the limits of the file, in virtual time
         #[arg(long, requires = "rate", conflicts_with_all = ["method", "path", "headers"])]
         overload: bool,
         #[command(flatten)]
         surge: OverloadArguments,
-        /// A header of the request, as `Name: value`; may be given more than once
+        /// Header field of the request, as `Name: value`; can be repeated
         #[arg(short = 'H', long = "header", value_name = "HEADER", value_parser = parse_header)]
         headers: Vec<(HeaderName, HeaderValue)>,
     },
@@ -113,15 +122,15 @@
     enum HeaderArgumentError {
         /// There is no colon.
         MissingColon {
-            display("write it as `Name: value`")
+            display("expected `Name: value`")
         }
-        /// The name is invalid.
+        /// The field name is invalid.
         Name(error: InvalidHeaderName) {
             from()
             display("{error}")
             source(error)
         }
-        /// The value is invalid.
+        /// The field value is invalid.
         Value(error: InvalidHeaderValue) {
             from()
             display("{error}")
@@ -137,7 +146,7 @@
     Ok((name, value))
 }
 
-/// Parses the command line and runs the command; without one it is the platform's node.
+/// Parses the command line and runs the command, or the platform's node if there is none.
 pub fn main() -> ExitCode {
     match Arguments::parse().command {
         None => platform::main(),
@@ -151,7 +160,7 @@
         Some(Command::Explain { file, method: Some(method), path: Some(path), headers, .. }) => {
             explain_request(&file, &method, &path, headers)
         }
-        Some(Command::Explain { .. }) => fail(&"explain takes a method and a path, or --overload", USAGE),
+        Some(Command::Explain { .. }) => fail(&"explain needs a method and a path, or --overload", USAGE),
     }
 }
 
@@ -175,12 +184,12 @@
     match file_node::run(file) {
         Ok(()) => ExitCode::SUCCESS,
         Err(file_node::RunError::InvalidFile(rejected)) => print_diagnostics(file, &rejected),
-        // Log lines that were queued are written by now, or nobody reads them.
+        // Queued log lines have been written by now, unless nobody reads them.
         Err(file_node::RunError::Failed(problem)) => fail(&problem, FAILURE),
     }
 }
 
-/// Writes what is wrong with an operator's file to standard error, and returns the exit code.
+/// Writes the diagnostics of an operator's file to standard error, and returns the exit code.
 fn print_diagnostics(file: &Path, rejected: &InvalidSource) -> ExitCode {
     eprint!("{}", diagnostics::text(file, rejected));
     ExitCode::from(INVALID_FILE)
--- a/crates/marlwinch/src/command/demo/background.rs
+++ b/crates/marlwinch/src/command/demo/background.rs
@@ -1,5 +1,5 @@
-//! The parts of the demonstration that run until the process ends, each on a thread of its own: the handler of signals, the
-//! backends with discovery, and the node.
+//! The components of the demonstration that run until the process ends, each on its own thread: the signal
+//! handler, the backends with discovery, and the node.
 
 use super::error::DemoError;
 use standalone_proxy::platform_node::config;
@@ -13,12 +13,13 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::LocalSet;
 
-/// How long a part may take to start.
+/// The time limit for the start of a component.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// What a shell adds to the number of the signal that ended a process.
+/// The exit code of a process that a signal ended is this plus the signal's number, as shells report it.
 const SIGNAL_EXIT_BASE: i32 = 128;
 
-/// Runs a part on a thread of its own, and returns the first result that it reports.
+/// Runs a component on its own thread and returns the first result that it reports. The name is for error
+/// messages.
 fn start_thread<T: Send + 'static>(
     name: &'static str,
     run: impl FnOnce(Sender<Result<T, DemoError>>) + Send + 'static,
@@ -26,15 +27,16 @@
     let (reporter, reports) = channel();
     let spawned = std::thread::Builder::new().name(name.into()).spawn(move || run(reporter));
     spawned.map_err(DemoError::Thread)?;
-    reports.recv_timeout(START_TIMEOUT).map_err(|_| DemoError::StartTimeout(name))?
+    reports.recv_timeout(START_TIMEOUT).map_err(|_| DemoError::StartTimeout(name, START_TIMEOUT))?
 }
 
 fn new_runtime() -> Result<tokio::runtime::Runtime, DemoError> {
     tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(DemoError::Runtime)
 }
 
-/// From now on SIGINT and SIGTERM end the process, with all that runs in it. Neither does by itself: whoever starts the
-/// process in the background may have it ignore SIGINT, and the node takes SIGTERM for its own shutdown alone.
+/// From now on SIGINT and SIGTERM end the process and all its components. The default actions would not: a
+/// shell that starts the process in the background lets it ignore SIGINT, and the node handles SIGTERM as a
+/// shutdown of itself only.
 pub fn end_on_signals() -> Result<(), DemoError> {
     start_thread("signals", move |reporter| {
         let wait = || -> Result<(), DemoError> {
@@ -58,8 +60,7 @@
 
 /// Starts the backends and discovery.
 pub fn start_backends(script: Script) -> Result<Arc<Environment>, DemoError> {
-    // The name stands in the text of a time-out.
-    start_thread("boxes", move |reporter| {
+    start_thread("backends", move |reporter| {
         let result = new_runtime().and_then(|runtime| {
             let environment = runtime.block_on(Environment::start(&script)).map_err(DemoError::Backends)?;
             Ok((runtime, Arc::new(environment)))
@@ -74,7 +75,7 @@
     })
 }
 
-/// Starts the node with a configuration, and returns the address at which it accepts clients.
+/// Starts the node with a configuration in JSON, and returns the address at which it accepts clients.
 pub fn start_node(configuration: String) -> Result<SocketAddr, DemoError> {
     start_thread("node", move |reporter| {
         let error_reporter = reporter.clone();
--- a/crates/marlwinch/src/command/demo/configuration.rs
+++ b/crates/marlwinch/src/command/demo/configuration.rs
@@ -1,14 +1,14 @@
-//! The configuration of the demonstration's node, as the platform would write it.
+//! The configuration of the demonstration's node, in the format of the platform.
 
 use test_servers::environment::Environment;
 
-/// A class of requests in the settings. Times are in milliseconds.
+/// A request class in the settings. Times are in milliseconds.
 fn class(name: &str, target_ms: f64, give_up_ms: f64, idempotency: &str, credit: f64) -> serde_json::Value {
     serde_json::json!({"Name": name, "Target": target_ms, "GiveUp": give_up_ms, "Idempotency": idempotency,
         "Group": "zone", "Window": 600.0, "Credit": credit})
 }
 
-/// The configuration, as JSON, of a node in front of these backends.
+/// The configuration in JSON of a node for these backends.
 pub fn node_configuration(environment: &Environment) -> String {
     let settings = serde_json::json!({
         "NInstances": 1, "Ordinal": 0, "Zone": 0, "Quantum": 1.0, "RegistryMode": "push",
--- a/crates/marlwinch/src/command/demo/error.rs
+++ b/crates/marlwinch/src/command/demo/error.rs
@@ -1,4 +1,4 @@
-//! Why the demonstration did not take place.
+//! Why the demonstration could not run.
 
 use load_generator::plan::PlanError;
 use quick_error::quick_error;
@@ -6,10 +6,11 @@
 use standalone_proxy::platform_node::run::RunError;
 use std::io;
 use std::path::PathBuf;
+use std::time::Duration;
 use test_servers::script::ScriptError;
 
 quick_error! {
-    /// Why the demonstration did not take place.
+    /// Why the demonstration could not run.
     #[derive(Debug)]
     pub enum DemoError {
         /// The script of the backends is invalid.
@@ -18,34 +19,34 @@
             display("{error}")
             source(error)
         }
-        /// The plan of the load is invalid.
+        /// The load plan is invalid.
         Plan(error: PlanError) {
             from()
             display("{error}")
             source(error)
         }
-        /// The system gives no thread.
+        /// A thread can't be started.
         Thread(error: io::Error) {
-            display("{error}")
+            display("cannot start a thread: {error}")
             source(error)
         }
-        /// A thread has reported nothing for longer than a start takes; with its name.
-        StartTimeout(thread: &'static str) {
-            display("the {thread} did not start")
+        /// A thread did not report within the time limit that it had started. Holds its name and the limit.
+        StartTimeout(thread: &'static str, limit: Duration) {
+            display("thread `{thread}` did not start within {limit:?}")
         }
-        /// The system gives no runtime.
+        /// The runtime of a thread can't be created.
         Runtime(error: io::Error) {
-            display("{error}")
+            display("cannot create a tokio runtime: {error}")
             source(error)
         }
-        /// The handler of a signal can't be installed; with the signal's name.
+        /// The handler of a signal can't be installed. Holds the signal's name.
         SignalHandler(signal: &'static str, error: io::Error) {
-            display("{signal}: {error}")
+            display("cannot install the handler of {signal}: {error}")
             source(error)
         }
         /// The backends or discovery can't be started.
         Backends(error: io::Error) {
-            display("{error}")
+            display("cannot start the backends or discovery: {error}")
             source(error)
         }
         /// The node rejects its configuration.
@@ -54,7 +55,7 @@
             display("{error}")
             source(error)
         }
-        /// The node does not start, or has failed.
+        /// The node could not start, or failed later.
         Node(error: RunError) {
             from()
             display("{error}")
@@ -62,12 +63,12 @@
         }
         /// The load can't be sent.
         Load(error: io::Error) {
-            display("{error}")
+            display("cannot send the load: {error}")
             source(error)
         }
-        /// The page can't be written.
+        /// The page of the report can't be written.
         WritePage(path: PathBuf, error: io::Error) {
-            display("{}: {error}", path.display())
+            display("cannot write {}: {error}", path.display())
             source(error)
         }
     }
--- a/crates/marlwinch/src/command/demo/mod.rs
+++ b/crates/marlwinch/src/command/demo/mod.rs
@@ -1,6 +1,6 @@
-//! `marlwinch demo`: a scenario on loopback. Backends of two kinds on three sites, discovery and a node, all in this
-//! process; one backend drains, one becomes slow, and the load has a burst. At the end the executions at the backends are
-//! checked against the rules.
+//! `marlwinch demo`: a scenario on loopback, all in this process: backends of two machine types at three
+//! sites, discovery and a node. One backend drains, one becomes slow, one fails intermittently, and the load
+//! has a burst. At the end the executions at the backends are checked against the rules of the deployment.
 
 mod background;
 mod configuration;
@@ -22,33 +22,33 @@
 
 const SCRIPT: &str = include_str!("../../../../../deploy/demo/boxes.toml");
 const PLAN: &str = include_str!("../../../../../deploy/demo/evening.toml");
-/// The node is ready half a second after its start at the latest, as its configuration has the list of backends.
+/// The node is ready at most 500 ms after its start, as its configuration holds the list of backends.
 const NODE_START: Duration = Duration::from_millis(700);
 
-/// The arguments of `demo`. Their comments are the help text.
+/// The arguments of `demo`. The doc comments of the fields are the help text.
 #[derive(clap::Args)]
 pub struct DemoArguments {
-    /// Seconds that the evening lasts; what befalls the boxes is settled within the first 30
+    /// Duration of the load in seconds; all scripted failures happen within the first 30
     #[arg(long, default_value_t = 30, value_parser = clap::value_parser!(u64).range(3..=3600))]
     seconds: u64,
-    /// Write the report as one page that needs nothing else
+    /// Write the report as a self-contained HTML page
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
 }
 
-/// The result of a demonstration that took place.
+/// The result of a demonstration that ran to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DemoOutcome {
-    /// All rules were kept, and the load was sent as planned.
+    /// All rules were kept, and the load was sent on schedule.
     Passed,
-    /// A rule was broken, or the load generator fell behind.
+    /// A rule was broken, or the load generator fell behind its schedule.
     Failed,
 }
 
-/// Runs the demonstration and prints its progress, its report and the state of the rules.
+/// Runs the demonstration and prints its progress, the report and whether each rule was kept.
 ///
 /// # Errors
-/// A part of it does not start, or the page can't be written.
+/// A component can't be started, the load can't be sent, or the page can't be written.
 pub fn main(arguments: &DemoArguments) -> Result<DemoOutcome, DemoError> {
     background::end_on_signals()?;
     let script = Script::read(SCRIPT)?;
@@ -67,7 +67,7 @@
     if let Some(path) = &arguments.html {
         let written = std::fs::write(path, html::page(&report));
         written.map_err(|error| DemoError::WritePage(path.clone(), error))?;
-        println!("the page is {}", path.display());
+        println!("report page: {}", path.display());
     }
     let rules_kept = rules::check_rules(&environment.execution_log, &finished.attempts);
     Ok(if rules_kept && report.is_valid() { DemoOutcome::Passed } else { DemoOutcome::Failed })
@@ -75,11 +75,11 @@
 
 fn print_introduction(script: &Script) {
     println!(
-        "{} boxes on three sites, discovery and a node, all on loopback and in this process.",
+        "{} backends at three sites, discovery and a node, all on loopback in this process.",
         script.backends.len()
     );
     println!(
-        "What befalls the boxes: one drains and comes back cold, one turns slow, one fails now and then."
+        "Scripted failures: one backend drains and returns cold, one becomes slow, one fails intermittently."
     );
-    println!("Ctrl-C ends everything.\n");
+    println!("Ctrl-C ends the demonstration.\n");
 }
--- a/crates/marlwinch/src/command/demo/progress.rs
+++ b/crates/marlwinch/src/command/demo/progress.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 use test_servers::environment::Environment;
 
-/// The time between two looks at the backends.
+/// The time between two polls of the backends.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// The loads of all backends are printed after so many looks: every 5 s.
+/// The loads of all backends are printed after this number of polls: every 5 s.
 const POLLS_BETWEEN_LOADS: u64 = 20;
 
-/// What is printed when it changes.
+/// The state of a backend. A change of it is printed.
 #[derive(Clone, Copy, PartialEq)]
 struct BackendHealth {
     overloaded: bool,
@@ -19,17 +19,17 @@
 impl BackendHealth {
     fn description(self) -> &'static str {
         if self.crashed {
-            "has fallen over"
+            "has crashed"
         } else if self.overloaded {
-            "is crowded and slows down"
+            "is overloaded and slows down"
         } else {
             "has recovered"
         }
     }
 }
 
-/// From now on prints a line for each backend that becomes overloaded, crashes or recovers, and the loads of all of them
-/// every 5 s.
+/// Starts a thread that prints a line for each backend that becomes overloaded, crashes or recovers, and the
+/// loads of all backends every 5 s.
 pub fn print_backend_states(environment: Arc<Environment>) {
     std::thread::spawn(move || {
         let healthy = BackendHealth { overloaded: false, crashed: false };
@@ -59,5 +59,5 @@
 fn print_loads(environment: &Environment, now_s: f64) {
     let loads: Vec<_> =
         environment.backends.iter().map(|backend| backend.load().requests.in_flight.to_string()).collect();
-    println!("{now_s:5.1} s  held by each box: {}", loads.join(" "));
+    println!("{now_s:5.1} s  requests in flight at each backend: {}", loads.join(" "));
 }
--- a/crates/marlwinch/src/command/demo/rules.rs
+++ b/crates/marlwinch/src/command/demo/rules.rs
@@ -1,4 +1,4 @@
-//! Checks what ran at the backends against the rules of the deployment, and prints the result.
+//! Checks the executions at the backends against the rules of the deployment, and prints the result.
 
 use load_generator::engine::AttemptResult;
 use load_generator::record::Outcome;
@@ -7,19 +7,20 @@
     ClientOutcome, ExecutionCounts, ExecutionLimit, ExecutionLog, RuleViolation,
 };
 
-/// How long a node may still send to a backend that drains after it was notified, with what sockets and threads may take.
+/// How long after a drain was published a node may still send requests to the backend: the `DrainGrace` of
+/// the configuration, 2 s, and 50 ms for delays of sockets and threads.
 const DRAIN_GRACE: Duration = Duration::from_millis(2050);
-/// The violations of a rule that are printed.
+/// At most this number of violations of a rule is printed.
 const MAX_PRINTED: usize = 5;
-/// The rules, in the order of their numbers, which begin at 1.
+/// The rules by their number, which starts at 1.
 const RULES: [&str; 4] = [
-    "one final answer, in time, for all that was taken",
-    "no effect twice",
-    "nothing new to a draining or gone box after the grace",
-    "no cold box pushed over",
+    "one final response, in time, for each accepted request",
+    "no request takes effect twice",
+    "no new request to a draining or removed backend after the grace period",
+    "no cold backend overloaded until it crashes",
 ];
 
-/// How often requests of a path may be executed, by the idempotency of their class.
+/// How often a request to this path may be executed, by the idempotency of its class.
 fn allowed_executions(path: &str) -> ExecutionLimit {
     if path.starts_with("/tally-submit/") { ExecutionLimit::OncePerKey } else { ExecutionLimit::Once }
 }
@@ -42,12 +43,13 @@
     let violations = log.check_rules(outcomes, allowed_executions, DRAIN_GRACE);
     let ExecutionCounts { executions, rejected, deduplicated } = log.counts();
     println!(
-        "\nThe boxes' ledger: {executions} executions, {rejected} turned away unseen, {deduplicated} repeats dropped by key"
+        "\nExecution log of the backends: {executions} executions, {rejected} rejected before execution, \
+         {deduplicated} repeats dropped by idempotency key"
     );
     for (number, rule) in (1u8..).zip(RULES) {
         print_rule(number, rule, &violations);
     }
-    println!("  held against {requests} tries");
+    println!("  checked against {requests} client attempts");
     violations.is_empty()
 }
 
--- a/crates/marlwinch/src/command/demo_fleet.rs
+++ b/crates/marlwinch/src/command/demo_fleet.rs
@@ -1,4 +1,5 @@
-//! `marlwinch demo-fleet`: runs a whole small fleet on loopback, with injected faults, and prints the verdict.
+//! `marlwinch demo-fleet`: runs a small fleet on loopback with injected faults, and prints whether the rules
+//! were kept.
 
 use super::exit::{FAILURE, fail};
 use bpaf::Bpaf;
@@ -9,49 +10,49 @@
 use std::time::Duration;
 use units::DurationError;
 
-/// The exit code where a rule was broken.
+/// The exit code if a rule was broken.
 const RULE_BROKEN: u8 = 4;
-/// What a shell adds to the number of the signal that ended a process.
+/// The exit code of a process that a signal ended is this plus the signal's number, as shells report it.
 const SIGNAL_EXIT_BASE: u8 = 128;
-/// The shortest run in which every fault takes place, and the longest that is kept in memory.
+/// The shortest run in which every fault is injected, and the longest whose records are kept in memory.
 const LENGTHS: RangeInclusive<Duration> = Duration::from_secs(2)..=Duration::from_secs(600);
-/// The rates, in requests a second, that clients and test backends on one thread keep up with.
+/// The rates, in requests per second, that the clients and test backends on one thread can keep up with.
 const RATES: RangeInclusive<f64> = 1.0..=1000.0;
 
-/// The arguments of `demo-fleet`. The comments of the fields are the help text.
+/// The arguments of `demo-fleet`. The doc comments of the fields are the help text.
 #[derive(Clone, Debug, PartialEq, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct DemoFleet {
-    /// How long clients send, between 2s and 10m (15s)
+    /// Duration of the client load, between 2s and 10m (default 15s)
     #[bpaf(long("for"), argument::<String>("TIME"), parse(parse_length), fallback(Duration::from_secs(15)))]
     pub length: Duration,
-    /// Requests a second (100)
+    /// Requests per second, between 1 and 1000 (default 100)
     #[bpaf(argument("N"), guard(is_rate, "between 1 and 1000"), fallback(100.0))]
     pub rate: f64,
-    /// Keep the folder with settings, data and logs
+    /// Keep the folder with settings, data and logs at the end
     pub keep: bool,
-    /// What the clients' choices follow
+    /// Seed of the clients' random choices (default 1)
     #[bpaf(argument("N"), fallback(1))]
     pub seed: u64,
 }
 
 quick_error! {
-    /// Why an argument is not the length of a run.
+    /// Why the duration of a run is invalid.
     #[derive(Debug)]
     enum LengthError {
         /// The text is not a duration.
         NotADuration(text: String, error: DurationError) {
-            display("{text} is not a time such as 15s")
+            display("{text} is not a duration such as 15s")
             source(error)
         }
-        /// The duration is shorter or longer than a run may be.
+        /// The duration is outside of [`LENGTHS`].
         OutOfRange(text: String) {
             display("{text} is not between 2s and 10m")
         }
     }
 }
 
-// bpaf passes the argument by value.
+// The argument is by value, as bpaf passes it.
 fn parse_length(text: String) -> Result<Duration, LengthError> {
     match units::parse_duration(&text) {
         Ok(length) if LENGTHS.contains(&length) => Ok(length),
@@ -64,11 +65,11 @@
     RATES.contains(rate)
 }
 
-/// Runs the fleet, and prints whether a rule was broken.
+/// Runs the fleet and prints whether a rule was broken.
 pub fn main(arguments: &DemoFleet) -> ExitCode {
     let program = match std::env::current_exe() {
         Ok(program) => program,
-        Err(error) => return fail(&format_args!("find this program: {error}"), FAILURE),
+        Err(error) => return fail(&format_args!("cannot find the path of this program: {error}"), FAILURE),
     };
     let &DemoFleet { length, rate, keep, seed } = arguments;
     match fleet_demo::run(&DemoOptions { program, length, rate, keep, seed }) {
--- a/crates/marlwinch/src/command/exit.rs
+++ b/crates/marlwinch/src/command/exit.rs
@@ -1,16 +1,17 @@
-//! Exit codes that several commands share, and the line that a command that fails writes to standard error.
+//! Exit codes that several commands share, and the line on standard error for a command that fails.
 
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// The command failed: a node could not start or go on, a file could not be written.
+/// The command failed: for example, a node could not start or stopped with an error, or a file could not be
+/// written.
 pub const FAILURE: u8 = 1;
-/// The command line or a file that it names makes no sense. It is also clap's code for a command line that it rejects.
+/// The command line, or a file that it names, is invalid. The same as clap's code for invalid arguments.
 pub const USAGE: u8 = 2;
-/// A file that operators write is invalid, or a coordinator does not reply.
+/// A settings, configuration, policy or node file is invalid, or a coordinator's status could not be fetched.
 pub const INVALID_FILE: u8 = 3;
 
-/// Writes an error to standard error behind the program's name, and returns the exit code.
+/// Writes `marlwinch: ERROR` to standard error and returns the exit code.
 pub fn fail(error: &dyn Display, code: u8) -> ExitCode {
     eprintln!("marlwinch: {error}");
     ExitCode::from(code)
--- a/crates/marlwinch/src/command/load/mod.rs
+++ b/crates/marlwinch/src/command/load/mod.rs
@@ -1,4 +1,5 @@
-//! `marlwinch load`: parses its arguments, runs the load generator or compares two of its reports, and writes the report.
+//! `marlwinch load`: parses the arguments, runs the load generator or compares two reports, and writes the
+//! report.
 
 mod error;
 mod progress;
@@ -17,42 +18,42 @@
 use std::time::Duration;
 use units::DurationError;
 
-/// The arguments of `load`. Their comments are the help text.
+/// The arguments of `load`. The doc comments of the fields are the help text.
 #[derive(clap::Args)]
 #[command(args_conflicts_with_subcommands = true)]
 pub struct LoadArguments {
     #[command(subcommand)]
     compare: Option<Compare>,
-    /// A plan (TOML), or the target where --rate and --for say the rest
+    /// A load plan (TOML), or the target if options replace the plan
     #[arg(required = true)]
     plan_or_target: Option<String>,
-    /// The target, such as 127.0.0.1:8080 or http://127.0.0.1:8080/path; loopback only
+    /// The target of a plan, such as 127.0.0.1:8080 or http://127.0.0.1:8080/path; loopback addresses only
     target: Option<String>,
-    /// Requests a second, in place of a plan
+    /// Send this number of requests per second in place of a plan
     #[arg(long, requires = "length")]
     rate: Option<f64>,
-    /// How long, such as 30s
+    /// Duration of a run with --rate, such as 30s
     #[arg(long = "for", value_name = "TIME", value_parser = parse_duration)]
     length: Option<Duration>,
     /// Replay a recorded trace (JSON lines) in place of the plan's schedule
     #[arg(long, value_name = "FILE")]
     trace: Option<PathBuf>,
-    /// How many times as fast as it was recorded
+    /// Speed of the replay as a multiple of the recorded speed
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
-    /// Run so often, for the intervals of `load diff`
+    /// Number of runs; `load diff` computes confidence intervals from several runs
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=100))]
     repeat: u32,
-    /// Threads that send
+    /// Number of threads that send requests, 1 to 64
     #[arg(long)]
     threads: Option<usize>,
-    /// The most connections
+    /// Maximum number of connections
     #[arg(long)]
     connections: Option<usize>,
     /// Write the report as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Write the report as one page that needs nothing else
+    /// Write the report as a self-contained HTML page
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
 }
@@ -61,19 +62,19 @@
 enum Compare {
     /// Compare two reports that were written with --json
     Diff {
-        /// The first
+        /// The first report
         first: PathBuf,
-        /// The second
+        /// The second report
         second: PathBuf,
     },
 }
 
-/// Whether the figures of all runs can be trusted.
+/// Whether all runs of a report are valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportValidity {
-    /// All runs kept to their schedule.
+    /// The load generator kept up with the schedule in all runs.
     Valid,
-    /// The load generator fell behind in a run; its report has the reason.
+    /// The load generator fell behind its schedule in a run. The report has the reason.
     Invalid,
 }
 
@@ -87,10 +88,10 @@
     /// Why an argument is not a duration.
     #[derive(Debug)]
     enum DurationArgumentError {
-        /// The text has another form.
+        /// The text is not a number with a unit.
         Malformed(error: DurationError) {
             from()
-            display("write a number and a unit, such as 30s")
+            display("expected a number and a unit, such as 30s")
             source(error)
         }
     }
@@ -108,7 +109,8 @@
     std::fs::write(path, text).map_err(|error| LoadError::WriteFile(path.into(), error))
 }
 
-/// The target's address and path. Names are not resolved, and load is sent to this machine only.
+/// The address and path of a target. Host names are not resolved, and load is sent to loopback addresses
+/// only.
 fn parse_target(text: &str) -> Result<(SocketAddr, String), LoadError> {
     let without_scheme = text.strip_prefix("http://").unwrap_or(text);
     let (address, path) = without_scheme.split_once('/').unwrap_or((without_scheme, ""));
@@ -119,10 +121,11 @@
     Ok((address, format!("/{path}")))
 }
 
-/// Does what the arguments say, and prints the report or the comparison.
+/// Sends load or compares two reports, and prints the report or the comparison.
 ///
 /// # Errors
-/// The arguments or the files that they name make no sense, the load can't be sent, or a report can't be written.
+/// The arguments or the files that they name are invalid, the load can't be sent, or a report can't be
+/// written.
 pub fn main(arguments: LoadArguments) -> Result<ReportValidity, LoadError> {
     match &arguments.compare {
         Some(Compare::Diff { first, second }) => compare(first, second),
@@ -164,7 +167,8 @@
     Ok(ReportValidity::of(&[&report]))
 }
 
-/// The plan before a trace replaces its schedule, and the target: from the options alone, or from the file of a plan.
+/// The plan and the target, from the options or from a plan's file. A trace later replaces the schedule of
+/// this plan.
 fn base_plan(arguments: &LoadArguments) -> Result<(Plan, SocketAddr), LoadError> {
     let plan_or_target = arguments.plan_or_target.as_deref().unwrap_or_default();
     let steady = |rate, length| {
--- a/crates/marlwinch/src/command/load/progress.rs
+++ b/crates/marlwinch/src/command/load/progress.rs
@@ -1,4 +1,4 @@
-//! Runs a plan of the load generator with its progress on the terminal.
+//! Runs a plan of the load generator and shows the progress on the terminal.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use load_generator::engine::{AttemptLog, Connect, Progress, RunOutput, Tcp, run};
@@ -12,10 +12,10 @@
 /// The time between two updates of the progress bar.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Sends the load of a plan to a target. The label stands before the progress bar.
+/// Sends the load of a plan to a target. The label is shown before the progress bar.
 ///
 /// # Errors
-/// The load generator can't start, or panics.
+/// The load generator can't start, or it panics.
 pub fn run_with_progress(
     plan: &Arc<Plan>,
     target: SocketAddr,
@@ -33,13 +33,13 @@
         let counts: Vec<_> = progress.completed.iter().map(|count| count.load(Ordering::Relaxed)).collect();
         bar.set_position(progress.sent.load(Ordering::Relaxed));
         bar.set_message(format!(
-            "{} served, {} refused, {} failed, {} lost",
+            "{} served, {} rejected, {} failed, {} lost",
             counts[0], counts[1], counts[2], counts[3]
         ));
         std::thread::sleep(UPDATE_INTERVAL);
     }
     bar.finish_and_clear();
-    running.join().map_err(|_| io::Error::other("the generator panicked"))?
+    running.join().map_err(|_| io::Error::other("the load generator panicked"))?
 }
 
 fn progress_bar(requests: u64, label: &str) -> ProgressBar {
--- a/crates/marlwinch/src/command/mod.rs
+++ b/crates/marlwinch/src/command/mod.rs
@@ -1,5 +1,5 @@
-//! The commands: one module each, with its arguments, its errors and its output. [`cli`] and [`system`] parse the command
-//! line; [`exit`] has the exit codes.
+//! The commands: one module each, with its arguments, errors and output. [`cli`] and [`system`] parse the
+//! command line; [`exit`] holds the shared exit codes.
 
 pub mod checks;
 pub mod cli;
--- a/crates/marlwinch/src/command/overload/arguments.rs
+++ b/crates/marlwinch/src/command/overload/arguments.rs
@@ -4,88 +4,91 @@
 use std::time::Duration;
 use units::DurationError;
 
-/// The surge that is to be simulated. The comments of the fields are the help text.
+/// The surge to simulate. The doc comments of the fields are the help text.
 #[derive(clap::Args)]
 pub struct OverloadArguments {
-    /// Requests a second of the surge, such as 2000/s
+    /// Request rate of the surge, such as 2000/s
     #[arg(long, value_name = "RATE", value_parser = parse_rate, requires = "overload")]
     pub rate: Option<f64>,
-    /// What comes, as parts: `class=3,class@tenant=1`; without it all classes and tenants alike
-    #[arg(long, value_delimiter = ',', value_name = "CLASS[@TENANT]=PART", value_parser = parse_mix_part, requires = "overload")]
+    /// Mix of the requests by weight, such as `class=3,class@tenant=1`; by default all classes and tenants
+    /// are equal
+    #[arg(long, value_delimiter = ',', value_name = "CLASS[@TENANT]=WEIGHT", requires = "overload")]
+    #[arg(value_parser = parse_mix_part)]
     pub mix: Vec<MixPart>,
-    /// The box time of a request, for all classes or as `class=20ms`
-    #[arg(long, value_delimiter = ',', default_value = "20ms", value_name = "[CLASS=]TIME", value_parser = parse_service_time)]
+    /// Mean service time of a request at a backend, for all classes or as `class=20ms`
+    #[arg(long, value_delimiter = ',', default_value = "20ms", value_name = "[CLASS=]TIME")]
+    #[arg(value_parser = parse_service_time)]
     pub service: Vec<ServiceTime>,
-    /// Requests that a box of weight 1 works on at once
+    /// Requests that a backend of weight 1 executes concurrently
     #[arg(long, default_value_t = 4, value_parser = clap::value_parser!(u32).range(1..=100_000))]
     pub cores: u32,
-    /// What refused clients do
+    /// What clients do after a rejection
     #[arg(long, value_enum, default_value_t = RejectedClients::RetryWhenAllowed)]
     pub again: RejectedClients,
-    /// For all that is left to chance
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
-/// What clients do whose requests are rejected. The comments of the variants are the help text.
+/// What clients do after a rejection. The doc comments of the variants are the help text.
 #[derive(Clone, Copy, clap::ValueEnum)]
 pub enum RejectedClients {
-    /// They give up
+    /// Give up
     #[value(name = "never")]
     GiveUp,
-    /// They ask again when they were told to, three times at most
+    /// Retry after the time that the response asks for, at most 3 times
     #[value(name = "as-told")]
     RetryWhenAllowed,
-    /// They ask again at once, ten times at most
+    /// Retry immediately, at most 10 times
     #[value(name = "at-once")]
     RetryAtOnce,
 }
 
-/// A part of the requests that come.
+/// A part of the offered requests.
 #[derive(Clone, Debug)]
 pub struct MixPart {
     /// The class of the requests.
     pub class: String,
-    /// Their tenant; without one the part is divided evenly among all tenants.
+    /// Their tenant. If absent, the part is divided evenly among all tenants.
     pub tenant: Option<String>,
-    /// The part, relative to the sum of all parts.
+    /// Its share, relative to the sum of all weights; above 0.
     pub weight: f64,
 }
 
 /// The mean time that a backend needs for a request.
 #[derive(Clone, Debug)]
 pub struct ServiceTime {
-    /// The class of the requests; without one the time holds for all classes that have no time of their own.
+    /// The class of the requests. If absent, the time applies to all classes without a time of their own.
     pub class: Option<String>,
-    /// The time, above zero.
+    /// The time, above 0.
     pub time: Duration,
 }
 
 quick_error! {
-    /// Why an argument of the surge is malformed.
+    /// Why an argument of the surge is invalid.
     #[derive(Debug)]
     enum ArgumentError {
         /// The rate is not a positive number.
         Rate {
-            display("write it as `2000/s`")
+            display("expected a rate above 0, such as `2000/s`")
         }
-        /// The part of the mix has no number.
+        /// A part of the mix has no `=`.
         MixForm {
-            display("write it as `class=3` or `class@tenant=3`")
+            display("expected `class=3` or `class@tenant=3`")
         }
-        /// The part of the mix is not a positive number.
+        /// The weight of a part is not a positive number.
         MixWeight {
-            display("a part is a number above 0")
+            display("expected a weight above 0, such as `class=3`")
         }
         /// The service time is not a duration.
         ServiceTime(error: DurationError) {
             from()
-            display("write a time such as `20ms`")
+            display("expected a time above 0, such as `20ms`")
             source(error)
         }
         /// The service time is zero.
         ZeroServiceTime {
-            display("write a time such as `20ms`")
+            display("expected a time above 0, such as `20ms`")
         }
     }
 }
--- a/crates/marlwinch/src/command/system.rs
+++ b/crates/marlwinch/src/command/system.rs
@@ -1,5 +1,5 @@
-//! The commands of the system, parsed with bpaf: its roles, which read their settings from the file that the environment
-//! names, and its tools.
+//! The commands of the distributed system, parsed with bpaf: its roles and its tools. The environment names
+//! the settings file of a role.
 
 use super::checks;
 use super::demo_fleet::{self, DemoFleet, demo_fleet};
@@ -16,54 +16,56 @@
 /// The environment variable with the level of the log: error, warn, info, debug or trace.
 const LOG_VARIABLE: &str = "MARLWINCH_LOG";
 
-/// A command of the system. The comments of the variants are the help text.
+/// A command of the system. The doc comments of the variants and fields are the help text.
 #[derive(Clone, Debug, Bpaf)]
 pub enum Command {
-    /// Serve clients on a frontend machine
+    /// Run the data plane of a frontend node: accept clients' requests and forward each to a backend
     #[bpaf(command("data-plane"))]
     DataPlane(#[bpaf(external(role_options))] RoleOptions),
-    /// Keep the link to the coordinators for the data plane of the same machine
+    /// Run the agent of a frontend node: connect its data plane to the coordinators
     #[bpaf(command)]
     Agent(#[bpaf(external(role_options))] RoleOptions),
-    /// Be a member of the core
+    /// Run a coordinator: a member of the replicated core
     #[bpaf(command)]
     Coordinator(#[bpaf(external(role_options))] RoleOptions),
-    /// Check a settings file: exit code 3 and a line with the place if it is at fault
+    /// Check a settings file: exit code 3 and the first error with its location if it is invalid
     #[bpaf(command("check-settings"))]
     CheckSettings {
-        /// The file
+        /// Settings file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Check a configuration as the coordinators do: exit code 3 and a line for each fault
+    /// Check a configuration as a coordinator does: exit code 3 and one line for each error if it is invalid
     #[bpaf(command("check-configuration"))]
     CheckConfiguration {
-        /// The file, as it would be sent
+        /// Configuration file (JSON), as sent to the coordinators
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Check a policy file: exit code 3 and a line with the place if it is at fault
+    /// Check a policy file: exit code 3 and the first error with its location if it is invalid
     #[bpaf(command("check-policy"))]
     CheckPolicy {
-        /// The file
+        /// Policy file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Show what a coordinator says of the core, the configuration, the backends and the nodes
+    /// Show the status of the core, the configuration, the backends and the nodes, as a coordinator reports
+    /// it
     #[bpaf(command)]
     Status {
-        /// Its control address, such as 10.0.0.4:8080
+        /// Control address of the coordinator, such as 10.0.0.4:8080
         #[bpaf(positional("ADDRESS"))]
         address: SocketAddrV4,
     },
-    /// Play a small fleet on loopback: 3 coordinators and 4 frontends as processes, stand-ins for backends, platform,
-    /// operator and clients; troubles come about, and what was seen is held against the rules. Process ids are shown,
-    /// and every process may be killed to watch. Exit code 0 if no rule was broken, 4 otherwise
+    /// Run a small fleet on loopback: 3 coordinators and 4 frontends as processes, with test servers for
+    /// backends, platform, operator and clients. Faults are injected, and the results are checked against the
+    /// rules. Process ids are printed, so that you can kill processes as well. Exit code 4 if a rule was
+    /// broken
     #[bpaf(command("demo-fleet"))]
     DemoFleet(#[bpaf(external(demo_fleet))] DemoFleet),
 }
 
-/// Whether this is the name of a command of the system. Any other command line is that of [`cli`](super::cli).
+/// Whether this is the name of a command of the system. [`cli`](super::cli) parses all other command lines.
 pub fn is_command(name: &str) -> bool {
     const NAMES: [&str; 8] = [
         "data-plane",
@@ -80,7 +82,7 @@
 
 /// Parses the command line and runs the command.
 pub fn main() -> ExitCode {
-    let command = command().to_options().descr("Run a role of the system, or look after it").run();
+    let command = command().to_options().descr("Run a role of the system or one of its tools").run();
     let out = &mut std::io::stdout();
     match command {
         Command::DataPlane(options) => run_role(data_plane::run, options),
@@ -94,18 +96,18 @@
     }
 }
 
-/// The endpoint that serves the role's metrics.
+/// The option for the HTTP endpoint of the role's metrics; none by default.
 fn metrics_endpoint() -> impl Parser<Option<MetricsEndpoint>> {
     long("metrics")
-        .help("Where the role tells its figures as text")
+        .help("Port and path of the HTTP endpoint for metrics, in text format")
         .argument::<MetricsEndpoint>("PORT/PATH")
         .optional()
 }
 
-/// The policy of the role, read from its file while the command line is parsed.
+/// The option for the policy of the role. Its file is read while the command line is parsed.
 fn policy() -> impl Parser<Policy> {
     long("policy")
-        .help("The policy file that the role decides by; without one the defaults hold")
+        .help("Policy file of the role; defaults apply without it")
         .argument::<PathBuf>("FILE")
         .parse(|file| checks::read_policy(&file))
         .fallback(Policy::default())
@@ -116,7 +118,7 @@
     bpaf::construct!(RoleOptions { metrics, policy })
 }
 
-/// Starts the log, reads the settings and runs a role until it ends.
+/// Starts logging, reads the settings and runs a role until it ends.
 fn run_role(role: fn(Settings, RoleOptions) -> ExitCode, options: RoleOptions) -> ExitCode {
     start_log();
     match Settings::from_environment() {
@@ -128,10 +130,10 @@
     }
 }
 
-/// Starts the log with the level of [`LOG_VARIABLE`] or `info`.
+/// Starts logging at the level of [`LOG_VARIABLE`], or at `info` if it is unset or invalid.
 fn start_log() {
     let level = std::env::var(LOG_VARIABLE).ok().and_then(|level| level.parse().ok());
     let config = ConfigBuilder::new().set_time_level(LevelFilter::Off).build();
-    // It fails only if there is a log already, which is so in tests.
+    // It fails only if a logger is set already, as in tests.
     let _ = SimpleLogger::init(level.unwrap_or(LevelFilter::Info), config);
 }
--- a/crates/marlwinch/src/command/trial/error.rs
+++ b/crates/marlwinch/src/command/trial/error.rs
@@ -1,4 +1,4 @@
-//! Why a command of `trial` ended early, and how it says so.
+//! Why a command of `trial` failed, and how the error is reported.
 
 use crate::command::exit::{FAILURE, USAGE, fail};
 use fault_injection::RunError;
@@ -10,30 +10,30 @@
 use std::process::ExitCode;
 
 quick_error! {
-    /// Why a command of `trial` ended early.
+    /// Why a command of `trial` failed.
     #[derive(Debug)]
     pub enum TrialError {
-        /// The plan can't be read, and none of that name comes with the program; with its name
-        /// or path, and the names of those that do.
+        /// The plan can't be read, and no built-in plan has this name. Holds its name or path, and the names
+        /// of the built-in plans.
         ReadPlan(plan: String, known: String, error: io::Error) {
-            display("{plan}: {error}; the plans that come with the program are {known}")
+            display("{plan}: {error}; built-in plans: {known}")
             source(error)
         }
-        /// The plan is invalid; with the diagnostics of its errors, as they are shown.
+        /// The plan is invalid. Holds the diagnostics as they are printed.
         InvalidPlan(diagnostics: String) {
             display("{diagnostics}")
         }
         /// The path of this program is unknown.
         OwnPath(error: io::Error) {
-            display("this program's own path: {error}")
+            display("cannot find the path of this program: {error}")
             source(error)
         }
-        /// The program for the nodes can't be found.
+        /// The path of the nodes' program can't be resolved.
         NodeProgram(path: PathBuf, error: io::Error) {
             display("{}: {error}", path.display())
             source(error)
         }
-        /// A run could not take place.
+        /// A run could not be started or finished.
         Run(error: RunError) {
             from()
             display("{error}")
@@ -49,14 +49,14 @@
             display("{}: {error}", path.display())
             source(error)
         }
-        /// The page of a run can't be drawn; with the path of the report or the history.
+        /// The page of a run can't be created. Holds the path of the report's folder or of the history.
         DrawPage(path: PathBuf, error: ReportError) {
-            display("{}: {error}", path.display())
+            display("cannot create the page for {}: {error}", path.display())
             source(error)
         }
-        /// A report can't be written; with its file or its folder.
+        /// A report can't be written. Holds the path of its file or folder.
         Write(path: PathBuf, error: io::Error) {
-            display("{}: {error}", path.display())
+            display("cannot write {}: {error}", path.display())
             source(error)
         }
     }
@@ -67,7 +67,8 @@
     pub fn report(&self) -> ExitCode {
         match self {
             TrialError::InvalidPlan(diagnostics) => {
-                // They name the file and each place in it themselves.
+                // Diagnostics name the file and the location themselves, so the program's name does not stand
+                // before them.
                 eprint!("{diagnostics}");
                 ExitCode::from(USAGE)
             }
--- a/crates/marlwinch/src/command/trial/mod.rs
+++ b/crates/marlwinch/src/command/trial/mod.rs
@@ -1,5 +1,6 @@
-//! `marlwinch trial`: plays plans of faults with many processes of this program, judges histories, and reduces plans that
-//! fail. The package `fault-injection` does the work; here its arguments are parsed and its results shown.
+//! `marlwinch trial`: runs fault-injection plans with many processes of this program, checks recorded
+//! histories, and shrinks plans that fail. Parses the arguments for the package `fault-injection` and prints
+//! its results.
 
 mod error;
 mod output;
@@ -20,54 +21,54 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The exit code where a run has a violation, or a plan to shrink still fails.
+/// The exit code if a run has a violation, or if the plan to shrink fails.
 const VIOLATION: u8 = FAILURE;
 
-/// The commands of `trial`. The comments are the help text.
+/// The commands of `trial`. The doc comments are the help text.
 #[derive(clap::Subcommand)]
 pub enum TrialCommand {
-    /// List the plans that come with the program
+    /// List the built-in plans
     List,
-    /// Play a plan: many processes of this program, faults between them, and a verdict
+    /// Run a plan: start nodes as processes of this program, inject faults, and check what happened
     Run {
-        /// A plan's file, or the name of one that comes with the program
+        /// File of a plan, or the name of a built-in plan
         plan: String,
-        /// What is drawn is drawn by this; with --runs, by this and those that follow
+        /// Seed of the random numbers; further runs of --runs take the numbers that follow
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many times
+        /// Number of runs
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=10_000))]
         runs: u32,
-        /// Write a page and a history for each run into this folder
+        /// Write an HTML page, the logs of the nodes and a history of each run to this folder
         #[arg(long, value_name = "DIR")]
         report: Option<PathBuf>,
-        /// Write what came of it as JSON
+        /// Write the verdicts of all runs as JSON
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
-        /// Another program for the nodes, such as the one that is to be replaced
+        /// Run the nodes with this program instead, such as an earlier version
         #[arg(long, value_name = "FILE")]
         program: Option<PathBuf>,
     },
-    /// Judge a history again
+    /// Check the recorded history of a run again
     Judge {
-        /// The history, as `run --report` writes it
+        /// File of the history, as `run --report` writes it
         history: PathBuf,
-        /// Write the page of it there
+        /// Write the HTML page of the run to this file
         #[arg(long, value_name = "FILE")]
         page: Option<PathBuf>,
     },
-    /// Look for the smallest plan that still fails: without faults, nodes, boxes and time that it does not need
+    /// Shrink a plan that fails: remove the faults, nodes, backends and time that the failure does not need
     Shrink {
-        /// A plan's file, or the name of one that comes with the program
+        /// File of a plan, or the name of a built-in plan
         plan: String,
-        /// The seed with which it fails
+        /// Seed with which the plan fails
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The most plays
+        /// Maximum number of runs
         #[arg(long, default_value_t = 40)]
         plays: usize,
     },
-    /// Keep one process: the rig starts this by itself
+    /// Supervise one process; a run starts this itself
     #[command(hide = true)]
     Keep {
         /// The program and its arguments
@@ -76,7 +77,7 @@
     },
 }
 
-/// The result of a run, for `--json`.
+/// The result of a run, as `--json` writes it.
 #[derive(Serialize)]
 struct RunResult {
     plan: String,
@@ -92,9 +93,9 @@
         TrialCommand::List => list(),
         TrialCommand::Run { plan, seed, runs, report, json, program } => {
             let seeds = (0..u64::from(runs)).map(|run| seed.wrapping_add(run));
-            play(&plan, seeds, report.as_deref(), json.as_deref(), program)
+            run_with_seeds(&plan, seeds, report.as_deref(), json.as_deref(), program)
         }
-        TrialCommand::Judge { history, page } => judge_again(&history, page.as_deref()),
+        TrialCommand::Judge { history, page } => check_history(&history, page.as_deref()),
         TrialCommand::Shrink { plan, seed, plays } => shrink(&plan, seed, plays),
         TrialCommand::Keep { program } => {
             return match program.split_first() {
@@ -120,10 +121,10 @@
     Ok(0)
 }
 
-/// The programs of a run. Each process runs under a supervisor, which is this program.
+/// The programs of a run: this program as the supervisor of each process, and the program of the nodes.
 fn programs(node: Option<PathBuf>) -> Result<Programs, TrialError> {
     let own = std::env::current_exe().map_err(TrialError::OwnPath)?;
-    // Nodes run in folders of their own, where a relative path would lead elsewhere.
+    // Each node runs in its own folder, so a relative path would not resolve there.
     let node = match node {
         Some(node) => std::fs::canonicalize(&node).map_err(|error| TrialError::NodeProgram(node, error))?,
         None => own.clone(),
@@ -132,8 +133,8 @@
     Ok(Programs { supervisor, node, variables: Vec::new() })
 }
 
-/// Plays a plan once with each seed, and writes what is to be written of each run.
-fn play(
+/// Runs a plan once with each seed, prints the verdicts and writes the reports. Returns the worst exit code.
+fn run_with_seeds(
     plan: &str,
     seeds: impl Iterator<Item = u64>,
     report_folder: Option<&Path>,
@@ -164,7 +165,7 @@
     Ok(code)
 }
 
-/// A violation is the worst result, and a run without a verdict is never a pass.
+/// The worse of two exit codes: a violation is the worst, and a run without a verdict is worse than a pass.
 fn worse_exit_code(before: u8, new: u8) -> u8 {
     match (before, new) {
         (VIOLATION, _) | (_, VIOLATION) => VIOLATION,
@@ -173,7 +174,7 @@
     }
 }
 
-fn judge_again(path: &Path, page: Option<&Path>) -> Result<u8, TrialError> {
+fn check_history(path: &Path, page: Option<&Path>) -> Result<u8, TrialError> {
     let file = File::open(path).map_err(|error| TrialError::OpenHistory(path.into(), error))?;
     let history = History::read(BufReader::new(file));
     let history = history.map_err(|error| TrialError::InvalidHistory(path.into(), error))?;
@@ -190,8 +191,8 @@
     Ok(verdict.exit_code())
 }
 
-/// Looks for the smallest plan that still fails, and prints it.
-fn shrink(plan: &str, seed: u64, max_plays: usize) -> Result<u8, TrialError> {
+/// Shrinks a plan that fails, and prints what is left of it.
+fn shrink(plan: &str, seed: u64, max_runs: usize) -> Result<u8, TrialError> {
     let plan = plan_source::load_plan(plan)?;
     let programs = programs(None)?;
     let fails = |plan: &Plan| match run::run_plan(plan, seed, &programs) {
@@ -200,12 +201,12 @@
     };
     let drawn = plan.draw(seed);
     if !fails(&drawn) {
-        println!("{} seed {seed}: does not fail, so that there is nothing to shrink", plan.name);
+        println!("{} seed {seed}: does not fail, nothing to shrink", plan.name);
         return Ok(0);
     }
-    let small = shrink::shrink(&drawn, max_plays, fails, |step| println!("still fails: {step}"));
+    let small = shrink::shrink(&drawn, max_runs, fails, |step| println!("still fails: {step}"));
     println!(
-        "{} seed {seed} fails with {} nodes, {} boxes, {:?} of traffic, and:",
+        "{} seed {seed} fails with {} nodes, {} backends, {:?} of traffic, and:",
         plan.name, small.nodes, small.backends.count, small.traffic_duration
     );
     small
--- a/crates/marlwinch/src/command/trial/output.rs
+++ b/crates/marlwinch/src/command/trial/output.rs
@@ -1,4 +1,5 @@
-//! What a trial shows and writes: a line for each run on standard output, the report of a run as files, and the progress.
+//! The output of a trial: a line for each run on standard output, the files of a run's report, and the
+//! progress bar.
 
 use super::error::TrialError;
 use fault_injection::checkers::{Attempts, Verdict, service_summary};
@@ -12,7 +13,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The violations of a run that are printed.
+/// At most this number of violations of a run is printed.
 const MAX_PRINTED: usize = 5;
 
 /// Prints the verdict of a run, with the first violations.
@@ -21,7 +22,9 @@
     match verdict {
         Verdict::Passed => println!("{name} seed {seed}: passed; {summary}"),
         Verdict::NoVerdict { late_ms, max_lateness_ms } => println!(
-            "{name} seed {seed}: no verdict, the rig was late by {late_ms} ms and {max_lateness_ms} ms are borne; {summary}"
+            "{name} seed {seed}: no verdict, timers of the trial were {late_ms} ms late, \
+             at most {max_lateness_ms} ms are allowed; \
+             {summary}"
         ),
         Verdict::Failed { violations } => {
             println!("{name} seed {seed}: FAILED, {} violations; {summary}", violations.len());
@@ -36,8 +39,8 @@
     }
 }
 
-/// Writes the report of a run into a folder: its page, the logs of its nodes and its history, named after the plan and the
-/// seed.
+/// Writes the report of a run to a folder: its page (`.html`), the logs of its nodes (`.log`) and its history
+/// (`.jsonl`). The files are named after the plan and the seed.
 pub fn write_report(
     folder: &Path,
     name: &str,
@@ -60,13 +63,13 @@
     history.write(BufWriter::new(file)).map_err(write_error)
 }
 
-/// Draws the page of a history. An error names the path.
+/// Creates the HTML page of a history. The path is for the error.
 pub fn draw_page(history: &History, verdict: &Verdict, path: &Path) -> Result<String, TrialError> {
     let failed = |error: ReportError| TrialError::DrawPage(path.into(), error);
     report::page(history, verdict).map_err(failed)
 }
 
-/// A bar that counts the time of a run; hidden unless standard error is a terminal.
+/// A progress bar with the elapsed time of a run; hidden unless standard error is a terminal.
 pub fn progress_bar(plan: &Plan, seed: u64) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
@@ -75,7 +78,7 @@
         ProgressStyle::with_template("{spinner} {msg} {elapsed}").unwrap_or(ProgressStyle::default_spinner());
     let bar = ProgressBar::new_spinner().with_style(style);
     bar.set_message(format!(
-        "{} seed {seed}, {:?} of traffic and a little more:",
+        "{} seed {seed}, {:?} of traffic plus start and shutdown:",
         plan.name, plan.traffic_duration
     ));
     bar.enable_steady_tick(Duration::from_millis(200));
--- a/crates/marlwinch/src/command/trial/plan_source.rs
+++ b/crates/marlwinch/src/command/trial/plan_source.rs
@@ -1,4 +1,4 @@
-//! Reads the plan of a trial: from a file, or one of those that come with the program.
+//! Reads the plan of a trial from a file or from the plans that are built into the program.
 
 use super::error::TrialError;
 use fault_injection::plan::Plan;
@@ -11,22 +11,22 @@
 use std::path::Path;
 
 quick_error! {
-    /// Why the nodes of a plan can't use an operator's file.
+    /// Why the nodes of a plan can't use the operator's file that the plan names.
     #[derive(Debug)]
     enum NodeFileError {
-        /// The file can't be read; with its name in the plan.
+        /// The file can't be read. Holds its name in the plan.
         Read(name: String, error: io::Error) {
             display("{name}: {error}")
             source(error)
         }
-        /// A node would reject the file; with its name in the plan and the number of its errors.
+        /// A node would reject the file. Holds its name in the plan and the number of its errors.
         Rejected(name: String, errors: usize) {
-            display("{name}: refused, {errors} faults; `marlwinch check` shows them")
+            display("{name}: invalid, {errors} errors; `marlwinch check` shows them")
         }
     }
 }
 
-/// Reads a plan. A file at the path comes before a plan of that name that comes with the program.
+/// Reads a plan. A file at this path takes precedence over a built-in plan of this name.
 pub fn load_plan(name_or_path: &str) -> Result<Plan, TrialError> {
     let path = Path::new(name_or_path);
     let text = read_text(name_or_path, path)?;
@@ -48,8 +48,9 @@
     })
 }
 
-/// The operator's file of the nodes, beside the plan. A file that a node would reject is an error of the plan: it must not
-/// show up as a result of the run.
+/// Reads the operator's file of the nodes from the folder of the plan. A file that a node would reject is
+/// reported here as an error of the plan; otherwise its rejection at start would look like a finding of the
+/// run.
 fn read_node_file(folder: &Path, name: &str) -> Result<String, NodeFileError> {
     let text = std::fs::read_to_string(folder.join(name));
     let text = text.map_err(|error| NodeFileError::Read(name.into(), error))?;
--- a/crates/marlwinch/src/lib.rs
+++ b/crates/marlwinch/src/lib.rs
@@ -1,5 +1,5 @@
-//! The command line of marlwinch: parses it, starts the role or tool that it names, and prints what that returns. Nothing that
-//! serves requests is here.
+//! The command line of marlwinch: parses the arguments, starts the role or tool that they name, and prints
+//! its result. The packages of the roles serve the requests.
 #![forbid(unsafe_code)]
 
 pub mod command;
--- a/crates/marlwinch/src/main.rs
+++ b/crates/marlwinch/src/main.rs
@@ -1,4 +1,4 @@
-//! The command. All of it is in the library.
+//! The program `marlwinch`. Its code is in the library, so that tests can call it.
 #![forbid(unsafe_code)]
 
 use marlwinch::command::{cli, system};
--- a/crates/marlwinch/tests/demo.rs
+++ b/crates/marlwinch/tests/demo.rs
@@ -65,7 +65,8 @@
         .spawn()
         .expect("the program starts");
     let mut lines = BufReader::new(child.stdout.take().expect("its output")).lines();
-    while !lines.next().expect("it goes on").expect("a line").contains("held by each box") {}
+    while !lines.next().expect("it goes on").expect("a line").contains("requests in flight at each backend") {
+    }
     let kill = Command::new("sh").args(["-c", &format!("kill -{signal} {}", child.id())]).status();
     assert!(kill.expect("a shell").success());
     let begun = Instant::now();
