--- a/crates/marlwinch/benches/added_time.rs
+++ b/crates/marlwinch/benches/added_time.rs
@@ -1,43 +1,49 @@
-//! The time of a request through a node that runs from a file, beside one through the platform's node: the same backends,
-//! the same clients, turn by turn in one run, as a ratio. `cargo bench -p marlwinch --bench added_time`.
+//! Compares the latency and CPU time of requests through a node with a configuration file to those through
+//! the platform's node. Both have the same backends and clients and are measured alternately in one run, and
+//! the result is the ratio. Run with `cargo bench -p marlwinch --bench added_time`.
 
 mod rig;
 
-use rig::{Part, Round, median};
+use rig::{HelperProcess, Round, median};
 use std::time::Duration;
 
 const ROUNDS: usize = 9;
-const A_ROUND: Duration = Duration::from_millis(700);
+const ROUND_DURATION: Duration = Duration::from_millis(700);
 
 fn main() {
-    if rig::play_a_part() {
+    if rig::run_as_helper() {
         return;
     }
-    let boxes = Part::boxes(12);
-    let (platform, file) = (Part::platform_node(&boxes.addresses), Part::file_node(&boxes.addresses));
+    let backends = HelperProcess::backends(12);
+    let (platform, file) =
+        (HelperProcess::platform_node(&backends.addresses), HelperProcess::file_node(&backends.addresses));
     println!(
-        "clients | platform p50 µs, CPU µs | file p50 µs, CPU µs | ratio of p50, of CPU (medians of {ROUNDS} pairs)"
+        "clients | platform p50 µs, CPU µs | file p50 µs, CPU µs | ratio of p50, of CPU \
+         (medians of {ROUNDS} pairs)"
     );
     for clients in [1, 16, 64] {
-        let _ = (platform.closed_loop(clients, A_ROUND), file.closed_loop(clients, A_ROUND));
+        // Warm-up.
+        let _ = (platform.closed_loop(clients, ROUND_DURATION), file.closed_loop(clients, ROUND_DURATION));
         let pairs: Vec<(Round, Round)> = (0..ROUNDS)
             .map(|n| match n % 2 {
-                0 => (platform.closed_loop(clients, A_ROUND), file.closed_loop(clients, A_ROUND)),
+                0 => {
+                    (platform.closed_loop(clients, ROUND_DURATION), file.closed_loop(clients, ROUND_DURATION))
+                }
                 _ => {
-                    let file = file.closed_loop(clients, A_ROUND);
-                    (platform.closed_loop(clients, A_ROUND), file)
+                    let file = file.closed_loop(clients, ROUND_DURATION);
+                    (platform.closed_loop(clients, ROUND_DURATION), file)
                 }
             })
             .collect();
-        let of = |pick: &dyn Fn(&(Round, Round)) -> f64| median(pairs.iter().map(pick).collect());
+        let median_of = |pick: &dyn Fn(&(Round, Round)) -> f64| median(pairs.iter().map(pick).collect());
         println!(
             "{clients:7} | {:9.0} {:9.1} | {:9.0} {:9.1} | {:.3} {:.3}",
-            of(&|p| p.0.p50),
-            of(&|p| p.0.cpu),
-            of(&|p| p.1.p50),
-            of(&|p| p.1.cpu),
-            of(&|p| p.1.p50 / p.0.p50),
-            of(&|p| p.1.cpu / p.0.cpu),
+            median_of(&|p| p.0.p50),
+            median_of(&|p| p.0.cpu),
+            median_of(&|p| p.1.p50),
+            median_of(&|p| p.1.cpu),
+            median_of(&|p| p.1.p50 / p.0.p50),
+            median_of(&|p| p.1.cpu / p.0.cpu),
         );
     }
 }
--- a/crates/marlwinch/benches/rig/mod.rs
+++ b/crates/marlwinch/benches/rig/mod.rs
@@ -1,6 +1,6 @@
-//! What the side-by-side measurements share: boxes and a bare pass-through as processes of their own, nodes, and clients
-//! that send as fast as they get answers.
-#![allow(dead_code)] // each measurement uses its own part of this
+//! Shared by the benchmarks: backends and a minimal proxy as helper processes, nodes, and closed-loop
+//! clients.
+#![allow(dead_code)] // each benchmark uses only some of these
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -19,25 +19,28 @@
 use tokio::net::TcpListener;
 use tokio::task::{LocalSet, spawn_local};
 
-/// Which part this process plays, if it was started as one.
-pub fn play_a_part() -> bool {
+/// Runs as backends or as the minimal proxy if the arguments say that this is a helper process. Returns
+/// `false` if not.
+pub fn run_as_helper() -> bool {
     let arguments: Vec<String> = std::env::args().collect();
     match arguments.get(1).map(String::as_str) {
-        Some("--boxes") => boxes(arguments[2].parse().expect("how many")),
-        Some("--pass") => pass(arguments[2..].iter().map(|a| a.parse().expect("an address")).collect()),
+        Some("--boxes") => serve_backends(arguments[2].parse().expect("how many")),
+        Some("--pass") => {
+            run_minimal_proxy(arguments[2..].iter().map(|a| a.parse().expect("an address")).collect())
+        }
         _ => return false,
     }
     true
 }
 
-fn on_one_thread(work: impl Future<Output = ()>) {
+fn run_on_one_thread(work: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, work);
 }
 
-/// So many boxes that answer at once with 64 bytes; prints their addresses.
-fn boxes(count: usize) {
-    on_one_thread(async move {
+/// Serves this number of backends, which respond at once with 64 bytes, and prints their addresses.
+fn serve_backends(count: usize) {
+    run_on_one_thread(async move {
         let mut line = String::new();
         for _ in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -46,20 +49,20 @@
                 while let Ok((mut stream, _)) = listener.accept().await {
                     let _ = stream.set_nodelay(true);
                     spawn_local(async move {
-                        let answer = format!(
+                        let response = format!(
                             "HTTP/1.1 200 OK\r\nContent-Length: 64\r\nX-Backend-Load: concurrent=0,depth=0\r\n\r\n{}",
                             "x".repeat(64)
                         );
                         let mut buffer = Vec::new();
                         while stream.read_buf(&mut buffer).await.is_ok_and(|n| n > 0) {
-                            // Every request of the measurements has a body of four bytes.
+                            // Every request of the benchmarks has a body of 4 bytes.
                             if buffer
                                 .windows(4)
                                 .position(|w| w == b"\r\n\r\n")
                                 .is_some_and(|head| buffer.len() >= head + 8)
                             {
                                 buffer.clear();
-                                if stream.write_all(answer.as_bytes()).await.is_err() {
+                                if stream.write_all(response.as_bytes()).await.is_err() {
                                     return;
                                 }
                             }
@@ -73,29 +76,31 @@
     });
 }
 
-/// The least that a node could do: hyper's server, a pool for each box, one after the other, one thread.
-fn pass(boxes: Vec<SocketAddr>) {
+/// A minimal proxy for comparison: hyper's server, a connection pool for each backend, round robin, one
+/// thread. Prints its address.
+fn run_minimal_proxy(backends: Vec<SocketAddr>) {
     type Pool = RefCell<Vec<SendRequest<Full<Bytes>>>>;
-    let pools: Rc<Vec<Pool>> = Rc::new(boxes.iter().map(|_| RefCell::default()).collect());
-    let (boxes, next) = (Rc::new(boxes), Rc::new(Cell::new(0)));
-    on_one_thread(async move {
+    let pools: Rc<Vec<Pool>> = Rc::new(backends.iter().map(|_| RefCell::default()).collect());
+    let (backends, next) = (Rc::new(backends), Rc::new(Cell::new(0)));
+    run_on_one_thread(async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         println!("{}", listener.local_addr().expect("an address"));
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
-            let (pools, boxes, next) = (pools.clone(), boxes.clone(), next.clone());
+            let (pools, backends, next) = (pools.clone(), backends.clone(), next.clone());
             let service = service_fn(move |request: Request<hyper::body::Incoming>| {
-                let (pools, boxes, next) = (pools.clone(), boxes.clone(), next.clone());
+                let (pools, backends, next) = (pools.clone(), backends.clone(), next.clone());
                 async move {
                     let (head, body) = request.into_parts();
                     let body = body.collect().await.expect("a body").to_bytes();
-                    let at = next.get() % boxes.len();
+                    let at = next.get() % backends.len();
                     next.set(at + 1);
                     let idle = pools[at].borrow_mut().pop();
                     let mut sender = match idle {
                         Some(sender) if !sender.is_closed() => sender,
                         _ => {
-                            let stream = tokio::net::TcpStream::connect(boxes[at]).await.expect("a box");
+                            let stream =
+                                tokio::net::TcpStream::connect(backends[at]).await.expect("a backend");
                             let _ = stream.set_nodelay(true);
                             let (sender, connection) =
                                 hyper::client::conn::http1::handshake(TokioIo::new(stream))
@@ -106,8 +111,8 @@
                         }
                     };
                     sender.ready().await.expect("ready");
-                    let answer = sender.send_request(Request::from_parts(head, Full::new(body))).await;
-                    let (head, body) = answer.expect("an answer").into_parts();
+                    let response = sender.send_request(Request::from_parts(head, Full::new(body))).await;
+                    let (head, body) = response.expect("a response").into_parts();
                     let body = body.collect().await.expect("a body").to_bytes();
                     pools[at].borrow_mut().push(sender);
                     Ok::<_, Infallible>(Response::from_parts(head, Full::new(body)))
@@ -120,39 +125,40 @@
     });
 }
 
-/// A process of the measurement. It is killed when dropped.
-pub struct Part {
+/// A process of a benchmark. It is killed when dropped.
+pub struct HelperProcess {
     child: Child,
     pub addresses: Vec<SocketAddr>,
 }
 
-impl Drop for Part {
+impl Drop for HelperProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-impl Part {
-    /// Starts this program as another part, which prints its addresses.
-    fn start(arguments: &[String]) -> Part {
+impl HelperProcess {
+    /// Starts this program with arguments that make it a helper process, and reads the addresses that it
+    /// prints.
+    fn start(arguments: &[String]) -> HelperProcess {
         let mut command = Command::new(std::env::current_exe().expect("this program"));
         let mut child = command.args(arguments).stdout(Stdio::piped()).spawn().expect("it starts");
         let mut line = String::new();
         let mut out = BufReader::new(child.stdout.take().expect("its output"));
         out.read_line(&mut line).expect("its addresses");
         let addresses = line.split_whitespace().map(|a| a.parse().expect("an address")).collect();
-        Part { child, addresses }
+        HelperProcess { child, addresses }
     }
-    pub fn boxes(count: usize) -> Part {
-        Part::start(&["--boxes".into(), count.to_string()])
+    pub fn backends(count: usize) -> HelperProcess {
+        HelperProcess::start(&["--boxes".into(), count.to_string()])
     }
-    pub fn pass_through(boxes: &[SocketAddr]) -> Part {
-        let boxes = boxes.iter().map(SocketAddr::to_string);
-        Part::start(&std::iter::once("--pass".to_string()).chain(boxes).collect::<Vec<_>>())
+    pub fn minimal_proxy(backends: &[SocketAddr]) -> HelperProcess {
+        let backends = backends.iter().map(SocketAddr::to_string);
+        HelperProcess::start(&std::iter::once("--pass".to_string()).chain(backends).collect::<Vec<_>>())
     }
-    /// Starts a node, whose log says where it listens.
-    pub fn node(mut command: Command) -> Part {
+    /// Starts a node and reads its address from its log.
+    pub fn node(mut command: Command) -> HelperProcess {
         let mut child = command.stderr(Stdio::piped()).spawn().expect("the node starts");
         let mut log = BufReader::new(child.stderr.take().expect("its log"));
         let mut line = String::new();
@@ -162,19 +168,19 @@
         }
         let address = line.split("listens on ").nth(1).and_then(|rest| rest.split(": ").next()?.parse().ok());
         std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
-        Part { child, addresses: vec![address.expect("its address")] }
+        HelperProcess { child, addresses: vec![address.expect("its address")] }
     }
-    /// A node from a file with these boxes.
-    pub fn file_node(boxes: &[SocketAddr]) -> Part {
+    /// Starts a node with a configuration file that lists these backends.
+    pub fn file_node(backends: &[SocketAddr]) -> HelperProcess {
         let mut text = String::from(
             "[node]\nsockets = 8192\nmemory = \"1GiB\"\n[[listener]]\naddress = \"127.0.0.1:0\"\n",
         );
         text += "[[cluster]]\nname = \"tally\"\n";
-        for (i, address) in boxes.iter().enumerate() {
+        for (i, address) in backends.iter().enumerate() {
             text += &format!("[[cluster.box]]\nname = \"b{i}\"\naddress = \"{address}\"\nzone = \"east\"\n");
         }
         text += "[[class]]\nname = \"c\"\nrepeat = \"unsafe\"\ntime = \"1s\"\n";
-        // Some routes beside the one that is asked for.
+        // Other routes, which no request matches.
         for n in 0..50 {
             text +=
                 &format!("[[route]]\ntemplate = \"/other{n}/{{a}}\"\nclass = \"c\"\ncluster = \"tally\"\n");
@@ -184,17 +190,17 @@
         std::fs::write(&path, text).expect("the file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_marlwinch"));
         command.arg("run").arg(&path);
-        let node = Part::node(command);
+        let node = HelperProcess::node(command);
         let _ = std::fs::remove_file(path);
         node
     }
-    /// The platform's node with these boxes.
-    pub fn platform_node(boxes: &[SocketAddr]) -> Part {
+    /// Starts the platform's node with these backends.
+    pub fn platform_node(backends: &[SocketAddr]) -> HelperProcess {
         let entry = |(i, address): (usize, &SocketAddr)| {
             serde_json::json!({"instanceId": format!("b{i}"), "hostPort": address.to_string(), "zone": "east",
                 "machineType": "m1", "cell": 1, "lifecycle": "in_service", "weight": 1.0, "startedAtMs": 0})
         };
-        let instances: Vec<_> = boxes.iter().enumerate().map(entry).collect();
+        let instances: Vec<_> = backends.iter().enumerate().map(entry).collect();
         let config = serde_json::json!({"name": "platform", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9",
             "seed": "1", "limits": {"cores": 1.0, "memory_mb": 1024, "sockets": 8192},
             "known": {"generation": 1, "reset": true, "instances": instances},
@@ -206,61 +212,62 @@
         std::fs::write(&path, config.to_string()).expect("the configuration");
         let mut command = Command::new(env!("CARGO_BIN_EXE_marlwinch"));
         command.env("ROUTER_CONFIG", &path);
-        let node = Part::node(command);
+        let node = HelperProcess::node(command);
         let _ = std::fs::remove_file(path);
-        std::thread::sleep(Duration::from_millis(700)); // it waits for discovery's first word
+        // It waits for the first message of discovery, but not longer than this.
+        std::thread::sleep(Duration::from_millis(700));
         node
     }
-    /// CPU time so far in microseconds, as Linux counts it in ticks of 10 ms.
-    fn cpu(&self) -> f64 {
+    /// The CPU time of the process so far, in microseconds. Linux counts it in ticks of 10 ms.
+    fn cpu_us(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap_or_default();
         let after = stat.rsplit(')').next().unwrap_or_default();
         let field =
             |n: usize| after.split_whitespace().nth(n).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
         (field(11) + field(12)) * 10_000.0
     }
-    /// Resident memory in MiB.
-    pub fn resident(&self) -> f64 {
+    /// The resident memory of the process in MiB.
+    pub fn resident_mib(&self) -> f64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or_default();
         line.split_whitespace().nth(1).and_then(|kib| kib.parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
     }
-    /// Requests on so many connections, each as soon as the one before has its answer, for a while.
+    /// Sends requests on this number of connections, each as soon as the previous one has its response.
     pub fn closed_loop(&self, clients: usize, length: Duration) -> Round {
-        let (address, before) = (self.addresses[0], self.cpu());
+        let (address, cpu_before) = (self.addresses[0], self.cpu_us());
         let threads: Vec<_> = (0..clients)
             .map(|client| std::thread::spawn(move || client_loop(address, client, length)))
             .collect();
-        let (mut times, mut refused) = (Vec::new(), 0);
+        let (mut times, mut rejected) = (Vec::new(), 0);
         for thread in threads {
-            let (its, more) = thread.join().expect("a client");
-            times.extend(its);
-            refused += more;
+            let (client_times, client_rejected) = thread.join().expect("a client");
+            times.extend(client_times);
+            rejected += client_rejected;
         }
-        let cpu = (self.cpu() - before) / times.len().max(1) as f64;
+        let cpu = (self.cpu_us() - cpu_before) / times.len().max(1) as f64;
         times.sort_by(f64::total_cmp);
         let at =
             |quantile: f64| times.get((times.len() as f64 * quantile) as usize).copied().unwrap_or(f64::NAN);
-        Round { rate: times.len() as f64 / length.as_secs_f64(), cpu, p50: at(0.5), p99: at(0.99), refused }
+        Round { rate: times.len() as f64 / length.as_secs_f64(), cpu, p50: at(0.5), p99: at(0.99), rejected }
     }
 }
 
-/// What a round came to; times in microseconds, CPU for each request.
+/// The result of a round. Times are in microseconds; the CPU time is per request.
 #[derive(Clone, Copy, Debug)]
 pub struct Round {
     pub rate: f64,
     pub cpu: f64,
     pub p50: f64,
     pub p99: f64,
-    pub refused: usize,
+    pub rejected: usize,
 }
 
 fn client_loop(address: SocketAddr, client: usize, length: Duration) -> (Vec<f64>, usize) {
     let mut stream = TcpStream::connect(address).expect("a connection");
     let _ = stream.set_nodelay(true);
-    let (mut times, mut buffer, begun, mut number, mut refused) =
+    let (mut times, mut buffer, started, mut number, mut rejected) =
         (Vec::new(), Vec::new(), Instant::now(), 0, 0);
-    while begun.elapsed() < length {
+    while started.elapsed() < length {
         number += 1;
         let request = format!(
             "POST /correct/7f3a HTTP/1.1\r\nHost: t\r\nX-Correlation-Id: {client}-{number}\r\nContent-Length: 4\r\n\r\nbody"
@@ -268,23 +275,23 @@
         let sent = Instant::now();
         stream.write_all(request.as_bytes()).expect("sent");
         read_message(&mut stream, &mut buffer);
-        // A node that has just started refuses until it has learnt how crowded boxes may be.
+        // A node that has just started rejects requests until its concurrency limits have adapted.
         if buffer.starts_with(b"HTTP/1.1 503") {
-            refused += 1;
+            rejected += 1;
             continue;
         }
         assert!(buffer.starts_with(b"HTTP/1.1 200"), "{}", String::from_utf8_lossy(&buffer));
         times.push(sent.elapsed().as_secs_f64() * 1e6);
     }
-    (times, refused)
+    (times, rejected)
 }
 
-/// Reads a message of a head and a body with a length.
+/// Reads an HTTP message whose body, if any, has a `Content-Length`.
 fn read_message(stream: &mut TcpStream, buffer: &mut Vec<u8>) {
     buffer.clear();
     let mut chunk = [0; 2048];
     loop {
-        let n = stream.read(&mut chunk).expect("an answer");
+        let n = stream.read(&mut chunk).expect("a response");
         assert!(n > 0, "the connection ends");
         buffer.extend_from_slice(&chunk[..n]);
         let Some(head) = buffer.windows(4).position(|w| w == b"\r\n\r\n") else { continue };
@@ -296,7 +303,7 @@
     }
 }
 
-pub fn median(mut of: Vec<f64>) -> f64 {
-    of.sort_by(f64::total_cmp);
-    of.get(of.len() / 2).copied().unwrap_or(f64::NAN)
+pub fn median(mut values: Vec<f64>) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
 }
--- a/crates/marlwinch/benches/side_by_side.rs
+++ b/crates/marlwinch/benches/side_by_side.rs
@@ -1,35 +1,38 @@
-//! The node from a file beside a backend directly and a bare hyper pass-through, all in one run: requests a second, CPU and
-//! time of a request, memory; and what the load generator holds. `cargo bench -p marlwinch --bench side_by_side`,
-//! with `-- 12` for so many boxes alone.
+//! Compares a node with a configuration file to a direct connection to a backend and to a minimal hyper
+//! proxy, in one run: requests per second, CPU time and latency of a request, memory. Also finds the highest
+//! rate that the load generator sustains. Run with `cargo bench -p marlwinch --bench side_by_side`; `-- 12`
+//! runs with 12 backends only.
 
 mod rig;
 
 use load_generator::engine::{AttemptLog, Connect, Progress, Tcp, run};
 use load_generator::plan::Plan;
-use rig::{Part, Round};
+use rig::{HelperProcess, Round};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-const A_ROUND: Duration = Duration::from_millis(1500);
+const ROUND_DURATION: Duration = Duration::from_millis(1500);
 const CLIENTS: [usize; 4] = [1, 16, 64, 256];
 
-fn line(what: &str, clients: usize, part: &Part) -> Round {
-    let _ = part.closed_loop(clients, A_ROUND / 3);
-    let round = part.closed_loop(clients, A_ROUND);
+/// Measures a round after a warm-up and prints its line.
+fn measure(name: &str, clients: usize, process: &HelperProcess) -> Round {
+    let _ = process.closed_loop(clients, ROUND_DURATION / 3);
+    let round = process.closed_loop(clients, ROUND_DURATION);
     println!(
-        "{what:24}{clients:8}{:11.0}{:9.1}{:9.0}{:9.0}{:8.1}{:9}",
+        "{name:24}{clients:8}{:11.0}{:9.1}{:9.0}{:9.0}{:8.1}{:9}",
         round.rate,
         round.cpu,
         round.p50,
         round.p99,
-        part.resident(),
-        round.refused
+        process.resident_mib(),
+        round.rejected
     );
     round
 }
 
-/// An open loop at a rate: latency from the intended times at p50 and p99, in microseconds, and whether it is valid.
+/// Sends requests in an open loop at this rate. Returns the p50 and p99 latencies in microseconds, measured
+/// from the scheduled send times, and whether the report is valid.
 fn open_loop(target: SocketAddr, rate: f64) -> (f64, f64, bool) {
     let mut plan = Plan::steady(rate, Duration::from_secs(3), "POST", "/correct/7f3a").expect("a plan");
     plan.classes[0].body = 4;
@@ -41,64 +44,64 @@
 }
 
 fn main() {
-    if rig::play_a_part() {
+    if rig::run_as_helper() {
         return;
     }
     println!(
         "{:24}{:>8}{:>11}{:>9}{:>9}{:>9}{:>8}{:>9}",
-        "", "clients", "requests/s", "CPU µs", "p50 µs", "p99 µs", "MiB", "refused"
+        "", "clients", "requests/s", "CPU µs", "p50 µs", "p99 µs", "MiB", "rejected"
     );
-    let asked: Vec<usize> = std::env::args().filter_map(|a| a.parse().ok()).collect();
-    for count in if asked.is_empty() { vec![12, 100, 1000] } else { asked } {
-        let boxes = Part::boxes(count);
-        let pass = Part::pass_through(&boxes.addresses);
-        let node = Part::file_node(&boxes.addresses);
+    let requested: Vec<usize> = std::env::args().filter_map(|argument| argument.parse().ok()).collect();
+    for count in if requested.is_empty() { vec![12, 100, 1000] } else { requested } {
+        let backends = HelperProcess::backends(count);
+        let proxy = HelperProcess::minimal_proxy(&backends.addresses);
+        let node = HelperProcess::file_node(&backends.addresses);
         for clients in CLIENTS {
             if count == 12 {
-                line("a box directly", clients, &boxes);
+                measure("direct", clients, &backends);
             }
-            let bare = line(&format!("pass-through, {count} boxes"), clients, &pass);
-            let ours = line(&format!("node, {count} boxes"), clients, &node);
+            let minimal = measure(&format!("proxy, {count} backends"), clients, &proxy);
+            let ours = measure(&format!("node, {count} backends"), clients, &node);
             println!(
                 "{:24}{clients:8}{:10.2}×{:8.2}×{:8.2}×{:8.2}×",
-                "  node / pass-through",
-                ours.rate / bare.rate,
-                ours.cpu / bare.cpu,
-                ours.p50 / bare.p50,
-                ours.p99 / bare.p99
+                "  node / minimal proxy",
+                ours.rate / minimal.rate,
+                ours.cpu / minimal.cpu,
+                ours.p50 / minimal.p50,
+                ours.p99 / minimal.p99
             );
         }
         if count == 12 {
-            let capacity = node.closed_loop(64, A_ROUND).rate;
+            let capacity = node.closed_loop(64, ROUND_DURATION).rate;
             println!(
-                "\nadded time at a part of the node's rate at 64 clients ({capacity:.0}/s), open loop, µs"
+                "\nlatency in µs at a share of the node's rate with 64 clients ({capacity:.0}/s), open loop"
             );
-            for part in [0.1, 0.5, 0.8] {
-                let (bare, ours) = (
-                    open_loop(pass.addresses[0], capacity * part),
-                    open_loop(node.addresses[0], capacity * part),
+            for share in [0.1, 0.5, 0.8] {
+                let (minimal, ours) = (
+                    open_loop(proxy.addresses[0], capacity * share),
+                    open_loop(node.addresses[0], capacity * share),
                 );
                 println!(
-                    "  {:3.0}%: p50 {:.0} and {:.0}, p99 {:.0} and {:.0} (pass-through, node){}",
-                    part * 100.0,
-                    bare.0,
+                    "  {:3.0}%: p50 {:.0} and {:.0}, p99 {:.0} and {:.0} (minimal proxy, node){}",
+                    share * 100.0,
+                    minimal.0,
                     ours.0,
-                    bare.1,
+                    minimal.1,
                     ours.1,
-                    if bare.2 && ours.2 { "" } else { "  NOT VALID" }
+                    if minimal.2 && ours.2 { "" } else { "  NOT VALID" }
                 );
             }
-            println!("\nthe generator, one thread, before one box: the highest rate with a valid report");
+            println!("\nload generator with one thread, one backend: highest rate with a valid report");
             let mut best = 0.0;
             for rate in [5_000.0, 10_000.0, 15_000.0, 20_000.0, 30_000.0, 40_000.0] {
-                let (_, p99, valid) = open_loop(boxes.addresses[0], rate);
+                let (_, p99, valid) = open_loop(backends.addresses[0], rate);
                 println!("  {rate:.0}/s: {}, p99 {p99:.0} µs", if valid { "valid" } else { "NOT VALID" });
                 if valid {
                     best = rate;
                 }
             }
-            let bare = boxes.closed_loop(64, A_ROUND).rate;
-            println!("  {best:.0}/s; a bare loop of 64 threads before the same box reaches {bare:.0}/s\n");
+            let closed_loop = backends.closed_loop(64, ROUND_DURATION).rate;
+            println!("  {best:.0}/s; a closed loop of 64 threads reaches {closed_loop:.0}/s\n");
         }
     }
 }
--- a/crates/marlwinch/examples/first-request.rs
+++ b/crates/marlwinch/examples/first-request.rs
@@ -1,18 +1,18 @@
-//! The first thing to run: three small boxes and a node from `deploy/example.toml`, on ports of their own, and a request of
-//! each class through it. Ends by itself and leaves nothing.
+//! A first example: starts three small backends and a node with `deploy/example.toml` on free ports, and
+//! sends one request of each class through the node. Ends by itself and leaves no files.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitCode, Stdio};
 
-/// Ends the node and removes its file, whatever happens.
-struct Running {
+/// A running node. When dropped, the node is killed and its file is removed.
+struct RunningNode {
     node: Child,
     file: PathBuf,
 }
 
-impl Drop for Running {
+impl Drop for RunningNode {
     fn drop(&mut self) {
         let _ = self.node.kill();
         let _ = self.node.wait();
@@ -20,31 +20,31 @@
     }
 }
 
-/// A box that answers with its name and what it was asked.
-fn start_box(name: String) -> std::io::Result<SocketAddr> {
+/// Starts a backend that responds with its name and the request line.
+fn start_backend(name: String) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let name = name.clone();
-            std::thread::spawn(move || answer(&name, stream));
+            std::thread::spawn(move || serve(&name, stream));
         }
     });
     Ok(address)
 }
 
-fn answer(name: &str, stream: TcpStream) -> std::io::Result<()> {
+fn serve(name: &str, stream: TcpStream) -> std::io::Result<()> {
     let mut out = stream.try_clone()?;
     let mut input = BufReader::new(stream);
     loop {
-        let (first, length) = read_head(&mut input)?;
+        let (request_line, length) = read_head(&mut input)?;
         input.read_exact(&mut vec![0; length])?;
-        let body = format!("{name} ran {}", first.trim_end().trim_end_matches(" HTTP/1.1"));
+        let body = format!("{name} ran {}", request_line.trim_end().trim_end_matches(" HTTP/1.1"));
         write!(out, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
     }
 }
 
-/// The first line of a message, and the length of its body.
+/// Reads the head of an HTTP message. Returns its first line and the length of its body.
 fn read_head(input: &mut impl BufRead) -> std::io::Result<(String, usize)> {
     let (mut first, mut length) = (String::new(), 0);
     if input.read_line(&mut first)? == 0 {
@@ -63,10 +63,10 @@
     }
 }
 
-/// The program, built beside this one.
+/// The path of the program `marlwinch` beside this example. Builds it if it is missing.
 fn program() -> std::io::Result<PathBuf> {
-    let here = std::env::current_exe()?;
-    let folder = here.parent().and_then(Path::parent).ok_or(std::io::ErrorKind::NotFound)?;
+    let example = std::env::current_exe()?;
+    let folder = example.parent().and_then(Path::parent).ok_or(std::io::ErrorKind::NotFound)?;
     let program = folder.join("marlwinch");
     if !program.exists() {
         let mut build = Command::new(std::env::var_os("CARGO").unwrap_or("cargo".into()));
@@ -83,17 +83,17 @@
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example.toml");
     let mut text = std::fs::read_to_string(&example)?.replace("127.0.0.1:8080", "127.0.0.1:0");
     for number in 1..=3 {
-        let address = start_box(format!("box-{number}"))?;
+        let address = start_backend(format!("box-{number}"))?;
         text = text.replace(&format!("127.0.0.1:900{number}"), &address.to_string());
     }
     let file = std::env::temp_dir().join(format!("marlwinch-first-{}.toml", std::process::id()));
     std::fs::write(&file, text)?;
     let node = Command::new(program()?).arg("run").arg(&file).stderr(Stdio::piped()).spawn()?;
-    let mut running = Running { node, file };
-    let log = running.node.stderr.take().ok_or("the node has no log")?;
+    let mut running = RunningNode { node, file };
+    let log = running.node.stderr.take().ok_or("standard error of the node is not piped")?;
     let mut lines = BufReader::new(log).lines();
     let address: SocketAddr = loop {
-        let line = lines.next().ok_or("the node ended")??;
+        let line = lines.next().ok_or("the node exited before it listened")??;
         println!("node: {line}");
         if let Some((_, rest)) = line.split_once("listens on ") {
             break rest.split(": ").next().unwrap_or(rest).parse()?;
@@ -113,7 +113,7 @@
         input.read_exact(&mut body)?;
         println!("{method} {path}: {} {}", status.trim_end(), String::from_utf8_lossy(&body));
         if !status.contains(" 200 ") {
-            return Err(format!("{method} {path} was not served").into());
+            return Err(format!("{method} {path}: status {}", status.trim_end()).into());
         }
     }
     println!(
@@ -125,8 +125,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("first-request: {e}");
+        Err(error) => {
+            eprintln!("first-request: {error}");
             ExitCode::FAILURE
         }
     }
