--- a/crates/fault-injection/src/plan_reader.rs
+++ b/crates/fault-injection/src/plan_reader.rs
@@ -1,5 +1,5 @@
-//! Reads a plan from TOML: every fault of the text in one pass, with its place, as an operator's file is read. Opens no file but
-//! the one that its caller reads for it.
+//! Reads a plan from TOML. All errors of the text are reported in one pass with their positions, as for an
+//! operator's file. Other files are read only through a callback.
 
 mod faults;
 mod names;
@@ -17,26 +17,28 @@
 use toml::de::{DeTable, DeValue};
 use values::{ZeroDuration, duration, duration_range, or_default, push};
 
-/// The operator's file of the nodes in plans that name none.
-pub const NODE: &str = include_str!("../../../deploy/trials/node.toml");
-/// As many processes as run on one machine beside the trial itself.
+/// The operator's file of nodes in plans that do not name one.
+pub const DEFAULT_NODE_FILE: &str = include_str!("../../../deploy/trials/node.toml");
+/// The largest number of nodes: as many processes as one machine runs beside the trial itself.
 const MAX_NODES: u64 = 100;
+/// The largest number of backends.
 const MAX_BACKENDS: u64 = 100;
-/// More faults are a mistake, or a plan that nobody reads.
+/// The largest number of faults to draw. A higher one is most likely a mistake.
 const MAX_FAULTS: usize = 200;
 /// The largest number of cores of a backend.
 const MAX_CORES: u64 = 1000;
 /// The largest number of retries of a request.
 const MAX_RETRIES: u64 = 5;
-/// The largest bound on connections, calls and descriptors.
+/// The largest limit on connections, discovery calls and descriptors.
 const MAX_COUNT: u64 = 1_000_000;
 /// The largest size in bytes.
 const MAX_BYTES: u64 = 1 << 40;
 
-/// Reads a plan. `read_file` reads an operator's file that the plan names; its error is shown with the place.
+/// Reads a plan. `read_file` reads the operator's file that the plan names; its error is reported at the
+/// position of the name.
 ///
 /// # Errors
-/// The faults of the text, by their places.
+/// All errors of the text, sorted by position.
 pub fn read_plan<E: fmt::Display>(
     text: &str,
     read_file: impl Fn(&str) -> Result<String, E>,
@@ -46,7 +48,7 @@
         Ok(table) => read_top_level(table.get_ref(), table.span(), &read_file, &mut report),
         Err(e) => {
             let at = e.span().unwrap_or(0..0);
-            push(&mut report, Code::Syntax, at, e.message().to_string(), "write TOML");
+            push(&mut report, Code::InvalidToml, at, e.message().to_string(), "fix the TOML syntax");
             None
         }
     };
@@ -63,20 +65,21 @@
     report: &mut Report,
 ) -> Option<Plan> {
     let mut top = Section::new(table, at, "the plan");
-    let name = top.need("name", "\"a-node-killed\"", report).and_then(|v| read::name(v, report));
+    let name = top.required("name", "\"a-node-killed\"", report).and_then(|v| read::name(v, report));
     let about = top.get("about").and_then(|v| read::text(v, report)).map_or(String::new(), |t| t.value);
     let length =
-        top.need("length", "\"8s\"", report).and_then(|v| duration(v, ZeroDuration::Rejected, report));
+        top.required("length", "\"8s\"", report).and_then(|v| duration(v, ZeroDuration::Rejected, report));
     let draw = top.get("draw").and_then(|v| read::count(v, (1, MAX_FAULTS as u64), report));
-    let nodes = top.need("nodes", "{ count = 2 }", report).and_then(|v| read::table(v, "nodes", report));
+    let nodes = top.required("nodes", "{ count = 2 }", report).and_then(|v| read::table(v, "nodes", report));
     let (count, node_kind) =
         nodes.map_or((1, NodeKind::Platform), |section| read_nodes(section, read_file, report));
-    let backends = top.need("boxes", "{ count = 3 }", report).and_then(|v| read::table(v, "boxes", report));
+    let backends =
+        top.required("boxes", "{ count = 3 }", report).and_then(|v| read::table(v, "boxes", report));
     let backends = backends.map(|section| read_backends(section, report));
     let clients = read::tables(top.get("clients"), "clients", report);
     let clients: Vec<_> = clients.into_iter().filter_map(|section| read_clients(section, report)).collect();
     if clients.is_empty() && report.is_empty() {
-        let help = "add a table `[[clients]]` with `class`, `path` and `rate`";
+        let help = "add a table `[[clients]]` with `class`, `repeat`, `path` and `rate`";
         push(report, Code::MissingKey, 0..0, "the plan has no clients".into(), help);
     }
     let names = Names { nodes: count, backends: backends.as_ref().map_or(0, |backends| backends.count) };
@@ -91,8 +94,8 @@
     if let Some(draw) = &draw
         && draw.value as usize > fault_count
     {
-        let what = format!("{} faults are to be drawn, and there are {fault_count}", draw.value);
-        push(report, Code::NumberRange, draw.span.clone(), what, "draw fewer, or add faults");
+        let what = format!("`draw` is {}, but the number of faults is {fault_count}", draw.value);
+        push(report, Code::NumberOutOfRange, draw.span.clone(), what, "draw fewer, or add faults");
     }
     top.finish(report);
     Some(Plan {
@@ -114,25 +117,25 @@
     read_file: &impl Fn(&str) -> Result<String, E>,
     report: &mut Report,
 ) -> (usize, NodeKind) {
-    let count = section.need("count", "2", report).and_then(|v| read::count(v, (1, MAX_NODES), report));
+    let count = section.required("count", "2", report).and_then(|v| read::count(v, (1, MAX_NODES), report));
     let is_platform = or_default(section.get("kind"), false, |v| {
         Some(read::choice(v, &[("file", false), ("platform", true)], report)?.value)
     });
     let file = section.get("file").and_then(|v| read::text(v, report));
     let kind = match (is_platform, file) {
         (true, Some(file)) => {
-            let what = "a node of the platform has no operator's file".to_string();
+            let what = "nodes of the platform do not read an operator's file".to_string();
             let help = "leave `file` out, or write `kind = \"file\"`";
-            push(report, Code::Choice, file.span, what, help);
+            push(report, Code::InvalidChoice, file.span, what, help);
             NodeKind::Platform
         }
         (true, None) => NodeKind::Platform,
-        (false, None) => NodeKind::File(NODE.into()),
+        (false, None) => NodeKind::File(DEFAULT_NODE_FILE.into()),
         (false, Some(file)) => match read_file(&file.value) {
             Ok(text) => NodeKind::File(text),
             Err(error) => {
-                let help = "name a file, as seen from the plan's folder";
-                push(report, Code::NotAFile, file.span, error.to_string(), help);
+                let help = "write a path relative to the folder of the plan";
+                push(report, Code::UnreadableFile, file.span, error.to_string(), help);
                 NodeKind::File(String::new())
             }
         },
@@ -142,7 +145,8 @@
 }
 
 fn read_backends(mut section: Section, report: &mut Report) -> BackendGroup {
-    let count = section.need("count", "3", report).and_then(|v| read::count(v, (1, MAX_BACKENDS), report));
+    let count =
+        section.required("count", "3", report).and_then(|v| read::count(v, (1, MAX_BACKENDS), report));
     let sites = section.get("sites").and_then(|v| read::array(v, "names", report)).unwrap_or_default();
     let sites: Vec<_> = sites.into_iter().filter_map(|v| Some(read::name(v, report)?.value)).collect();
     let cores = or_default(section.get("cores"), 4, |v| Some(read::count(v, (1, MAX_CORES), report)?.value));
@@ -181,24 +185,31 @@
 }
 
 fn read_clients(mut section: Section, report: &mut Report) -> Option<ClientGroup> {
-    let class = section.need("class", "\"look\"", report).and_then(|v| read::name(v, report));
-    let words = [("safe", Idempotency::Safe), ("keyed", Idempotency::Keyed), ("unsafe", Idempotency::Unsafe)];
+    let class = section.required("class", "\"look\"", report).and_then(|v| read::name(v, report));
+    let choices =
+        [("safe", Idempotency::Safe), ("keyed", Idempotency::Keyed), ("unsafe", Idempotency::Unsafe)];
     let idempotency = section
-        .need("repeat", "\"safe\"", report)
-        .and_then(|v| read::choice(v, &words, report))
-        .map(|word| word.value);
+        .required("repeat", "\"safe\"", report)
+        .and_then(|v| read::choice(v, &choices, report))
+        .map(|choice| choice.value);
     let default_method = if idempotency == Some(Idempotency::Safe) { "GET" } else { "POST" };
     let method =
         or_default(section.get("method"), default_method.into(), |v| Some(read::name(v, report)?.value));
-    let path = section.need("path", "\"/tally/{n}\"", report).and_then(|v| read::text(v, report));
+    let path = section.required("path", "\"/tally/{n}\"", report).and_then(|v| read::text(v, report));
     if let Some(path) = &path
         && (!path.value.starts_with('/') || path.value.contains([' ', '\r', '\n']))
     {
-        let what = format!("{:?} is no path", path.value);
-        push(report, Code::PathForm, path.span.clone(), what, "write `/`, and no spaces");
+        let what = format!("{:?} is not a path", path.value);
+        push(
+            report,
+            Code::InvalidPath,
+            path.span.clone(),
+            what,
+            "start it with `/`, and leave out spaces and line breaks",
+        );
     }
     let headers = read_headers(&mut section, report);
-    let rate = section.need("rate", "\"40/s\"", report).and_then(|v| read::rate(v, report));
+    let rate = section.required("rate", "\"40/s\"", report).and_then(|v| read::rate(v, report));
     let timeout = or_default(section.get("patience"), Duration::from_secs(1), |v| {
         duration(v, ZeroDuration::Rejected, report)
     });
@@ -222,13 +233,19 @@
     let Some(value) = section.get("headers") else { return headers };
     let DeValue::Table(table) = value.get_ref() else {
         let help = "write `headers = { x-account = \"semarang\" }`";
-        push(report, Code::WrongType, value.span(), "this is no table of headers".into(), help);
+        push(report, Code::WrongType, value.span(), "the headers are not a table".into(), help);
         return headers;
     };
     for (name, value) in table.iter() {
         let Some(text) = read::text(value, report) else { continue };
         if text.value.contains(['\r', '\n']) {
-            push(report, Code::HeaderForm, text.span, "a header of two lines".into(), "write it in one");
+            push(
+                report,
+                Code::InvalidHeader,
+                text.span,
+                "a header value with a line break".into(),
+                "write it on one line",
+            );
         } else {
             headers.push((name.get_ref().to_string(), text.value));
         }
--- a/crates/marlwinch/tests/demo.rs
+++ b/crates/marlwinch/tests/demo.rs
@@ -65,7 +65,8 @@
         .spawn()
         .expect("the program starts");
     let mut lines = BufReader::new(child.stdout.take().expect("its output")).lines();
-    while !lines.next().expect("it goes on").expect("a line").contains("held by each box") {}
+    while !lines.next().expect("it goes on").expect("a line").contains("requests in flight at each backend") {
+    }
     let kill = Command::new("sh").args(["-c", &format!("kill -{signal} {}", child.id())]).status();
     assert!(kill.expect("a shell").success());
     let begun = Instant::now();
@@ -120,7 +121,7 @@
         "it needs nothing"
     );
     let (_, output, _) = load(&["diff", &json, &json]);
-    assert!(output.contains("p99 ms") && output.contains("(may be chance)"), "{output}");
+    assert!(output.contains("p99 ms") && output.contains("(not significant)"), "{output}");
 }
 
 #[test]
