--- a/crates/marlwinch/tests/golden_cli_checks.rs
+++ b/crates/marlwinch/tests/golden_cli_checks.rs
@@ -265,7 +265,7 @@
     assert!([Code::FileTooLarge, Code::UnreadableFile].iter().all(|code| transcript.contains(code.as_str())));
     let last_transcript = Run::new(&["check", "many-faults.toml"]).within(&folder.0).transcript();
     let last = last_transcript.trim_end().lines().last().expect("a line");
-    assert_eq!(last, "many-faults.toml: refused, 200 faults, and 100 more that are not shown");
+    assert_eq!(last, "many-faults.toml: invalid, 200 errors, and 100 more that are not shown");
 }
 
 /// The text of every code, its rule and what it is about are the approved ones.
--- a/crates/standalone-proxy/src/file_node/diagnostics.rs
+++ b/crates/standalone-proxy/src/file_node/diagnostics.rs
@@ -106,7 +106,7 @@
     }
     let (shown, more) = (file.error.diagnostics.len(), file.error.omitted);
     let omitted = if more > 0 { format!(", and {more} more that are not shown") } else { String::new() };
-    out.push_str(&format!("{name}: refused, {shown} fault{}{omitted}\n", plural(shown)));
+    out.push_str(&format!("{name}: invalid, {shown} error{}{omitted}\n", plural(shown)));
     out
 }
 
--- a/crates/standalone-proxy/src/upstream/messages.rs
+++ b/crates/standalone-proxy/src/upstream/messages.rs
@@ -59,8 +59,8 @@
     pub max_buffer_pause: Option<Duration>,
 }
 
-/// Opening a connection may take at most this fraction of the latency target, whatever `ConnectTimeout` is.
-/// It leaves time for three more attempts.
+/// The connect time-out is at most the latency target divided by this, whatever `ConnectTimeout` is. That
+/// leaves time for three more attempts.
 const CONNECT_DIVISOR: u32 = 4;
 
 impl BackendTimeouts {
