--- a/crates/standalone-proxy/src/decision_loop/admission_gate.rs
+++ b/crates/standalone-proxy/src/decision_loop/admission_gate.rs
@@ -25,7 +25,7 @@
 
 /// The result for a request that has arrived or was queued.
 pub enum GateOutcome {
-    /// It is to be passed to the balancer.
+    /// It must be passed to the balancer.
     Admitted(Arrival),
     /// It was rejected, and the rejection was sent.
     Rejected,
@@ -94,7 +94,7 @@
         decisions.into_iter().filter_map(outcome).collect()
     }
 
-    /// The events of which the balancer is to be notified: changed capacities and restrictions.
+    /// The events to pass to the balancer: changed capacities and restrictions.
     pub fn take_events(&mut self, now: Duration) -> Vec<Event> {
         for (server, change) in self.gate.take_limit_changes() {
             debug!(
--- a/crates/standalone-proxy/src/downstream/serve.rs
+++ b/crates/standalone-proxy/src/downstream/serve.rs
@@ -256,7 +256,7 @@
     // A request that arrived while its connection was being closed is the last one on it.
     let is_last = state.shutting_down.get() || connection.closing_since.get().is_some();
     // The connection is also closed after a request that was not accepted, as the start of the next one is
-    // uncertain, and after a chunked one, as heads are not monitored behind it.
+    // uncertain, and after a chunked one, as heads after it are not monitored.
     let close = is_last || is_chunked || response.is_err();
     let mut response = response.unwrap_or_else(RequestError::into_response);
     if close && response.status() != StatusCode::SWITCHING_PROTOCOLS {
--- a/crates/standalone-proxy/src/platform_node/json_segments.rs
+++ b/crates/standalone-proxy/src/platform_node/json_segments.rs
@@ -38,7 +38,7 @@
         self.pending.len()
     }
 
-    /// Returns the next complete segment. A sender may truncate a value, and the values behind it must not be
+    /// Returns the next complete segment. A sender may truncate a value, and the values after it must not be
     /// lost: an empty line ends a value, and so does a line that is a complete value by itself according to
     /// `is_complete`.
     pub fn next(&mut self, is_complete: impl Fn(&[u8]) -> bool) -> Option<Segment> {
@@ -80,7 +80,7 @@
     }
 
     /// Removes and returns the first `length` bytes, and resets the state of the scan for a new value. Bytes
-    /// behind them that were scanned are not scanned again.
+    /// after them that were scanned are not scanned again.
     fn take(&mut self, length: usize) -> Vec<u8> {
         let text: Vec<u8> = self.pending.drain(..length).collect();
         let scanned = self.scanned - length;
--- a/crates/standalone-proxy/src/platform_node/settings.rs
+++ b/crates/standalone-proxy/src/platform_node/settings.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Merges settings: the new ones, with the removed and changed classes of the old ones added behind the new
+/// Merges settings: the new ones, with the removed and changed classes of the old ones added after the new
 /// classes.
 pub fn merge_for_changeover(new: &NodeSettings, old: &NodeSettings) -> NodeSettings {
     let mut merged = new.clone();
