--- a/crates/fault-injection/src/plan_reader/faults.rs
+++ b/crates/fault-injection/src/plan_reader/faults.rs
@@ -106,7 +106,7 @@
         let help = "leave it out";
         push(
             report,
-            Code::Choice,
+            Code::InvalidChoice,
             recovery_time.span.clone(),
             "`gradually` applies only to faults of links".into(),
             help,
@@ -124,8 +124,9 @@
 impl<'t> FaultFields<'t> {
     fn read(mut section: Section<'t>, names: &Names, fault_count: usize, report: &mut Report) -> Self {
         let span = section.span.clone();
-        let keyword = section.need("do", "\"kill\"", report).and_then(|v| read::choice(v, &KEYWORDS, report));
-        let targets = section.need("of", "[\"node-1\"]", report).and_then(|v| name_list(v, report));
+        let keyword =
+            section.required("do", "\"kill\"", report).and_then(|v| read::choice(v, &KEYWORDS, report));
+        let targets = section.required("of", "[\"node-1\"]", report).and_then(|v| name_list(v, report));
         let targets = names.resolve_all(targets.unwrap_or_default(), report);
         let at = section.get("at").and_then(|v| duration_range(v, ZeroDuration::Allowed, report));
         let request_count = section.get("taken").and_then(|v| read::count(v, (1, MAX_REQUESTS), report));
@@ -175,7 +176,13 @@
                 }
                 _ => {
                     let what = "`by` must name a node".into();
-                    push(report, Code::Choice, node_name.span.clone(), what, "name a node, such as `node-1`");
+                    push(
+                        report,
+                        Code::InvalidChoice,
+                        node_name.span.clone(),
+                        what,
+                        "name a node, such as `node-1`",
+                    );
                     None
                 }
             },
@@ -204,7 +211,7 @@
         for target in self.targets.iter().filter(|target| !is_possible(&target.participant)) {
             push(
                 report,
-                Code::Choice,
+                Code::InvalidChoice,
                 target.span.clone(),
                 format!("this fault does not apply to {}", target.participant),
                 help,
@@ -238,12 +245,12 @@
         for PlacedParticipant { participant, span } in &to {
             if from_clients != is_node(participant) || *participant == Participant::Clients {
                 let help = "clients connect to nodes, and nodes connect to backends and to discovery";
-                push(report, Code::Choice, span.clone(), "there is no such link".into(), help);
+                push(report, Code::InvalidChoice, span.clone(), "there is no such link".into(), help);
             }
             if *participant == Participant::Discovery && *node_kind != NodeKind::Platform {
                 let help = "write `kind = \"platform\"` for the nodes";
                 let what = "nodes that are started from a file do not connect to discovery".into();
-                push(report, Code::Choice, span.clone(), what, help);
+                push(report, Code::InvalidChoice, span.clone(), what, help);
             }
         }
         let fault = self.link_fault(keyword, report)?;
--- a/crates/fault-injection/src/plan_reader/names.rs
+++ b/crates/fault-injection/src/plan_reader/names.rs
@@ -40,7 +40,7 @@
         let backends = format!("`box-1` to `box-{}`", self.backends);
         let help =
             format!("valid names are {nodes}, {backends}, `any-node`, `any-box`, `clients` and `discovery`");
-        push(report, Code::Choice, name.span.clone(), format!("unknown name {:?}", name.value), &help);
+        push(report, Code::InvalidChoice, name.span.clone(), format!("unknown name {:?}", name.value), &help);
         None
     }
 
