--- a/crates/load-generator/src/diff.rs
+++ b/crates/load-generator/src/diff.rs
@@ -54,14 +54,14 @@
 ];
 
 /// The 97.5% quantile of Student's t-distribution with this many degrees of freedom.
-fn student_quantile(freedom: f64) -> f64 {
+fn student_quantile(degrees_of_freedom: f64) -> f64 {
     const TABLE: [f64; 30] = [
         12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145,
         2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048,
         2.045, 2.042,
     ];
-    let whole = freedom.floor().max(1.0) as usize;
-    TABLE.get(whole - 1).copied().unwrap_or(1.96 + 2.5 / freedom)
+    let row = degrees_of_freedom.floor().max(1.0) as usize - 1;
+    TABLE.get(row).copied().unwrap_or(1.96 + 2.5 / degrees_of_freedom)
 }
 
 fn mean_and_variance(values: &[f64]) -> (f64, f64) {
@@ -84,10 +84,12 @@
         let (na, nb) = (a.len() as f64, b.len() as f64);
         let difference = mean_b - mean_a;
         let interval = (a.len() > 1 && b.len() > 1).then(|| {
-            let (ea, eb) = (var_a / na, var_b / nb);
-            let freedom = (ea + eb).powi(2) / (ea.powi(2) / (na - 1.0) + eb.powi(2) / (nb - 1.0)).max(1e-300);
-            let half = student_quantile(freedom) * (ea + eb).sqrt();
-            Interval { from: difference - half, to: difference + half }
+            // The squared standard errors of the two means.
+            let (error_a, error_b) = (var_a / na, var_b / nb);
+            let denominator = error_a.powi(2) / (na - 1.0) + error_b.powi(2) / (nb - 1.0);
+            let degrees_of_freedom = (error_a + error_b).powi(2) / denominator.max(1e-300);
+            let margin = student_quantile(degrees_of_freedom) * (error_a + error_b).sqrt();
+            Interval { from: difference - margin, to: difference + margin }
         });
         Some(Row { name, first_mean: mean_a, second_mean: mean_b, difference, interval })
     };
--- a/crates/load-generator/src/engine/worker.rs
+++ b/crates/load-generator/src/engine/worker.rs
@@ -142,14 +142,14 @@
     for request in plan.requests().filter(is_mine) {
         let at = start + request.at;
         loop {
-            let left = at.saturating_duration_since(Instant::now());
+            let remaining = at.saturating_duration_since(Instant::now());
             if progress.stop.load(Ordering::Relaxed) {
                 return;
             }
-            if left.is_zero() {
+            if remaining.is_zero() {
                 break;
             }
-            std::thread::sleep(left.min(MAX_SLEEP));
+            std::thread::sleep(remaining.min(MAX_SLEEP));
         }
         if due.send(request).is_err() {
             return;
@@ -341,7 +341,7 @@
         Ok(sender)
     }
 
-    fn http_request(&self, attempt: &Attempt, id: &str, left: Duration) -> Request<Full<Bytes>> {
+    fn http_request(&self, attempt: &Attempt, id: &str, remaining: Duration) -> Request<Full<Bytes>> {
         let Attempt { request: scheduled, class, number, .. } = attempt;
         let recorded = self.plan.trace.as_ref().map(|trace| &trace.requests[scheduled.number as usize].entry);
         let (method, target, is_keyed, body) = match recorded {
@@ -361,7 +361,7 @@
             headers.extend(HeaderValue::try_from(text).ok().map(|value| (name, value)));
         };
         add(CORRELATION, id.to_string());
-        add(TIME_LEFT, format!("{:.3}", left.saturating_sub(TIMEOUT_SLACK).as_secs_f64()));
+        add(TIME_LEFT, format!("{:.3}", remaining.saturating_sub(TIMEOUT_SLACK).as_secs_f64()));
         if is_keyed {
             add(KEY, format!("{:x}-{:x}", self.plan.schedule.seed, scheduled.number));
         }
--- a/crates/load-generator/src/schedule/tests.rs
+++ b/crates/load-generator/src/schedule/tests.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn times_depend_on_the_seed_only() {
+fn the_same_seed_gives_the_same_times_and_another_seed_gives_others() {
     let with = |seed| {
         let schedule = Schedule { seed, ..schedule(vec![Shape::Constant(100.0)], Spacing::Poisson, 5) };
         schedule.times().collect::<Vec<_>>()
--- a/crates/marlwinch/tests/overload.rs
+++ b/crates/marlwinch/tests/overload.rs
@@ -294,7 +294,7 @@
     }
     let told: Vec<_> = seen.iter().flatten().filter_map(|one| one.retry_after).collect();
     assert!(told.iter().all(|s| (1..=8).contains(s)) && told.iter().any(|s| *s > 1), "refusals are spread");
-    // By the clock of a busy machine, so with room; `rejections_come_when_the_time_in_the_queue_is_over` (overload-simulation)
+    // By the clock of a busy machine, so with room; `rejections_are_not_later_than_the_maximum_queue_time` (overload-simulation)
     // holds the 750 ms.
     let slowest = seen.iter().flatten().filter(|one| one.status == 503).map(|one| one.took).max();
     assert!(slowest.is_some_and(|took| took < SLOWEST_REJECTION), "not held back: {slowest:?}");
