--- a/crates/route-config/src/diagnostic.rs
+++ b/crates/route-config/src/diagnostic.rs
@@ -1,50 +1,52 @@
-//! Errors of a file: codes, positions, and the rule that would be broken. Prints nothing. The texts are for operators.
+//! Errors of a configuration file, with their codes, positions and texts for operators, and the rule of the
+//! node that each would break. Rendering them is left to the caller.
 
 use serde::Serialize;
 use std::collections::HashSet;
 use std::fmt;
 use std::ops::Range;
 
-/// The rules of a node that an error of the file would break.
+/// The guarantees of a node that an invalid file could break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// One final response, in time, for each accepted request.
-    OneAnswerInTime,
-    /// No effect is caused twice.
-    NoEffectTwice,
+    /// Each accepted request gets exactly one final response, before its timeout.
+    #[serde(rename = "one-answer-in-time")]
+    OneResponseInTime,
+    /// No request with side effects is executed twice.
+    #[serde(rename = "no-effect-twice")]
+    NoDuplicateEffects,
 }
 
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Rule::OneAnswerInTime => "one final answer, in time",
-            Rule::NoEffectTwice => "no effect twice",
+            Rule::OneResponseInTime => "exactly one final response, in time",
+            Rule::NoDuplicateEffects => "no duplicate side effects",
         })
     }
 }
 
 macro_rules! codes {
-    ($($name:ident = $text:literal, $rule:expr, $about:literal;)*) => {
-        /// The kind of an error. Its text, such as `MW100`, never changes its meaning.
+    ($($name:ident = $text:literal, $rule:expr, $summary:literal;)*) => {
+        /// The kind of an error. Its code, such as `MW100`, is stable: it is never given another meaning.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub enum Code { $(#[doc = $about] $name,)* }
+        pub enum Code { $(#[doc = $summary] $name,)* }
 
         impl Code {
-            /// All codes, in order.
+            /// All codes, in ascending order.
             pub const ALL: &[Code] = &[$(Code::$name,)*];
 
-            /// `MW` and three digits.
+            /// The code as text: `MW` and three digits.
             pub fn as_str(self) -> &'static str {
                 match self { $(Code::$name => $text,)* }
             }
 
-            /// What errors of this kind have in common, in a line.
-            pub fn about(self) -> &'static str {
-                match self { $(Code::$name => $about,)* }
+            /// A description of the kind of error, in one line.
+            pub fn summary(self) -> &'static str {
+                match self { $(Code::$name => $summary,)* }
             }
 
-            /// The rule that the file would break.
+            /// The rule that a file with this error would break; `None` if it breaks none.
             pub fn rule(self) -> Option<Rule> {
                 match self { $(Code::$name => $rule,)* }
             }
@@ -52,69 +54,69 @@
     };
 }
 
-use Rule::{NoEffectTwice, OneAnswerInTime};
+use Rule::{NoDuplicateEffects, OneResponseInTime};
 
 codes! {
-    NotText = "MW001", None, "The file is not UTF-8 text.";
-    TooLarge = "MW002", None, "The file is larger than any that is read.";
-    NotAFile = "MW003", None, "The path names no ordinary file, or it can't be read.";
-    Syntax = "MW004", None, "The text is not TOML.";
-    UnknownKey = "MW010", None, "A key that means nothing here.";
-    WrongType = "MW011", None, "A value of another type than the key takes.";
-    MissingKey = "MW012", None, "A key that must be there is not.";
-    Duplicate = "MW013", None, "A name or an address that is already taken.";
-    NameForm = "MW014", None, "A name that is empty, too long or holds other than letters, digits, `.`, `_` and `-`.";
-    DurationUnit = "MW020", None, "A duration without its unit.";
-    DurationZero = "MW021", None, "A duration of zero where there must be some time.";
-    DurationLong = "MW022", None, "A duration of more than a day.";
-    DurationForm = "MW023", None, "A text that is no duration.";
-    ShareRange = "MW024", None, "A share outside 0 to 1.";
-    NumberRange = "MW025", None, "A number outside its range, or none at all.";
-    AddressForm = "MW026", None, "A text that is no address with a port.";
-    RateForm = "MW027", None, "A text that is no rate.";
-    HeaderForm = "MW028", None, "A text that is no header name or value, or a header that can't be matched on.";
-    MethodForm = "MW029", None, "A text that is no method.";
-    HostForm = "MW030", None, "A text that is no host.";
-    PathForm = "MW031", None, "A text that is no path or template.";
-    Choice = "MW032", None, "A word that is none of those allowed here.";
-    UnknownClass = "MW040", None, "A route names a class that the file does not have.";
-    UnknownCluster = "MW041", None, "A route names a cluster that the file does not have.";
-    UnknownZone = "MW042", None, "A zone that no box is in.";
-    NoSuchCapture = "MW043", None, "A template uses a capture that the path does not have.";
-    NoBackends = "MW050", None, "A cluster without boxes.";
-    SameAddress = "MW051", None, "Two boxes of a cluster at one address.";
-    NoneInService = "MW052", None, "A cluster none of whose boxes takes requests.";
-    MissingScope = "MW053", Some(NoEffectTwice), "A class is keyed by zone or cell, and a box does not say its own.";
-    UnsafeRetried = "MW100", Some(NoEffectTwice), "An unsafe class has further attempts after it may have run.";
-    UnsafeHedged = "MW101", Some(NoEffectTwice), "An unsafe class has second copies.";
-    RetryAfterKeyWindow = "MW102", Some(NoEffectTwice), "A keyed class may be sent again after the boxes have forgotten its key.";
-    KeyedWithoutKey = "MW103", Some(NoEffectTwice), "A keyed class names no place where its key is found.";
-    SafeTakesEffect = "MW104", Some(NoEffectTwice), "A safe class is reached by a method that has effects.";
-    EffectByRepeatableMethod = "MW105", Some(NoEffectTwice), "A class with effects is reached by a method that anybody may repeat.";
-    AttemptsExceedTimeout = "MW106", Some(OneAnswerInTime), "Attempts and back-offs together outlast the request's time.";
-    ExceedsClientTimeout = "MW107", Some(OneAnswerInTime), "The request's time outlasts the clients' patience.";
-    HedgeTooLate = "MW108", None, "A second copy would go out when its first attempt is over.";
-    AttemptTooLong = "MW109", Some(OneAnswerInTime), "An attempt may take longer than its request.";
-    ConnectTooLong = "MW110", None, "A connect may take as long as the whole attempt.";
-    HedgesWithoutAttempts = "MW111", None, "More copies than there are attempts for them.";
-    NoBudget = "MW112", None, "Further attempts are allowed, and their budget is nothing.";
-    LatencyTargetTooLong = "MW113", None, "The aim is longer than the request's time.";
-    RatesUnderRetryBudget = "MW114", None, "All tenants together may send less than the retry budget's floor.";
-    QueueTooLong = "MW115", Some(OneAnswerInTime), "A request may wait in the queue for all of its time.";
-    SharesOverOne = "MW116", None, "Tenants' shares add up to more than the whole.";
-    QueueWithoutLimit = "MW117", None, "A queue without a limit to wait for.";
-    ReleaseAboveThreshold = "MW118", None, "A step whose way back is not below its way in.";
-    LimitBounds = "MW119", None, "A limit that starts outside of its bounds.";
-    FallbackOfEffect = "MW120", Some(NoEffectTwice), "A class with effects has a fallback, which its clients would take for their effect.";
-    FallbackUnused = "MW121", None, "A fallback that no step of its cluster answers with.";
-    ClassesOfStep = "MW122", None, "A step that names classes and sheds none, or sheds and names none.";
-    UpgradeOfEffect = "MW123", Some(NoEffectTwice), "A class with effects passes switches of protocol on, which only a safe one can ask for.";
-    StreamShorterThanGap = "MW124", None, "A stream that would end sooner than the pause it may make.";
-    AmbiguousRoutes = "MW130", None, "Two routes that some request can't tell apart.";
+    NotUtf8 = "MW001", None, "The file is not valid UTF-8.";
+    FileTooLarge = "MW002", None, "The file exceeds the maximum size.";
+    UnreadableFile = "MW003", None, "The path is not a regular file, or the file can't be read.";
+    InvalidToml = "MW004", None, "The file is not valid TOML.";
+    UnknownKey = "MW010", None, "A key that is unknown or not allowed here.";
+    WrongType = "MW011", None, "A value of the wrong type for its key.";
+    MissingKey = "MW012", None, "A required key is missing.";
+    Duplicate = "MW013", None, "A name or an address that is already in use.";
+    InvalidName = "MW014", None, "A name that is empty, too long, or has characters other than letters, digits, `.`, `_` and `-`.";
+    MissingDurationUnit = "MW020", None, "A duration without a unit.";
+    ZeroDuration = "MW021", None, "A duration of zero where a positive one is required.";
+    DurationTooLong = "MW022", None, "A duration longer than a day.";
+    InvalidDuration = "MW023", None, "A string that is not a valid duration.";
+    ShareOutOfRange = "MW024", None, "A share that is not a number from 0 to 1.";
+    NumberOutOfRange = "MW025", None, "A number or a size outside its range, or one that can't be parsed.";
+    InvalidAddress = "MW026", None, "A string that is not an IP address with a port, or not a network.";
+    InvalidRate = "MW027", None, "A string that is not a valid rate.";
+    InvalidHeader = "MW028", None, "An invalid header name or value, or a header that applies to one connection only.";
+    InvalidMethod = "MW029", None, "A method that is invalid or not supported.";
+    InvalidHost = "MW030", None, "A string that is not a valid host.";
+    InvalidPath = "MW031", None, "A string that is not a valid path or template.";
+    InvalidChoice = "MW032", None, "A string that is not one of the allowed values.";
+    UnknownClass = "MW040", None, "A reference to a class that the file does not define.";
+    UnknownCluster = "MW041", None, "A reference to a cluster that the file does not define.";
+    UnknownZone = "MW042", None, "A zone that has no backends.";
+    UnknownCapture = "MW043", None, "A reference to a capture that the route's path does not have.";
+    NoBackends = "MW050", None, "A cluster without backends.";
+    DuplicateAddress = "MW051", None, "Two backends of a cluster with the same address.";
+    NoBackendInService = "MW052", None, "A cluster with no backend in service.";
+    MissingScope = "MW053", Some(NoDuplicateEffects), "A class is keyed by zone or cell, which is not set for a backend.";
+    UnsafeRetried = "MW100", Some(NoDuplicateEffects), "An unsafe class allows retries after an attempt that may have been executed.";
+    UnsafeHedged = "MW101", Some(NoDuplicateEffects), "An unsafe class allows hedged requests.";
+    RetryAfterKeyWindow = "MW102", Some(NoDuplicateEffects), "A keyed class allows an attempt after backends have forgotten its key.";
+    KeyedWithoutKey = "MW103", Some(NoDuplicateEffects), "The source of a keyed class's key is not set.";
+    UnsafeMethodInSafeClass = "MW104", Some(NoDuplicateEffects), "A route of a safe class accepts a method with side effects.";
+    SafeMethodInClassWithEffects = "MW105", Some(NoDuplicateEffects), "A route of a class with side effects accepts a method that any intermediary may repeat.";
+    AttemptsExceedTimeout = "MW106", Some(OneResponseInTime), "All attempts and back-offs together exceed the request's timeout.";
+    ExceedsClientTimeout = "MW107", Some(OneResponseInTime), "The request's timeout exceeds the clients' timeout.";
+    HedgeTooLate = "MW108", None, "A hedged request would be sent after the first attempt has timed out.";
+    AttemptTooLong = "MW109", Some(OneResponseInTime), "An attempt's timeout exceeds the request's timeout.";
+    ConnectTooLong = "MW110", None, "The connect timeout is not below the attempt's timeout.";
+    HedgesWithoutAttempts = "MW111", None, "More hedged requests than the maximum number of attempts allows.";
+    RetriesWithoutBudget = "MW112", None, "Retries are allowed, but their budget is zero.";
+    LatencyTargetTooLong = "MW113", None, "The latency target exceeds the request's timeout.";
+    TenantRatesBelowRetryBudget = "MW114", None, "The rate limits of all tenants together are below the floor of the retry budget.";
+    QueueTooLong = "MW115", Some(OneResponseInTime), "The maximum time in a queue leaves no time for a response.";
+    SharesExceedOne = "MW116", None, "The shares of all tenants add up to more than 1.";
+    QueueWithoutLimit = "MW117", None, "A queue without a maximum of requests in flight.";
+    ReleaseAboveThreshold = "MW118", None, "A brownout step that does not end below the fraction at which it begins.";
+    InvalidLimitBounds = "MW119", None, "A limit that starts outside its bounds, or a fixed limit with bounds.";
+    FallbackInClassWithEffects = "MW120", Some(NoDuplicateEffects), "A class with side effects has a fallback, which clients could take for a success.";
+    FallbackUnused = "MW121", None, "A fallback that no brownout step of its cluster serves.";
+    StepClassesMismatch = "MW122", None, "A brownout step that lists classes but does not shed, or sheds but lists none.";
+    UpgradeInClassWithEffects = "MW123", Some(NoDuplicateEffects), "A class with side effects allows protocol upgrades, which are requested by GET.";
+    StreamShorterThanGap = "MW124", None, "The maximum duration of a stream is below its maximum gap.";
+    AmbiguousRoutes = "MW130", None, "Two routes that match the same request equally well.";
     RouteNeverMatches = "MW131", None, "A route that no request can match.";
-    RoutePath = "MW132", None, "A route without a path, or with more than one.";
-    NoRoutes = "MW133", None, "No routes, so that every request would be answered 404.";
-    NoListener = "MW140", None, "Nothing to listen on.";
+    RoutePathCount = "MW132", None, "A route with no path, or with more than one.";
+    NoRoutes = "MW133", None, "The file has no routes, so every request would get a 404.";
+    NoListener = "MW140", None, "The file has no listener.";
 }
 
 impl fmt::Display for Code {
@@ -123,30 +125,30 @@
     }
 }
 
-/// An error of a file.
+/// An error of a configuration file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Diagnostic {
-    /// Its kind.
+    /// The kind of the error.
     pub code: Code,
-    /// What is wrong, in a line.
+    /// What is wrong, in one line.
     pub message: String,
-    /// The bytes of the text that are wrong.
+    /// The range of bytes that is wrong; empty if the error concerns the whole file.
     pub span: Range<usize>,
-    /// Related positions, and what they are.
-    pub also: Vec<(Range<usize>, String)>,
+    /// Related positions, each with a label.
+    pub related: Vec<(Range<usize>, String)>,
     /// What to write instead.
     pub help: String,
 }
 
 impl Diagnostic {
-    /// An error at a position, and what to write instead.
+    /// Creates an error without related positions.
     pub fn new(code: Code, span: Range<usize>, message: impl Into<String>, help: impl Into<String>) -> Self {
-        Diagnostic { code, message: message.into(), span, also: Vec::new(), help: help.into() }
+        Diagnostic { code, message: message.into(), span, related: Vec::new(), help: help.into() }
     }
 
-    /// Adds a related position.
-    pub fn with(mut self, span: Range<usize>, what: impl Into<String>) -> Self {
-        self.also.push((span, what.into()));
+    /// Adds a related position with a label.
+    pub fn with_related(mut self, span: Range<usize>, what: impl Into<String>) -> Self {
+        self.related.push((span, what.into()));
         self
     }
 }
@@ -161,10 +163,12 @@
 }
 
 impl Report {
-    /// As many as anybody reads. Limits the memory for a large file with an error in each line.
+    /// The maximum number of errors that are kept. Limits the memory for a large file with an error in each
+    /// line.
     pub const MAX_DIAGNOSTICS: usize = 200;
 
-    /// Adds an error. The same error at the same position, found by way of another route, counts once.
+    /// Adds an error. The same error at the same position counts once, as a setting of a class is checked
+    /// again for each of its routes.
     pub fn push(&mut self, diagnostic: Diagnostic) {
         let Diagnostic { code, span, message, .. } = &diagnostic;
         if !self.seen.insert((*code, span.start, message.clone())) {
@@ -177,24 +181,25 @@
         }
     }
 
-    /// Whether there is no error.
+    /// Whether no error was reported.
     pub fn is_empty(&self) -> bool {
         self.found.is_empty()
     }
 
-    /// Whether some value could not be parsed, so that it would look like a missing one. An unknown key is no such value.
+    /// Whether some value could not be parsed, and is therefore missing from the parsed file. An unknown key
+    /// has no such value.
     pub fn has_missing_values(&self) -> bool {
         self.omitted > 0 || self.found.iter().any(|diagnostic| diagnostic.code != Code::UnknownKey)
     }
 
-    /// All errors, by position.
+    /// The errors that were kept, sorted by position.
     pub fn into_sorted(mut self) -> Vec<Diagnostic> {
         self.found.sort_by_key(|d| (d.span.start, d.code));
         self.found
     }
 }
 
-/// The position of a byte in the text. Its fields are seen in the report as JSON.
+/// The position of a byte in the text. Its field names are part of the JSON report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Position {
     /// The line, from 1.
@@ -203,20 +208,20 @@
     pub column: usize,
 }
 
-/// The lines of a text, to find the positions of bytes.
+/// Converts byte offsets of a text to lines and columns.
 pub struct Lines<'t> {
     text: &'t str,
     starts: Vec<usize>,
 }
 
 impl<'t> Lines<'t> {
-    /// Finds the lines.
+    /// Indexes the lines of a text.
     pub fn of(text: &'t str) -> Self {
         let ends = text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n').map(|(at, _)| at + 1);
         Lines { text, starts: std::iter::once(0).chain(ends).collect() }
     }
 
-    /// The position of a byte; the end of the text for any beyond.
+    /// The position of a byte; that of the end of the text for an offset beyond it.
     pub fn position(&self, at: usize) -> Position {
         let at = at.min(self.text.len());
         let line = self.starts.partition_point(|start| *start <= at) - 1;
