--- a/crates/engine-simulation/src/lib.rs
+++ b/crates/engine-simulation/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`PlainBackend`]: a backend for calls without prompts.
 //! - [`Site`]: a deployment with its workload and scheduled [`Fault`]s; [`Site::random`] draws one.
 //! - [`draw_requests`]: the requests of the clients of a site.
-//! - [`Selector`]: the selection of backends at a node, by the package `routing` or a baseline to compare it with.
+//! - [`Selector`]: the selection of backends at a node, by the package `routing` or a baseline for comparison.
 //! - [`run`]: simulates a site and returns its [`Statistics`].
 //!
 //! The same site and seed give the same statistics. No sockets or clocks are used.
--- a/crates/overload-simulation/tests/surges.rs
+++ b/crates/overload-simulation/tests/surges.rs
@@ -177,8 +177,8 @@
 
 #[test]
 fn backends_with_many_cores_are_used_from_the_first_second() {
-    // 2,300 requests per second of 40 ms are about 31 in flight per backend, well above the initial limit of
-    // 16.
+    // Threaded backends as in a trial: 40 ms, many requests at once. 2,300 requests per second are about 31
+    // in flight per backend, well above the initial limit of 16.
     let tally = simulate(&surge(
         &[BackendSpec::without_degradation(100); 3],
         6,
@@ -520,8 +520,8 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, max_shrink_iters: 0, ..ProptestConfig::default() })]
-    /// The difference to 1 allows for random variation and for the time in which limits adapt. The soak test
-    /// below has more cases.
+    /// The difference to 1 allows for random variation and for the time in which limits adapt. The cases are
+    /// the same in each run; the soak test below draws others.
     #[test]
     fn goodput_is_at_least_0_8_of_a_fluid_model(cluster in random_cluster()) {
         let (share, tally) = relative_to_fluid(&cluster);
