--- a/crates/marlwinch/tests/backends/mod.rs
+++ b/crates/marlwinch/tests/backends/mod.rs
@@ -1,5 +1,5 @@
-//! Test backends for a test that blocks: they run on a thread of their own for as long as the process of the test.
-#![allow(dead_code)] // each test file uses its own part of this
+//! Test backends for blocking tests. They run on their own thread until the process of the test ends.
+#![allow(dead_code)] // each test file uses only some of these
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 use test_servers::execution_log::ExecutionLog;
 use test_servers::script::Script;
 
-/// The backends of a script, in its order.
+/// The addresses of a script's backends, in its order, and what they executed.
 pub struct Backends {
     pub addresses: Vec<SocketAddr>,
-    pub ledger: Arc<ExecutionLog>,
+    pub execution_log: Arc<ExecutionLog>,
 }
 
 impl Backends {
@@ -26,7 +26,7 @@
                 let environment = Environment::start(&script).await.expect("an environment");
                 let addresses = environment.backends.iter().map(|server| server.address).collect();
                 sender
-                    .send(Backends { addresses, ledger: environment.execution_log.clone() })
+                    .send(Backends { addresses, execution_log: environment.execution_log.clone() })
                     .expect("the test waits");
                 std::future::pending::<()>().await;
             });
@@ -34,19 +34,20 @@
         receiver.recv_timeout(Duration::from_secs(60)).expect("backends")
     }
 
-    /// So many backends that serve at once, `b-1` and on, with these faults.
+    /// Starts this number of backends, named `b-1`, `b-2` and so on, that serve without delay and have these
+    /// faults.
     pub fn with_faults(count: usize, faults: &str) -> Backends {
         let name = if count == 1 { "b-1" } else { "b" };
         Backends::start(&format!("[[box]]\nname = \"{name}\"\ncount = {count}\ncores = 1000\n{faults}"))
     }
 }
 
-/// A fault for each of so many backends, `b-1` and on; `more` may hold further keys.
-pub fn fault_of_each(count: usize, what: &str, more: &str) -> String {
+/// The script of a fault for each of this number of backends. `more` holds further keys of the fault.
+pub fn fault_for_each(count: usize, what: &str, more: &str) -> String {
     (1..=count).map(|n| format!("[[fault]]\nbox = \"b-{n}\"\nwhat = \"{what}\"\n{more}\n")).collect()
 }
 
-/// The number of a backend by its name: 0 for `b-1`.
-pub fn number(name: &str) -> usize {
+/// The index of a backend by its name: 0 for `b-1`.
+pub fn backend_index(name: &str) -> usize {
     name.rsplit('-').next().and_then(|n| n.parse::<usize>().ok()).expect("a number") - 1
 }
--- a/crates/marlwinch/tests/bodies.rs
+++ b/crates/marlwinch/tests/bodies.rs
@@ -1,4 +1,5 @@
-//! Bodies that are too large to be held, both ways: passed on as they come, whole or visibly broken, and sent once.
+//! Bodies too large to buffer, in both directions: they are streamed, complete or visibly truncated, and sent
+//! only once.
 
 mod peers;
 
@@ -6,7 +7,7 @@
 use std::net::Shutdown;
 use std::time::Duration;
 
-/// A body of this many bytes, no two places of it alike.
+/// A body of this length without repetitions, so that a misplaced part is detected.
 fn body(length: usize) -> String {
     let mut text = String::with_capacity(length + 8);
     let mut i = 0u32;
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn a_large_answer_comes_whole_however_its_end_is_said() {
+fn a_large_response_arrives_complete_with_each_kind_of_framing() {
     let backend = Listener::new();
     let (node, _discovery) = node(&[&backend], |_| {});
     let (mut client, large) = (node.client(), body(3 << 20));
@@ -56,7 +57,7 @@
         let answer = client.read();
         assert_eq!(answer.status(), 200);
         assert!(answer.body == large.as_bytes(), "end {end}: {} bytes", answer.body.len());
-        // The connection is used again until it closes.
+        // The connection is reused until it closes.
         client.request("correct", "", "x");
         if end == 2 {
             let mut other = backend.next_request(&mut Vec::new());
@@ -64,7 +65,7 @@
         }
     }
     assert_eq!(client.read().body, b"done");
-    // A small one that ends with its connection is held and passed on with its length.
+    // A small response that ends with its connection is buffered and forwarded with its length.
     client.request("correct", "", "x");
     let (_, mut last) = (0, backend.next_request(&mut vec![peer]));
     last.write("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nsmall");
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn a_large_answer_that_breaks_off_is_broken_for_the_client_and_not_asked_for_again() {
+fn a_truncated_large_response_is_truncated_for_the_client_and_not_retried() {
     let (one, other) = (Listener::new(), Listener::new());
     let (mut node, _discovery) = node(&[&one, &other], |_| {});
     let large = body(1 << 20);
@@ -96,7 +97,7 @@
         assert!(text.starts_with("HTTP/1.1 200"), "{}", &text[..40]);
         let (head, rest) = text.split_once("\r\n\r\n").expect("a head");
         if in_chunks {
-            assert!(!rest.ends_with("0\r\n\r\n"), "it looks whole");
+            assert!(!rest.ends_with("0\r\n\r\n"), "it looks complete");
         } else {
             assert!(head.to_lowercase().contains("content-length: 2000000") && rest.len() < 2_000_000);
         }
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn a_large_request_goes_on_as_it_comes_and_its_time_begins_with_its_last_byte() {
+fn a_large_request_is_streamed_and_its_time_limit_starts_with_its_last_byte() {
     let backend = Listener::new();
     let (node, _discovery) = node(&[&backend], |config| {
         for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
@@ -126,8 +127,9 @@
         };
         let (first, last) = text.split_at(200_000);
         client.write(format!("{head}{length}{first}"));
-        // The backend has what has come by now, while the client takes longer than its class's whole time.
-        let begun = std::thread::spawn(move || {
+        // The backend must receive the first part while the client takes longer than the time limit of its
+        // class.
+        let started = std::thread::spawn(move || {
             std::thread::sleep(Duration::from_millis(1300));
             client
         });
@@ -137,11 +139,11 @@
         };
         let mut seen = [0; 1000];
         std::io::Read::read_exact(&mut peer.stream, &mut seen).expect("a head");
-        let mut client = begun.join().expect("a client");
+        let mut client = started.join().expect("a client");
         client.write(last);
         let rest = read_rest(&mut peer, &seen);
         assert!(rest.ends_with(if in_chunks { "0\r\n\r\n" } else { &large[large.len() - 100..] }));
-        // Another 300 ms of work are within the class's aim, which runs from the last byte.
+        // Another 300 ms are within the target of the class, which starts at the last byte.
         std::thread::sleep(Duration::from_millis(300));
         peer.answer("200 OK", "", "done");
         assert_eq!(client.read().body, b"done");
@@ -149,7 +151,7 @@
     }
 }
 
-/// Reads a request on from its first bytes to its end.
+/// Reads the rest of a request of which the first bytes were read.
 fn read_rest(peer: &mut Peer, seen: &[u8]) -> String {
     let mut text = String::from_utf8_lossy(seen).into_owned();
     let mut piece = [0; 4096];
@@ -169,24 +171,24 @@
 }
 
 #[test]
-fn a_large_request_that_is_not_whole_never_ran_and_is_not_sent_again() {
+fn an_incomplete_large_request_did_not_run_and_is_not_retried() {
     let (one, other) = (Listener::new(), Listener::new());
     let (mut node, _discovery) = node(&[&one, &other], |_| {});
     let large = body(400_000);
     let half = format!("Content-Length: 400000\r\n\r\n{}", &large[..200_000]);
     let head = "POST /correct/1 HTTP/1.1\r\nHost: b\r\nX-Account: acme\r\nX-Correlation-Id: ";
-    // The client leaves: the backend sees the connection end.
+    // The client disconnects: the backend's connection is closed.
     let mut client = node.client();
     client.write(format!("{head}1\r\n{half}"));
     let (_, mut peer) = Listener::accept_any(&[&one, &other]);
     drop(client);
     let (come, _) = peer.read_to_end();
     assert!(come.len() < 300_000, "{} bytes", come.len());
-    // The backend leaves: to try again is harmless, and the client is told so at once.
+    // The backend disconnects: a retry is harmless, and the client is told so at once.
     let mut client = node.client();
     client.write(format!("{head}2\r\n{half}"));
     let (_, mut peer) = Listener::accept_any(&[&one, &other]);
-    // Some of the body is there: a backend that left before the first byte would rightly be followed by another.
+    // A part of the body was read: if the backend left before the first byte, a retry would be right.
     let mut come = vec![0; 10_000];
     std::io::Read::read_exact(&mut peer.stream, &mut come).expect("some of the body");
     peer.stream.shutdown(Shutdown::Both).expect("closed");
@@ -194,7 +196,7 @@
     let _ = std::io::Write::write_all(&mut client.stream, &large.as_bytes()[200_000..]);
     assert_eq!(client.read().status(), 503);
     assert!(one.is_untouched() && other.is_untouched());
-    // The client stops in the middle: it is let go, and the backend too.
+    // The client stalls: its connection and that of the backend are closed.
     let mut client = node.client();
     client.write(format!("{head}3\r\nContent-Length: 400000\r\n\r\n{}", &large[..70_000]));
     let (_, mut peer) = Listener::accept_any(&[&one, &other]);
@@ -204,7 +206,7 @@
 }
 
 #[test]
-fn an_answer_that_comes_in_pieces_goes_on_before_its_time_is_up() {
+fn a_slow_response_without_long_pauses_is_forwarded_beyond_its_target() {
     let backend = Listener::new();
     let (node, _discovery) = node(&[&backend], |config| {
         for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
@@ -215,10 +217,10 @@
     client.request("correct", "", "x");
     let mut peer = backend.next_request(&mut Vec::new());
     peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    // It goes on for longer than the class's aim, and never stops for long.
-    let begun = std::time::Instant::now();
+    // It lasts longer than the target of the class, without a long pause.
+    let started = std::time::Instant::now();
     let mut sent = String::new();
-    while begun.elapsed() < Duration::from_millis(1200) {
+    while started.elapsed() < Duration::from_millis(1200) {
         let piece = body(100 + sent.len() % 7);
         peer.write(format!("{:x}\r\n{piece}\r\n", piece.len()));
         sent += &piece;
@@ -230,10 +232,10 @@
     assert!(answer.body == sent.as_bytes());
 }
 
-/// What has come at once and then stopped is no answer: to pass it on as far as it has come would leave the client with
-/// half of one, where another attempt may follow.
+/// If the first part of a stalled response were forwarded at its target, the client would have a truncated
+/// response where another attempt is still possible.
 #[test]
-fn an_answer_that_has_stopped_does_not_go_on_when_its_time_is_up() {
+fn a_stalled_response_is_not_forwarded_at_its_target() {
     let (one, other) = (Listener::new(), Listener::new());
     let (node, _discovery) = node(&[&one, &other], |config| {
         for class in config["settings"]["Classes"].as_array_mut().expect("classes") {
@@ -241,7 +243,7 @@
         }
         config["settings"]["Permissions"]["ConnectTimeout"] = 60000.into();
     });
-    // A head that comes late leaves no time in which the rest could be seen to stall.
+    // After a late head there is no time left to detect that the body stalls.
     for text in ["Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", "Content-Length: 50\r\n\r\nhello"] {
         let mut client = node.client();
         client.request("correct", "", "x");
--- a/crates/marlwinch/tests/data_path.rs
+++ b/crates/marlwinch/tests/data_path.rs
@@ -1,5 +1,6 @@
-//! The data path of a node from an operator's file, over loopback and byte by byte: whose answer a client gets, what is
-//! passed on as it comes and how it ends, what may be sent again, what a backend is told, and which heads are taken at all.
+//! The data path of a node from an operator's file, over loopback and byte by byte: whose answer a client
+//! gets, what is passed on as it comes and how it ends, what may be sent again, what a backend is told, and
+//! which heads are taken at all.
 
 mod backends;
 mod peers;
@@ -13,7 +14,8 @@
 const UNSAFE: &str = "repeat = \"unsafe\"\ntime = \"20s\"";
 const SAFE: &str = "repeat = \"safe\"\ntime = \"20s\"";
 
-/// A file with these boxes, `/w` for a class that is never repeated and `/` for a safe one with these terms, and more.
+/// A file with these boxes, `/w` for a class that is never repeated and `/` for a safe one with these terms,
+/// and more.
 fn file(backends: &[SocketAddr], terms: &str, more: &str) -> String {
     let mut text =
         format!("[[listener]]\naddress = \"127.0.0.1:0\"\n{more}\n[[cluster]]\nname = \"tally\"\n");
@@ -193,10 +195,10 @@
     get(&mut stopped, "/");
     let mut peer = backend.next_request(&mut Vec::new());
     peer.write(head);
-    let begun = Instant::now();
+    let started = Instant::now();
     let (all, _) = stopped.read_to_end();
     assert!(String::from_utf8_lossy(&all).contains("ab") && !all.ends_with(b"0\r\n\r\n"));
-    assert!(begun.elapsed() < Duration::from_secs(15), "given up by its gap");
+    assert!(started.elapsed() < Duration::from_secs(15), "given up by its gap");
     drop(peer);
     // One that never ends: it says something all the time.
     let mut endless = node.client();
@@ -204,8 +206,8 @@
     let mut peer = backend.next_request(&mut Vec::new());
     peer.write(head);
     let writer = std::thread::spawn(move || {
-        let begun = Instant::now();
-        while begun.elapsed() < PEER_TIMEOUT {
+        let started = Instant::now();
+        while started.elapsed() < PEER_TIMEOUT {
             if std::io::Write::write_all(&mut peer.stream, b"2\r\nab\r\n").is_err() {
                 return true;
             }
@@ -213,9 +215,9 @@
         }
         false
     });
-    let begun = Instant::now();
+    let started = Instant::now();
     let (all, _) = endless.read_to_end();
-    assert!(begun.elapsed() >= Duration::from_millis(900) && !all.ends_with(b"0\r\n\r\n"));
+    assert!(started.elapsed() >= Duration::from_millis(900) && !all.ends_with(b"0\r\n\r\n"));
     assert!(writer.join().expect("a writer"), "the box hears of it");
 }
 
@@ -235,12 +237,16 @@
         read_until(&mut client, "ab");
         streams.push((at, client, peer));
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     node.reload(&text.replacen("name = \"b-0\"\n", "name = \"b-0\"\nstate = \"draining\"\n", 1));
     let (of_drained, of_other): (Vec<_>, Vec<_>) = streams.into_iter().partition(|(at, ..)| *at == 0);
     for (_, mut client, _peer) in of_drained {
         let (rest, _) = client.read_to_end();
-        assert!(rest.is_empty() && begun.elapsed() >= Duration::from_millis(600), "{:?}", begun.elapsed());
+        assert!(
+            rest.is_empty() && started.elapsed() >= Duration::from_millis(600),
+            "{:?}",
+            started.elapsed()
+        );
     }
     // The other backend's go on; a node that is told to end gives them as long.
     let mut left = Vec::new();
@@ -249,11 +255,11 @@
         read_until(&mut client, "cd");
         left.push((client, peer));
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     node.terminate();
     for (client, _peer) in &mut left {
         let (rest, _) = client.read_to_end();
-        assert!(!rest.ends_with(b"0\r\n\r\n") && begun.elapsed() >= Duration::from_millis(600));
+        assert!(!rest.ends_with(b"0\r\n\r\n") && started.elapsed() >= Duration::from_millis(600));
     }
     assert!(node.wait().success());
 }
@@ -594,7 +600,7 @@
 /// Asks there and reads all of it; MB a second.
 fn drink(at: SocketAddr, bytes: u64) -> f64 {
     let mut client = Peer::connect(at);
-    let begun = Instant::now();
+    let started = Instant::now();
     get(&mut client, "/");
     let (mut piece, mut come) = (vec![0; 1 << 16], 0);
     loop {
@@ -607,7 +613,7 @@
         }
     }
     assert!(come >= bytes, "{come} of {bytes}");
-    bytes as f64 / 1e6 / begun.elapsed().as_secs_f64()
+    bytes as f64 / 1e6 / started.elapsed().as_secs_f64()
 }
 
 /// `docs/performance.md` has the figures and the command.
@@ -675,8 +681,8 @@
     }
 }
 
-/// So many exchanges, half of whose answers are cut at any byte: each is delivered whole and equal, or visibly broken, and
-/// nothing that must not runs twice.
+/// So many exchanges, half of whose answers are cut at any byte: each is delivered whole and equal, or
+/// visibly broken, and nothing that must not runs twice.
 fn random_cuts(exchanges: u64, seed: u64) {
     const CLIENTS: u64 = 8;
     println!("seed {seed}");
--- a/crates/marlwinch/tests/data_plane_process.rs
+++ b/crates/marlwinch/tests/data_plane_process.rs
@@ -1,4 +1,4 @@
-//! The data plane as a process of the real program: its link to the agent.
+//! The data plane as a process: its connection to the agent.
 
 #[path = "../../data-plane/tests/harness/mod.rs"]
 mod harness;
@@ -11,29 +11,29 @@
 use std::process::{Child, Command};
 use test_peers::{Listener, Peer};
 
-/// The agent of a node's process.
+/// The agent's end of the connection to a data plane, with the bytes that are not decoded yet.
 struct Agent(Peer, bytes::BytesMut);
 
 impl Agent {
-    fn said(&mut self) -> FromProxy {
+    fn receive(&mut self) -> FromProxy {
         use std::io::Read;
         loop {
             if let Some(message) = control_protocol::decode(&mut self.1).expect("a message") {
                 return message;
             }
-            let mut piece = [0; 4096];
-            let count = self.0.stream.read(&mut piece).expect("it says something");
-            assert!(count > 0, "it has closed");
-            self.1.extend_from_slice(&piece[..count]);
+            let mut chunk = [0; 4096];
+            let count = self.0.stream.read(&mut chunk).expect("a message arrives");
+            assert!(count > 0, "the data plane has closed the connection");
+            self.1.extend_from_slice(&chunk[..count]);
         }
     }
 
-    fn tell(&mut self, message: &ToProxy) {
+    fn send(&mut self, message: &ToProxy) {
         self.0.write(control_protocol::encode(message).expect("a frame"));
     }
 }
 
-/// A data plane's process, whose agent is the test. It is killed when dropped.
+/// The process of a data plane, whose agent is the test. It is killed when dropped.
 struct Process {
     child: Child,
     settings: PathBuf,
@@ -41,11 +41,11 @@
 }
 
 impl Process {
-    /// Starts one that connects to this agent.
+    /// Starts a data plane that connects to this agent.
     fn start(agent: &Listener) -> Process {
         static STARTED: std::sync::atomic::AtomicU32 = std::sync::atomic::AtomicU32::new(0);
         let number = STARTED.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        // The agent's port is the second one of the range.
+        // The agent's port is the second of the range.
         let port = agent.address().port();
         let free =
             || std::net::TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
@@ -81,35 +81,39 @@
     }
 }
 
-/// What lets a data plane serve: a list of backends, and a configuration.
-fn tell_all(link: &mut Agent, backend: &Listener) {
-    link.tell(&ToProxy::Backends(control_protocol::BackendList {
+/// Sends a list of backends and a configuration, so that the data plane can serve.
+fn send_list_and_configuration(link: &mut Agent, backend: &Listener) {
+    link.send(&ToProxy::Backends(control_protocol::BackendList {
         version: BackendListVersion(3),
         backends: ready_backends(&[backend]),
     }));
-    link.tell(&ToProxy::Configuration {
+    link.send(&ToProxy::Configuration {
         sequence: ConfigurationSequence(4),
         document: configuration(|_| {}).into_bytes(),
     });
 }
 
-/// What the data plane finds first of a client that has left and of what its request has waited for.
+/// Which of two events reaches the data plane first: the client's close, or the configuration that its
+/// request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum First {
     Close,
     Configuration,
 }
 
-/// How many times a trial is made at most: one in which the machine took longer than a request may wait shows nothing.
+/// At most this number of trials are made. A trial in which the machine took longer than a request may wait
+/// is repeated.
 const MAX_TRIALS: usize = 10;
 
-/// A request waits until the data plane is ready. Its client leaves and the configuration arrives while the process does not
-/// run, so that it finds both in one turn; `ahead` is what it has sent behind its request. Returns whether the request of a client that stays was served: nothing else may be.
-fn leaves_in_one_turn(first: First, ahead: &str) -> bool {
-    let (agent, there) = (Listener::new(), Listener::new());
+/// Requests wait until the data plane is ready. Their clients disconnect and the configuration arrives while
+/// the process is stopped, so that it finds both in one iteration of its event loop. `ahead` is what these
+/// clients have sent behind their request. Asserts that only the request of a client that stays is sent, and
+/// returns whether it was served.
+fn disconnects_in_one_iteration(first: First, ahead: &str) -> bool {
+    let (agent, backend) = (Listener::new(), Listener::new());
     let process = Process::start(&agent);
     let mut link = Agent(agent.accept(), bytes::BytesMut::new());
-    link.said();
+    link.receive();
     let ask = |id: &str| {
         let mut client = Peer::connect(process.frontend);
         client.write(request("POST /order/1", id, "", "x"));
@@ -118,14 +122,14 @@
     let mut leaves: Vec<Peer> = (0..4).map(|number| ask(&format!("leaves-{number}"))).collect();
     leaves.iter_mut().for_each(|client| client.write(ahead));
     let mut stays = ask("stays");
-    // A head that can't be read is answered at once, behind the requests before it.
+    // The response to this invalid head shows that the data plane has read the requests before it.
     let mut fence = Peer::connect(process.frontend);
     fence.write("BREW\r\n\r\n");
     fence.read();
     process.signal("STOP");
     let node_end = link.0.stream.peer_addr().expect("its end");
     if first == First::Configuration {
-        tell_all(&mut link, &there);
+        send_list_and_configuration(&mut link, &backend);
         sockets::wait_for_bytes(node_end, agent.address());
     }
     let addresses: Vec<SocketAddr> =
@@ -133,16 +137,20 @@
     drop(leaves);
     addresses.iter().for_each(|client| sockets::wait_for_close(process.frontend, *client));
     if first == First::Close {
-        tell_all(&mut link, &there);
+        send_list_and_configuration(&mut link, &backend);
         sockets::wait_for_bytes(node_end, agent.address());
     }
     process.signal("CONT");
     let mut peers = Vec::new();
     while !stays.has_more() {
-        peers.extend(there.try_accept());
+        peers.extend(backend.try_accept());
         for peer in peers.iter_mut().filter(|peer| peer.has_more()) {
             let message = peer.read();
-            assert_eq!(message.header("x-request-id"), Some("stays"), "{first:?}: its client has left");
+            assert_eq!(
+                message.header("x-request-id"),
+                Some("stays"),
+                "{first:?}: its client has disconnected"
+            );
             peer.write(response("200 OK", "stays", "", ""));
         }
     }
@@ -150,35 +158,35 @@
 }
 
 #[test]
-fn what_waits_for_the_configuration_is_not_sent_where_its_client_leaves_in_the_same_turn() {
+fn a_request_waiting_for_the_configuration_is_not_sent_if_its_client_disconnects_in_the_same_iteration() {
     for first in [First::Close, First::Configuration] {
         for ahead in ["", "G", "POST /order/2 HTTP/1.1\r\nX: y\r\n"] {
-            let served = (0..MAX_TRIALS).any(|_| leaves_in_one_turn(first, ahead));
+            let served = (0..MAX_TRIALS).any(|_| disconnects_in_one_iteration(first, ahead));
             assert!(served, "{first:?}, {ahead:?} ahead: {MAX_TRIALS} trials took too long");
         }
     }
 }
 
 #[test]
-fn the_link_to_the_agent_comes_back_and_the_node_serves_on_meanwhile() {
-    let (agent, there) = (Listener::new(), Listener::new());
+fn the_data_plane_reconnects_to_the_agent_and_serves_meanwhile() {
+    let (agent, backend) = (Listener::new(), Listener::new());
     let mut process = Process::start(&agent);
     let mut link = Agent(agent.accept(), bytes::BytesMut::new());
     assert_eq!(
-        link.said(),
+        link.receive(),
         FromProxy::Hello { version: control_protocol::VERSION, in_force: ConfigurationSequence(0) }
     );
-    tell_all(&mut link, &there);
-    assert_eq!(link.said(), FromProxy::ConfigurationApplied { sequence: ConfigurationSequence(4) });
+    send_list_and_configuration(&mut link, &backend);
+    assert_eq!(link.receive(), FromProxy::ConfigurationApplied { sequence: ConfigurationSequence(4) });
     drop(link);
     let mut client = Peer::connect(process.frontend);
     client.write(request("POST /order/1", "r-1", "", "x"));
-    let (_, mut peer) = next_request(&there, &mut Vec::new());
+    let (_, mut peer) = next_request(&backend, &mut Vec::new());
     peer.write(response("200 OK", "r-1", "", ""));
     assert_eq!(client.read().status(), 200);
     let mut link = Agent(agent.accept(), bytes::BytesMut::new());
     assert_eq!(
-        link.said(),
+        link.receive(),
         FromProxy::Hello { version: control_protocol::VERSION, in_force: ConfigurationSequence(4) }
     );
     process.signal("TERM");
--- a/crates/marlwinch/tests/demo.rs
+++ b/crates/marlwinch/tests/demo.rs
@@ -1,4 +1,5 @@
-//! The demonstration and the load generator as commands. Alone in their process, for the sake of their times.
+//! The commands `demo` and `load`. They are in a test file of their own, as other tests would disturb their
+//! timing.
 
 mod backends;
 mod folder;
@@ -10,8 +11,8 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// One at a time: each wants the machine for itself.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held by a running test: the tests run one at a time, as each needs the whole machine.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_marlwinch"));
@@ -26,14 +27,14 @@
     (status.code(), text(stdout), text(stderr))
 }
 
-/// A backend that serves for as long as the test runs.
-fn target(script: &str) -> String {
+/// Starts a backend that runs until the end of the test, and returns its address.
+fn start_target(script: &str) -> String {
     Backends::start(script).addresses[0].to_string()
 }
 
 #[test]
-fn the_demonstration_keeps_the_four_rules_and_leaves_nothing() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn demo_keeps_the_four_rules_and_leaves_no_files() {
+    let _lock = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let folder = Folder::new("demo");
     let ended = program()
         .args(["demo", "--seconds", "4"])
@@ -47,17 +48,22 @@
         "{output}\n{}",
         String::from_utf8_lossy(&ended.stderr)
     );
-    // A machine that is busy with other things may make the run say nothing; the rules hold all the same.
+    // On a busy machine the report may be not valid; the rules hold nevertheless.
     let valid = !output.contains("NOT VALID");
     assert_eq!(ended.status.code(), Some(if valid { 0 } else { 6 }), "{output}");
     assert_eq!(std::fs::read_dir(&folder.0).expect("a folder").count(), 0, "it leaves files");
 }
 
-/// Starts the demonstration behind `before`, sends it a signal while it goes on, and returns how it ended.
-fn signalled(before: &str, signal: &str) -> Option<i32> {
+/// Starts the demonstration with a shell command before it, sends it a signal while it runs, and returns its
+/// exit code.
+fn exit_code_after_signal(shell_prefix: &str, signal: &str) -> Option<i32> {
     let folder = Folder::new("interrupted");
     let mut child = Command::new("sh")
-        .args(["-c", &format!("{before}exec \"$0\" demo --seconds 600"), env!("CARGO_BIN_EXE_marlwinch")])
+        .args([
+            "-c",
+            &format!("{shell_prefix}exec \"$0\" demo --seconds 600"),
+            env!("CARGO_BIN_EXE_marlwinch"),
+        ])
         .env("NO_COLOR", "1")
         .env("TMPDIR", &folder.0)
         .stdout(Stdio::piped())
@@ -65,18 +71,17 @@
         .spawn()
         .expect("the program starts");
     let mut lines = BufReader::new(child.stdout.take().expect("its output")).lines();
-    while !lines.next().expect("it goes on").expect("a line").contains("requests in flight at each backend") {
-    }
+    while !lines.next().expect("it runs").expect("a line").contains("requests in flight at each backend") {}
     let kill = Command::new("sh").args(["-c", &format!("kill -{signal} {}", child.id())]).status();
     assert!(kill.expect("a shell").success());
-    let begun = Instant::now();
+    let started = Instant::now();
     let ended = loop {
-        if let Some(status) = child.try_wait().expect("its state") {
+        if let Some(status) = child.try_wait().expect("its status") {
             break status;
         }
-        if begun.elapsed() > Duration::from_secs(10) {
+        if started.elapsed() > Duration::from_secs(10) {
             child.kill().and_then(|()| child.wait()).expect("it is killed");
-            panic!("{before}{signal}: it does not end");
+            panic!("{shell_prefix}{signal}: the process does not exit");
         }
         std::thread::sleep(Duration::from_millis(5));
     };
@@ -85,22 +90,26 @@
 }
 
 #[test]
-fn ctrl_c_ends_the_demonstration_at_once() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    assert_eq!(signalled("", "INT"), Some(130));
+fn sigint_ends_demo_at_once() {
+    let _lock = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    assert_eq!(exit_code_after_signal("", "INT"), Some(130));
 }
 
 #[test]
-fn a_signal_ends_it_also_where_its_shell_has_it_ignore_ctrl_c_and_where_the_node_hears_it_first() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    assert_eq!(signalled("trap '' INT; ", "INT"), Some(130), "as a shell starts what runs in the background");
-    assert_eq!(signalled("", "TERM"), Some(143));
+fn sigint_ends_demo_also_if_ignored_at_start_and_sigterm_ends_it_though_the_node_handles_it() {
+    let _lock = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    assert_eq!(
+        exit_code_after_signal("trap '' INT; ", "INT"),
+        Some(130),
+        "a shell starts background processes with SIGINT ignored"
+    );
+    assert_eq!(exit_code_after_signal("", "TERM"), Some(143));
 }
 
 #[test]
-fn load_reports_and_compares() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let (target, folder) = (target("[[box]]\nname = \"a\"\ncores = 64\n"), Folder::new("load"));
+fn load_writes_reports_and_compares_them() {
+    let _lock = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    let (target, folder) = (start_target("[[box]]\nname = \"a\"\ncores = 64\n"), Folder::new("load"));
     let (json, page) = (folder.file("a.json"), folder.file("a.html"));
     let arguments =
         [&target, "--rate", "100", "--for", "500ms", "--repeat", "3", "--json", &json, "--html", &page];
@@ -110,7 +119,7 @@
     let report =
         load_generator::report::Report::read(&std::fs::read(&json).expect("a report")).expect("a report");
     assert_eq!((report.runs.len(), report.is_valid()), (3, code == Some(0)));
-    // Open loop: what was due has gone, and the backend has said who it is.
+    // Open loop: all scheduled requests were sent, and responses name the backend.
     for run in &report.runs {
         assert_eq!(run.all.outcomes, [run.due, 0, 0, 0, 0]);
         assert_eq!(run.backends.iter().map(|part| part.name.as_str()).collect::<Vec<_>>(), ["a"]);
@@ -118,16 +127,16 @@
     let page = std::fs::read_to_string(&page).expect("a page");
     assert!(
         page.contains("<svg") && !page.contains("http://") && !page.contains("https://"),
-        "it needs nothing"
+        "the page is not self-contained"
     );
     let (_, output, _) = load(&["diff", &json, &json]);
     assert!(output.contains("p99 ms") && output.contains("(may be chance)"), "{output}");
 }
 
 #[test]
-fn what_can_t_be_kept_up_with_is_not_valid_and_what_makes_no_sense_is_refused() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let slow = target("[[box]]\nname = \"a\"\nservice = { fixed = \"300ms\" }\nqueue = 1000\n");
+fn load_that_falls_behind_is_not_valid_and_invalid_arguments_are_rejected() {
+    let _lock = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    let slow = start_target("[[box]]\nname = \"a\"\nservice = { fixed = \"300ms\" }\nqueue = 1000\n");
     let (code, output, _) = load(&[&slow, "--rate", "50", "--for", "1s", "--connections", "1"]);
     assert_eq!(code, Some(5), "{output}");
     assert!(output.contains("NOT VALID: out of connections"), "{output}");
--- a/crates/marlwinch/tests/demo_fleet.rs
+++ b/crates/marlwinch/tests/demo_fleet.rs
@@ -1,4 +1,4 @@
-//! The small fleet on loopback: a short play keeps the rules and leaves nothing behind.
+//! The command `demo-fleet`: a short run keeps the rules, and nothing is left after a run or an interruption.
 
 mod folder;
 
@@ -8,12 +8,12 @@
 use std::process::{Command, Stdio};
 use std::sync::{Mutex, PoisonError};
 
-/// One at a time: each starts eleven processes.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held by a running test: the tests run one at a time, as each starts eleven processes.
+static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 #[test]
-fn a_short_play_keeps_the_rules_and_leaves_nothing() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn a_short_run_keeps_the_rules_and_leaves_no_files() {
+    let _lock = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let folder = Folder::new("demo-fleet");
     let ended = Command::new(env!("CARGO_BIN_EXE_marlwinch"))
         .args(["demo-fleet", "--for", "4s", "--rate", "40"])
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn ctrl_c_ends_all_processes_and_leaves_nothing() {
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn sigint_ends_all_processes_and_leaves_no_files() {
+    let _lock = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let folder = Folder::new("demo-fleet-interrupted");
     let mut child = Command::new(env!("CARGO_BIN_EXE_marlwinch"))
         .args(["demo-fleet", "--for", "600s"])
--- a/crates/marlwinch/tests/docs.rs
+++ b/crates/marlwinch/tests/docs.rs
@@ -1,15 +1,15 @@
-//! Links and paths in the pages of this repository lead to files that are there.
+//! Checks that links and paths in the documentation lead to existing files.
 
 use std::path::{Path, PathBuf};
 
-/// Pages that tell history name files as they were then.
+/// Pages about the history of the project. They may name files that no longer exist.
 const HISTORY: [&str; 4] = ["CHANGELOG.md", "docs/performance.md", "docs/decisions.md", "docs/ROADMAP.md"];
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// All pages, by their path from the root.
+/// The paths of all pages, relative to the root.
 fn pages() -> Vec<PathBuf> {
     let mut pages: Vec<PathBuf> = ["README.md", "DEVELOPERS.md", "CHANGELOG.md"].map(PathBuf::from).to_vec();
     let mut folders = vec![PathBuf::from("docs")];
@@ -27,14 +27,14 @@
     pages
 }
 
-/// The targets of links, without those into other places and without anchors.
+/// The targets of relative links, without their anchors.
 fn links(text: &str) -> Vec<&str> {
     let targets = text.split("](").skip(1).filter_map(|rest| rest.split_once(')')).map(|(target, _)| target);
     let paths = targets.map(|target| target.split('#').next().unwrap_or_default());
     paths.filter(|path| !path.is_empty() && !path.contains("://")).collect()
 }
 
-/// Whole paths below `crates/`, `docs/`, `deploy/` and `.ci/` that stand in backticks.
+/// Complete paths below `crates/`, `docs/`, `deploy/` and `.ci/` in backticks.
 fn paths(text: &str) -> Vec<&str> {
     let quoted = text.split('`').skip(1).step_by(2);
     let is_path = |quoted: &&str| {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn links_between_pages_lead_somewhere() {
+fn links_between_pages_lead_to_existing_files() {
     let mut broken = Vec::new();
     for page in pages() {
         let text = std::fs::read_to_string(root().join(&page)).expect("a page");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn paths_that_pages_name_are_there() {
+fn paths_in_pages_exist() {
     let (mut missing, mut seen) = (Vec::new(), 0);
     for page in pages().into_iter().filter(|page| !HISTORY.iter().any(|history| page == Path::new(history))) {
         let text = std::fs::read_to_string(root().join(&page)).expect("a page");
@@ -67,11 +67,11 @@
         missing.extend(gone.map(|path| format!("{}: {path}", page.display())));
     }
     assert!(missing.is_empty(), "{missing:#?}");
-    assert!(seen > 40, "paths are looked at");
+    assert!(seen > 40, "only {seen} paths were found");
 }
 
 #[test]
-fn broken_links_and_paths_are_noticed() {
+fn links_and_paths_are_extracted_from_text() {
     assert_eq!(links("see [a](b.md#c), [d](https://e) and [f](#g)"), ["b.md"]);
     assert_eq!(
         paths("`crates/a/b.rs`, `crates/*/c`, `x`, `cargo test` and `docs/d.md`"),
--- a/crates/marlwinch/tests/endings.rs
+++ b/crates/marlwinch/tests/endings.rs
@@ -1,5 +1,5 @@
-//! The node's ends: what is still owed at each instant between SIGTERM and the last close, and what comes on connections
-//! just then.
+//! Shutdown of the node: every request has its response between SIGTERM and the last close, also requests
+//! that arrive during that time.
 
 mod peers;
 
@@ -7,7 +7,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A node with these backends, whose requests may take far longer than it has to end.
+/// Starts a node with these backends. The time limits of requests are much longer than the time for a
+/// shutdown.
 fn node_with(backends: &[SocketAddr]) -> (Node, Listener) {
     let names = ["s-1", "s-2"];
     let lines: Vec<_> =
@@ -17,17 +18,17 @@
     (node, discovery)
 }
 
-/// Backends hang throughout the end, and deadlines are longer than the time to SIGKILL, which comes 3.7 s after SIGTERM: all
-/// has its answer before, whatever it waits for, and refusals are said only where nothing may have run.
+/// SIGKILL follows 3.7 s after SIGTERM, while backends hang and time limits are longer than that. Every
+/// request must have its response before, and a rejection only if it did not run.
 #[test]
-fn all_is_answered_before_the_kill_though_backends_hang_and_deadlines_are_long() {
-    // One backend, which hangs; one request is out there.
+fn requests_have_responses_before_sigkill_though_backends_hang_and_time_limits_are_long() {
+    // A request is at the only backend, which hangs.
     let backend = Listener::new();
     let (mut node, _discovery) = node_with(&[backend.address()]);
     let mut out = node.client();
     out.request("correct", "", "x");
     let _peer = backend.next_request(&mut Vec::new());
-    // None at all: it waits for one.
+    // A request waits for a backend, as there is none.
     let (mut other, _other_discovery) = node_with(&[]);
     let mut waits = other.client();
     waits.request("correct", "", "x");
@@ -37,23 +38,23 @@
 
     node.terminate();
     other.terminate();
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = out.read();
     assert_eq!((answer.status(), answer.header("retry-after")), (504, None));
     let answer = waits.read();
     assert_eq!((answer.status(), answer.header("retry-after")), (503, Some("1.5")));
-    assert!(begun.elapsed() < Duration::from_secs(10), "their deadline is 20 s: {:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(10), "their deadline is 20 s: {:?}", started.elapsed());
     assert!(node.wait().success() && other.wait().success());
 }
 
-/// What has come on a connection that is about to be closed between requests is answered, at whichever moment it came, and
-/// as the last there: requests are sent at offsets around the moment at which the node lets go of idle connections.
+/// Requests are sent at offsets around the time when the node closes idle connections. Each must have a
+/// response with `Connection: close`, or its connection was closed before the node read it.
 #[test]
-fn a_request_that_crosses_the_close_of_its_connection_is_answered_or_was_never_read() {
+fn a_request_at_the_close_of_an_idle_connection_is_answered_or_was_not_read() {
     let backend = Listener::new();
     let (mut node, _discovery) = node_with(&[backend.address()]);
     let mut clients: Vec<Peer> = (0..40).map(|_| node.client()).collect();
-    // Each has asked once, so that its connection is a kept one.
+    // Each sends a request first, so that its connection is a persistent one.
     for client in &mut clients {
         client.request("nothing", "Connection: keep-alive\r\n", "");
         assert_eq!(client.read().status(), 404);
@@ -62,7 +63,7 @@
     let mut clients = Vec::new();
     let mut at_backend: Option<Peer> = None;
     for _ in 0..40 {
-        // Opened one by one: a connection without a request for 2.5 s is closed.
+        // Opened one by one, as a connection without a request is closed after 2.5 s.
         let mut client = node.client();
         client.request("look", "", "");
         let peer = at_backend.get_or_insert_with(|| backend.accept());
@@ -73,8 +74,8 @@
     }
     let backend_thread = std::thread::spawn(move || {
         let mut peers: Vec<Peer> = at_backend.into_iter().collect();
-        let begun = Instant::now();
-        while begun.elapsed() < Duration::from_millis(2500) {
+        let started = Instant::now();
+        while started.elapsed() < Duration::from_millis(2500) {
             peers.extend(backend.try_accept());
             for peer in peers.iter_mut().filter(|peer| peer.has_more()) {
                 if peer.try_read().is_some() {
@@ -87,11 +88,11 @@
     node.terminate();
     node.logged("told to end");
     let (mut answered, mut closed) = (0, 0);
-    let begun = Instant::now();
+    let started = Instant::now();
     for (i, mut client) in clients.into_iter().enumerate() {
         // Every 25 ms up to 1 s.
         let at = Duration::from_millis(25 * i as u64);
-        std::thread::sleep(at.saturating_sub(begun.elapsed()));
+        std::thread::sleep(at.saturating_sub(started.elapsed()));
         match client.try_request("look") {
             Some(answer) => {
                 assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
@@ -100,24 +101,24 @@
             None => closed += 1,
         }
     }
-    println!("{answered} answered, {closed} closed before they asked");
-    assert!(answered > 0, "those of the first moments are answered");
+    println!("{answered} answered, {closed} closed before the request");
+    assert!(answered > 0, "the first requests are answered");
     assert!(node.wait().success());
-    assert!(begun.elapsed() < PEER_TIMEOUT);
-    backend_thread.join().expect("the box");
+    assert!(started.elapsed() < PEER_TIMEOUT);
+    backend_thread.join().expect("the backend");
 }
 
-/// An answer is on its way to a client that reads slowly and has sent more than the node reads: it comes whole although
-/// the node closes behind it.
+/// A client reads slowly and has sent more than the node reads. Its last response must arrive complete
+/// although the node closes the connection with unread bytes, which would cause a reset.
 #[test]
-fn a_slow_reader_gets_its_last_answer_whole_with_bytes_of_its_own_unread() {
+fn a_slow_client_with_unread_bytes_gets_its_last_response_complete() {
     let backend = Listener::new();
     let (mut node, _discovery) = node_with(&[backend.address()]);
     let mut client = node.client();
     socket2::SockRef::from(&client.stream).set_recv_buffer_size(4096).expect("a socket");
     client.request("look", "Connection: close\r\n", "");
     let mut peer = backend.next_request(&mut Vec::new());
-    // More than the node reads for itself: what its system holds unread at the close would break the connection.
+    // More than the node reads: unread bytes in the kernel at the close would reset the connection.
     client.write("x".repeat(200_000));
     let body = "y".repeat(60_000);
     peer.answer("200 OK", "", &body);
@@ -129,7 +130,7 @@
         match std::io::Read::read(&mut client.stream, &mut piece) {
             Ok(0) => break,
             Ok(count) => all.extend_from_slice(&piece[..count]),
-            Err(e) => panic!("it breaks off after {} bytes: {e}", all.len()),
+            Err(e) => panic!("it ends after {} bytes: {e}", all.len()),
         }
         std::thread::sleep(Duration::from_millis(2));
     }
@@ -137,9 +138,9 @@
     assert!(node.wait().success());
 }
 
-/// A second SIGTERM and a SIGHUP during the end change nothing of what is owed.
+/// A second SIGTERM and a SIGHUP during the shutdown.
 #[test]
-fn further_signals_during_the_end_lose_nothing() {
+fn further_signals_during_shutdown_lose_no_responses() {
     let backend = Listener::new();
     let discovery = Listener::new();
     let known = list(41, true, &[("s-1", backend.address(), "east", "in_service")]);
@@ -161,9 +162,9 @@
     assert!(node.wait().success());
 }
 
-/// A body of which half has come at SIGTERM: the rest is still read, and the request answered, as the last there.
+/// Half of the body has arrived at SIGTERM.
 #[test]
-fn a_body_half_read_at_the_end_is_read_and_its_request_answered() {
+fn a_body_that_is_half_read_at_sigterm_is_read_and_its_request_answered() {
     let backend = Listener::new();
     let (mut node, _discovery) = node_with(&[backend.address()]);
     let mut client = node.client();
--- a/crates/marlwinch/tests/exchanges.rs
+++ b/crates/marlwinch/tests/exchanges.rs
@@ -1,5 +1,6 @@
-//! Raw HTTP/1.1 exchanges, each with its expected reading, put to the node and to a backend behind it that reads by itself: what
-//! the backend counts must be what the client meant, and nothing that could be read in two ways may reach it.
+//! Raw HTTP/1.1 exchanges, each with its expected reading, put to the node and to a backend behind it that
+//! reads by itself: what the backend counts must be what the client meant, and nothing that could be read in
+//! two ways may reach it.
 
 mod peers;
 
@@ -11,7 +12,8 @@
 /// What a backend has read: method, target and body.
 type RecordedRequest = (String, String, Vec<u8>);
 
-/// A backend that reads strictly what it gets, by its own reading, and answers each request with its method and target.
+/// A backend that reads strictly what it gets, by its own reading, and answers each request with its method
+/// and target.
 struct Reader {
     address: SocketAddr,
     recorded: Arc<Mutex<Vec<RecordedRequest>>>,
@@ -82,8 +84,8 @@
     }
 }
 
-/// What is expected of a connection: these answers in order, and these requests at the backend. A status of 0 stands for a
-/// connection that ends with no answer, 4 for any 4xx or such an end.
+/// What is expected of a connection: these answers in order, and these requests at the backend. A status of 0
+/// stands for a connection that ends with no answer, 4 for any 4xx or such an end.
 struct Case {
     raw: String,
     answers: Vec<u16>,
@@ -335,7 +337,8 @@
     let long = "y".repeat(40_000);
     cases.push(case(&format!("GET /a HTTP/1.1\r\n{h}X: {long}\r\n\r\n"), &[4], &[]));
     cases.push(case(&format!("GET /{long} HTTP/1.1\r\n{h}\r\n"), &[4], &[]));
-    // The first is good and the second is not: the first has its answer or none, and the second is never served.
+    // The first is good and the second is not: the first has its answer or none, and the second is never
+    // served.
     cases.push(case(
         &format!("POST /w HTTP/1.1\r\n{h}Transfer-Encoding: chunked, chunked\r\nConnection: keep-alive\r\n\r\n0\r\n\r\n{hidden}"),
         &[400],
--- a/crates/marlwinch/tests/file_node.rs
+++ b/crates/marlwinch/tests/file_node.rs
@@ -1,10 +1,10 @@
-//! A node from an operator's file, as a process on loopback sockets: what it takes, what reaches a backend and how often,
-//! limits, and files that change under traffic.
+//! A node from an operator's file, as a process on loopback sockets: what it takes, what reaches a backend
+//! and how often, limits, and files that change under traffic.
 
 mod backends;
 mod peers;
 
-use backends::{Backends, fault_of_each, number};
+use backends::{Backends, backend_index, fault_for_each};
 use peers::{Listener, Message, Node, OnDisk, PEER_TIMEOUT, Peer, command};
 use std::collections::HashMap;
 use std::io::Read;
@@ -205,8 +205,8 @@
 /// The whole time, the time of an attempt and the client's own, each with backends that never answer.
 #[test]
 fn times_of_a_class_are_held() {
-    let backends = Backends::with_faults(3, &fault_of_each(3, "stall", "time = \"1h\""));
-    let ledger = &backends.ledger;
+    let backends = Backends::with_faults(3, &fault_for_each(3, "stall", "time = \"1h\""));
+    let executions = &backends.execution_log;
     let addresses: Vec<_> = backends.addresses.iter().map(|address| (*address, "east")).collect();
     let tried = "repeat = \"safe\"\ntime = \"900ms\"\nattempts = 3\nattempt-time = \"200ms\"\nretry-on = [\"timed-out\"]\nbudget = { share = 1, floor = \"9/s\" }";
     let more = class("short", "repeat = \"unsafe\"\ntime = \"300ms\"")
@@ -217,19 +217,19 @@
         + &route("path = \"/long\"", "long", "");
     let node = Node::from_file(&file(&addresses, &more));
     let mut client = node.client();
-    let begun = Instant::now();
+    let started = Instant::now();
     post(&mut client, "/short", "X-Correlation-Id: s\r\n");
     assert_eq!(client.read().status(), 504, "it may have run");
-    let took = begun.elapsed();
+    let took = started.elapsed();
     assert!(took.as_millis() >= 250 && took.as_secs() < 15, "{took:?}");
-    let begun = Instant::now();
+    let started = Instant::now();
     assert_eq!(get(&mut client, "/tried", "X-Correlation-Id: t\r\n").status(), 503, "safe: refused");
-    let took = begun.elapsed();
+    let took = started.elapsed();
     assert!(took.as_millis() >= 550 && took.as_secs() < 15, "three attempts of 200 ms: {took:?}");
-    assert_eq!(ledger.executions_of("t").len(), 3);
+    assert_eq!(executions.executions_of("t").len(), 3);
     post(&mut client, "/long", "X-Correlation-Id: l\r\nX-Time-Left: 0.2\r\n");
     assert_eq!(client.read().status(), 504);
-    assert_eq!((ledger.executions_of("s").len(), ledger.executions_of("l").len()), (1, 1));
+    assert_eq!((executions.executions_of("s").len(), executions.executions_of("l").len()), (1, 1));
 }
 
 /// What an unsafe class may have: another attempt after what never ran, and none after anything else.
@@ -244,7 +244,7 @@
         ("error", "every = 19"),
         ("away", "every = 5"),
     ];
-    let faults: String = faults.iter().map(|(what, more)| fault_of_each(4, what, more)).collect();
+    let faults: String = faults.iter().map(|(what, more)| fault_for_each(4, what, more)).collect();
     let backends = Backends::with_faults(4, &faults);
     // One more that refuses every connection.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -280,7 +280,7 @@
     assert_eq!(statuses.len() as u64, CLIENTS * EACH, "one answer each");
     let mut seen: HashMap<u16, usize> = HashMap::new();
     for (id, status) in &statuses {
-        let runs = backends.ledger.executions_of(id).len();
+        let runs = backends.execution_log.executions_of(id).len();
         assert!(runs <= 1, "{id} ran {runs} times");
         match status {
             200 => assert_eq!(runs, 1, "{id} is served and has run"),
@@ -300,7 +300,7 @@
 #[test]
 fn keyed_requests_repeat_within_their_zone_and_window() {
     let faults =
-        fault_of_each(6, "error", "every = 3") + &fault_of_each(6, "reset-at", "every = 4\nbytes = 0");
+        fault_for_each(6, "error", "every = 3") + &fault_for_each(6, "reset-at", "every = 4\nbytes = 0");
     let backends = Backends::with_faults(6, &faults);
     let zones = ["east", "west"];
     let addresses: Vec<_> = backends.addresses.iter().enumerate().map(|(i, a)| (*a, zones[i % 2])).collect();
@@ -314,10 +314,10 @@
     for id in 0..400 {
         post(&mut client, "/submit", &format!("X-Correlation-Id: {id}\r\nIdempotency-Key: k{id}\r\n"));
         served += usize::from(client.read().status() == 200);
-        let runs = backends.ledger.executions_of(&id.to_string());
+        let runs = backends.execution_log.executions_of(&id.to_string());
         repeated += usize::from(runs.len() > 1);
         assert!(!runs.is_empty() && runs.len() <= 3);
-        let zone = |run: &Execution| number(&run.backend) % 2;
+        let zone = |run: &Execution| backend_index(&run.backend) % 2;
         assert!(runs.iter().all(|run| zone(run) == zone(&runs[0])), "left its zone: {runs:?}");
         assert!(
             runs.iter().all(|run| run.received_at < runs[0].received_at + std::time::Duration::from_secs(10))
@@ -345,9 +345,9 @@
     // Whichever of these comes second waits, and the other one is refused while that does.
     send_request(&mut second);
     send_request(&mut third);
-    let begun = Instant::now();
+    let started = Instant::now();
     let waits = loop {
-        assert!(begun.elapsed() < PEER_TIMEOUT, "nobody is refused");
+        assert!(started.elapsed() < PEER_TIMEOUT, "nobody is refused");
         if third.has_more() {
             break (&mut second, &mut third);
         }
@@ -366,9 +366,9 @@
     peer.answer("200 OK", "", "first");
     assert_eq!(first.read().body, b"first");
     peer.read();
-    // The one that waited is in hand now; a client that leaves while it waits makes room for nobody but the next. The node has
-    // seen it leave once it closes its own side: a place that comes free before that may be given to it, as
-    // `a_place_is_free_again_where_its_request_was_sent_before_its_client_left` shows.
+    // The one that waited is in hand now; a client that leaves while it waits makes room for nobody but the
+    // next. The node has seen it leave once it closes its own side: a place that comes free before that may
+    // be given to it, as `a_place_is_free_again_where_its_request_was_sent_before_its_client_left` shows.
     send_request(&mut first);
     first.stream.shutdown(std::net::Shutdown::Write).expect("closed");
     first.expect_end();
@@ -396,7 +396,8 @@
     assert_eq!(first.read().body, b"first");
     peer.read();
     drop(leaves);
-    // The attempt is called off with its connection, and the next request gets the place and another connection.
+    // The attempt is called off with its connection, and the next request gets the place and another
+    // connection.
     peer.expect_end();
     let mut next = node.client();
     send_request(&mut next);
@@ -433,8 +434,8 @@
 
 // ---- Files that change ---------------------------------------------------------------------------
 
-/// A class turns from keyed into unsafe while one of its requests is in hand: that one is still sent again after an
-/// error, the next one is not; and the other way round.
+/// A class turns from keyed into unsafe while one of its requests is in hand: that one is still sent again
+/// after an error, the next one is not; and the other way round.
 #[test]
 fn a_request_in_hand_keeps_the_terms_that_it_was_taken_under() {
     let (one, other) = (Listener::new(), Listener::new());
@@ -457,9 +458,9 @@
     let mut late = node.client();
     post(&mut late, "/submit", "");
     let mut peers = [peer, second];
-    let begun = Instant::now();
+    let started = Instant::now();
     let third = loop {
-        assert!(begun.elapsed() < PEER_TIMEOUT, "the request reaches no box");
+        assert!(started.elapsed() < PEER_TIMEOUT, "the request reaches no box");
         if let Some(found) = [0, 1].into_iter().find(|i| peers[*i].has_more()) {
             break found;
         }
@@ -474,7 +475,8 @@
     assert!(one.is_untouched() && other.is_untouched());
 }
 
-/// A copy is out when the file changes to one without copies and another cluster: the copy still brings the answer.
+/// A copy is out when the file changes to one without copies and another cluster: the copy still brings the
+/// answer.
 #[test]
 fn a_copy_that_is_out_outlives_its_file() {
     let (one, other, new) = (Listener::new(), Listener::new(), Listener::new());
@@ -507,8 +509,8 @@
     assert_eq!(client.read().body, b"fresh");
 }
 
-/// Files change 200 times under traffic, every other one bad: each request has one answer, and each is served under one
-/// file: its cluster, its class and its path belong together.
+/// Files change 200 times under traffic, every other one bad: each request has one answer, and each is served
+/// under one file: its cluster, its class and its path belong together.
 #[test]
 fn two_hundred_reloads_under_traffic_lose_and_mix_nothing() {
     let backends = Backends::with_faults(4, "");
@@ -558,20 +560,20 @@
             node.logged("MW100");
         }
         // Some traffic between any two.
-        let begun = Instant::now();
+        let started = Instant::now();
         while requests.load(Ordering::Relaxed) < before + 8 {
-            assert!(begun.elapsed() < PEER_TIMEOUT, "no traffic");
+            assert!(started.elapsed() < PEER_TIMEOUT, "no traffic");
             std::thread::yield_now();
         }
     }
     finished.store(true, Ordering::Relaxed);
     let sent: u64 = clients.into_iter().map(|client| client.join().expect("a client")).sum();
-    let all = backends.ledger.all_executions();
+    let all = backends.execution_log.all_executions();
     assert_eq!(all.len() as u64, sent, "each has run");
     let mut by_cluster = [0, 0];
     for (id, runs) in &all {
         assert_eq!(runs.len(), 1, "{id}: {runs:?}");
-        let cluster = number(&runs[0].backend) / 2;
+        let cluster = backend_index(&runs[0].backend) / 2;
         assert_eq!(runs[0].path, format!("/{}/{id}", ["a", "b"][cluster]), "a mixed configuration");
         by_cluster[cluster] += 1;
     }
--- a/crates/marlwinch/tests/folder/mod.rs
+++ b/crates/marlwinch/tests/folder/mod.rs
@@ -1,9 +1,9 @@
-//! A folder on the disk for one test.
-#![allow(dead_code)] // each test file uses its own part of this
+//! A temporary folder for one test.
+#![allow(dead_code)] // each test file uses only some of these
 
 use std::path::PathBuf;
 
-/// A folder of a test's own, which goes with this.
+/// A temporary folder. It is removed when this is dropped.
 pub struct Folder(pub PathBuf);
 
 impl Folder {
@@ -13,7 +13,7 @@
         Folder(path)
     }
 
-    /// The path of a file in it.
+    /// The path of a file in the folder.
     pub fn file(&self, name: &str) -> String {
         self.0.join(name).to_string_lossy().into_owned()
     }
--- a/crates/marlwinch/tests/golden_cli.rs
+++ b/crates/marlwinch/tests/golden_cli.rs
@@ -1,27 +1,27 @@
-//! The command line as operators see it, held to the byte: `--help`, `--version` and wrong usage of every verb, with
+//! Compares `--help`, `--version` and usage errors of every command with approved texts, byte for byte:
 //! standard output, standard error and exit code.
 //!
-//! The approved texts are below `tests/golden/cli/help` and `tests/golden/cli/usage`. They are written on purpose only, by
-//! `GOLDEN=write cargo test -p marlwinch --test golden_cli`; without that a missing or different text fails its test. Only
-//! the version of the program differs from one release to the next: `(version)` stands for it.
+//! The approved texts are below `tests/golden/cli/help` and `tests/golden/cli/usage`. `GOLDEN=write cargo
+//! test -p marlwinch --test golden_cli` writes them; without that variable a missing or different text fails
+//! its test. `(version)` stands for the version of the program.
 
 mod golden_cli_support;
 
-use golden_cli_support::{OwnFolder, Run, approve, transcripts};
+use golden_cli_support::{Run, TempFolder, approve, transcripts};
 use marlwinch::command::system;
 use std::collections::BTreeSet;
 
-/// A verb, and what is wrong usage of it. The program ends at once at each of these.
-struct Verb {
+/// A command, and invalid arguments of it. The program exits at once on each of these.
+struct CommandCase {
     words: &'static [&'static str],
-    wrong: &'static [&'static [&'static str]],
+    invalid: &'static [&'static [&'static str]],
 }
 
-/// Verbs that are a node by itself or a tool beside it.
-const NODE_VERBS: &[Verb] = &[
-    Verb {
+/// The commands of the standalone proxy and its tools.
+const PROXY_COMMANDS: &[CommandCase] = &[
+    CommandCase {
         words: &[],
-        wrong: &[
+        invalid: &[
             &["swim"],
             &["chek"],
             &["--swim"],
@@ -32,9 +32,9 @@
             &["check-setting"],
         ],
     },
-    Verb {
+    CommandCase {
         words: &["demo"],
-        wrong: &[
+        invalid: &[
             &["swim"],
             &["--swim"],
             &["--second", "5"],
@@ -46,9 +46,9 @@
             &["--html"],
         ],
     },
-    Verb {
+    CommandCase {
         words: &["load"],
-        wrong: &[
+        invalid: &[
             &[],
             &["--swim"],
             &["plan.toml", "127.0.0.1:1", "more"],
@@ -64,7 +64,7 @@
             &["--json"],
             &["--html"],
             &["--trace"],
-            // What the flags can't say themselves.
+            // Errors that the parser does not detect.
             &["127.0.0.1", "--rate", "5", "--for", "1s"],
             &["here:80", "--rate", "5", "--for", "1s"],
             &["10.0.0.1:80", "--rate", "5", "--for", "1s"],
@@ -77,9 +77,9 @@
             &["127.0.0.1:1", "--trace", "trace.jsonl"],
         ],
     },
-    Verb {
+    CommandCase {
         words: &["load", "diff"],
-        wrong: &[
+        invalid: &[
             &[],
             &["first.json"],
             &["first.json", "second.json", "third.json"],
@@ -87,11 +87,11 @@
             &["first.json", "second.json"],
         ],
     },
-    Verb { words: &["trial"], wrong: &[&[], &["swim"], &["--swim"], &["rum"], &["help", "swim"]] },
-    Verb { words: &["trial", "list"], wrong: &[&["more"], &["--swim"]] },
-    Verb {
+    CommandCase { words: &["trial"], invalid: &[&[], &["swim"], &["--swim"], &["rum"], &["help", "swim"]] },
+    CommandCase { words: &["trial", "list"], invalid: &[&["more"], &["--swim"]] },
+    CommandCase {
         words: &["trial", "run"],
-        wrong: &[
+        invalid: &[
             &[],
             &["stalled", "more"],
             &["stalled", "--swim"],
@@ -106,13 +106,13 @@
             &["nowhere.toml"],
         ],
     },
-    Verb {
+    CommandCase {
         words: &["trial", "judge"],
-        wrong: &[&[], &["a.jsonl", "b.jsonl"], &["--swim"], &["a.jsonl", "--page"], &["a.jsonl"]],
+        invalid: &[&[], &["a.jsonl", "b.jsonl"], &["--swim"], &["a.jsonl", "--page"], &["a.jsonl"]],
     },
-    Verb {
+    CommandCase {
         words: &["trial", "shrink"],
-        wrong: &[
+        invalid: &[
             &[],
             &["stalled", "more"],
             &["stalled", "--swim"],
@@ -121,16 +121,19 @@
             &["nowhere.toml"],
         ],
     },
-    // The rig starts it by itself.
-    Verb { words: &["trial", "keep"], wrong: &[&[], &["--swim"], &["nowhere/at-all"]] },
-    Verb { words: &["run"], wrong: &[&[], &["a.toml", "b.toml"], &["--swim"], &["--config", "a.toml"]] },
-    Verb {
+    // Hidden: a trial starts it itself.
+    CommandCase { words: &["trial", "keep"], invalid: &[&[], &["--swim"], &["nowhere/at-all"]] },
+    CommandCase {
+        words: &["run"],
+        invalid: &[&[], &["a.toml", "b.toml"], &["--swim"], &["--config", "a.toml"]],
+    },
+    CommandCase {
         words: &["check"],
-        wrong: &[&[], &["a.toml", "b.toml"], &["--swim"], &["--jsn", "a.toml"], &["--json"]],
+        invalid: &[&[], &["a.toml", "b.toml"], &["--swim"], &["--jsn", "a.toml"], &["--json"]],
     },
-    Verb {
+    CommandCase {
         words: &["explain"],
-        wrong: &[
+        invalid: &[
             &[],
             &["a.toml"],
             &["a.toml", "GET"],
@@ -160,8 +163,8 @@
     },
 ];
 
-/// What a role may be told wrongly; the role is not started.
-const ROLE: &[&[&str]] = &[
+/// Invalid arguments of a role. The role is not started.
+const INVALID_ROLE_ARGUMENTS: &[&[&str]] = &[
     &["swim"],
     &["--swim"],
     &["--metric", "9464/metrics"],
@@ -178,20 +181,20 @@
     &["--version"],
 ];
 
-/// What is wrong usage of a check of a file.
-const CHECK_OF_A_FILE: &[&[&str]] = &[&[], &["a", "b"], &["--swim"], &["--version"]];
+/// Invalid arguments of a command that checks a file.
+const INVALID_CHECK_ARGUMENTS: &[&[&str]] = &[&[], &["a", "b"], &["--swim"], &["--version"]];
 
-/// Verbs of the system: its roles and the tools beside them.
-const SYSTEM_VERBS: &[Verb] = &[
-    Verb { words: &["data-plane"], wrong: ROLE },
-    Verb { words: &["agent"], wrong: ROLE },
-    Verb { words: &["coordinator"], wrong: ROLE },
-    Verb { words: &["check-settings"], wrong: CHECK_OF_A_FILE },
-    Verb { words: &["check-configuration"], wrong: CHECK_OF_A_FILE },
-    Verb { words: &["check-policy"], wrong: CHECK_OF_A_FILE },
-    Verb {
+/// The commands of the distributed system: its roles and tools.
+const SYSTEM_COMMANDS: &[CommandCase] = &[
+    CommandCase { words: &["data-plane"], invalid: INVALID_ROLE_ARGUMENTS },
+    CommandCase { words: &["agent"], invalid: INVALID_ROLE_ARGUMENTS },
+    CommandCase { words: &["coordinator"], invalid: INVALID_ROLE_ARGUMENTS },
+    CommandCase { words: &["check-settings"], invalid: INVALID_CHECK_ARGUMENTS },
+    CommandCase { words: &["check-configuration"], invalid: INVALID_CHECK_ARGUMENTS },
+    CommandCase { words: &["check-policy"], invalid: INVALID_CHECK_ARGUMENTS },
+    CommandCase {
         words: &["status"],
-        wrong: &[
+        invalid: &[
             &[],
             &["10.0.0.4"],
             &["core-1:8665"],
@@ -201,9 +204,9 @@
             &["--version"],
         ],
     },
-    Verb {
+    CommandCase {
         words: &["demo-fleet"],
-        wrong: &[
+        invalid: &[
             &["swim"],
             &["--swim"],
             &["--for"],
@@ -221,30 +224,30 @@
     },
 ];
 
-/// The name of a verb in a file's name.
-fn name(verb: &Verb) -> String {
-    if verb.words.is_empty() { "marlwinch".into() } else { verb.words.join("-") }
+/// The name of a command in the names of its files.
+fn file_name(command: &CommandCase) -> String {
+    if command.words.is_empty() { "marlwinch".into() } else { command.words.join("-") }
 }
 
-fn run(verb: &Verb, more: &[&str]) -> Run {
-    Run::new(&[verb.words, more].concat())
+fn run(command: &CommandCase, more: &[&str]) -> Run {
+    Run::new(&[command.words, more].concat())
 }
 
-/// The long and the short flag, at the usual width.
-fn helps(verb: &Verb) -> String {
-    transcripts([run(verb, &["--help"]), run(verb, &["-h"])])
+/// The output of the long and the short flag, at the default width.
+fn help_transcripts(command: &CommandCase) -> String {
+    transcripts([run(command, &["--help"]), run(command, &["-h"])])
 }
 
 #[test]
-fn help_is_as_approved() {
-    for verb in NODE_VERBS.iter().chain(SYSTEM_VERBS) {
-        approve(&format!("help/{}.txt", name(verb)), &helps(verb));
+fn help_matches_the_approved_texts() {
+    for command in PROXY_COMMANDS.iter().chain(SYSTEM_COMMANDS) {
+        approve(&format!("help/{}.txt", file_name(command)), &help_transcripts(command));
     }
 }
 
-/// A terminal of another width, and none that says how wide it is.
+/// Also with a terminal whose width is unknown.
 #[test]
-fn help_is_as_wide_as_the_terminal_within_bounds() {
+fn help_wraps_at_the_width_of_the_terminal_within_bounds() {
     for width in ["40", "200", ""] {
         let runs = [&["--help"][..], &["load", "--help"], &["agent", "--help"], &["demo-fleet", "--help"]];
         let runs = runs.iter().map(|arguments| Run::new(arguments).with("COLUMNS", width));
@@ -254,21 +257,21 @@
 }
 
 #[test]
-fn the_help_verb_shows_the_same_help() {
-    for verb in NODE_VERBS {
+fn help_command_and_help_flag_print_the_same_text() {
+    for command in PROXY_COMMANDS {
         let output = |run: Run| String::from_utf8(run.output().stdout).expect("a text");
-        let arguments = match verb.words {
-            ["load", "diff"] => continue, // `load` has no verb of this kind beside its arguments
+        let arguments = match command.words {
+            ["load", "diff"] => continue, // `load` has no `help` command, as it takes arguments of its own
             ["trial", rest @ ..] if !rest.is_empty() => [&["trial", "help"], rest].concat(),
             words => [&["help"], words].concat(),
         };
-        let (by_verb, by_flag) = (output(Run::new(&arguments)), output(run(verb, &["--help"])));
-        assert_eq!(by_verb, by_flag, "{arguments:?}");
+        let (by_command, by_flag) = (output(Run::new(&arguments)), output(run(command, &["--help"])));
+        assert_eq!(by_command, by_flag, "{arguments:?}");
     }
 }
 
 #[test]
-fn the_version_is_as_approved() {
+fn version_matches_the_approved_text() {
     let runs = [&["--version"][..], &["-V"], &["run", "--version"], &["load", "-V"]];
     let version = env!("CARGO_PKG_VERSION");
     let runs = runs.iter().map(|arguments| Run::new(arguments).replacing(version, "(version)"));
@@ -276,47 +279,48 @@
 }
 
 #[test]
-fn wrong_usage_is_as_approved() {
-    let folder = OwnFolder::new("usage");
+fn usage_errors_match_the_approved_texts() {
+    let folder = TempFolder::new("usage");
     folder.write("bad.toml", "[routing]\nslack = 7\n");
-    for verb in NODE_VERBS.iter().chain(SYSTEM_VERBS) {
-        let runs = verb.wrong.iter().map(|more| run(verb, more).within(&folder.0));
-        approve(&format!("usage/{}.txt", name(verb)), &transcripts(runs));
+    for command in PROXY_COMMANDS.iter().chain(SYSTEM_COMMANDS) {
+        let runs = command.invalid.iter().map(|more| run(command, more).within(&folder.0));
+        approve(&format!("usage/{}.txt", file_name(command)), &transcripts(runs));
     }
 }
 
-/// The verbs below a list of them in a help text.
-fn listed(help: &str) -> BTreeSet<String> {
+/// The commands that a help text lists.
+fn listed_commands(help: &str) -> BTreeSet<String> {
     let commands = help.split("Commands:\n").nth(1).unwrap_or_default();
     let lines = commands.lines().take_while(|line| !line.is_empty());
-    let verb = |line: &str| line.strip_prefix("  ").filter(|rest| !rest.starts_with(' ')).map(str::to_string);
-    let words = lines.filter_map(verb).filter_map(|line| line.split(' ').next().map(str::to_string));
+    let entry =
+        |line: &str| line.strip_prefix("  ").filter(|rest| !rest.starts_with(' ')).map(str::to_string);
+    let words = lines.filter_map(entry).filter_map(|line| line.split(' ').next().map(str::to_string));
     words.filter(|word| word != "help").collect()
 }
 
-/// The verbs below these words that the tests know.
-fn known(words: &[&str]) -> BTreeSet<String> {
-    let below = NODE_VERBS.iter().filter_map(|verb| verb.words.strip_prefix(words));
+/// The commands below these words that the tests cover.
+fn covered_commands(words: &[&str]) -> BTreeSet<String> {
+    let below = PROXY_COMMANDS.iter().filter_map(|command| command.words.strip_prefix(words));
     below.filter_map(|rest| rest.first()).map(|word| word.to_string()).collect()
 }
 
-/// A new verb needs its texts: the lists of the help and of the tests are the same.
+/// Fails for a new command without approved texts: the help and the tests must list the same commands.
 #[test]
-fn every_verb_of_the_node_is_approved() {
+fn every_proxy_command_has_approved_texts() {
     let help = |words: &[&str]| {
         let arguments = [words, &["--help"]].concat();
         String::from_utf8(Run::new(&arguments).output().stdout).expect("a text")
     };
-    assert_eq!(listed(&help(&[])), known(&[]));
-    assert_eq!(listed(&help(&["load"])), known(&["load"]));
-    // The rig alone uses it, so that no help lists it.
+    assert_eq!(listed_commands(&help(&[])), covered_commands(&[]));
+    assert_eq!(listed_commands(&help(&["load"])), covered_commands(&["load"]));
+    // Only trials use it, so the help does not list it.
     let hidden = BTreeSet::from(["keep".to_string()]);
-    assert_eq!(listed(&help(&["trial"])), &known(&["trial"]) - &hidden);
+    assert_eq!(listed_commands(&help(&["trial"])), &covered_commands(&["trial"]) - &hidden);
 }
 
-/// A new verb of the system does not compile here until it has a word, and that needs its texts.
+/// Fails for a new command without approved texts: `word` does not compile until it names the command.
 #[test]
-fn every_verb_of_the_system_is_approved() {
+fn every_system_command_has_approved_texts() {
     use system::Command;
     fn word(command: &Command) -> &'static str {
         match command {
@@ -343,9 +347,14 @@
     ];
     let mut words: BTreeSet<_> = all.iter().map(word).collect();
     words.insert("demo-fleet");
-    let approved: BTreeSet<_> = SYSTEM_VERBS.iter().map(|verb| verb.words[0]).collect();
+    let approved: BTreeSet<_> = SYSTEM_COMMANDS.iter().map(|command| command.words[0]).collect();
     assert_eq!(words, approved);
     assert!(approved.iter().all(|word| system::is_command(word)));
-    // Those of the node go another way.
-    assert!(!NODE_VERBS.iter().filter_map(|verb| verb.words.first()).any(|word| system::is_command(word)));
+    // The commands of the proxy are parsed by `cli`.
+    assert!(
+        !PROXY_COMMANDS
+            .iter()
+            .filter_map(|command| command.words.first())
+            .any(|word| system::is_command(word))
+    );
 }
--- a/crates/marlwinch/tests/golden_cli_checks.rs
+++ b/crates/marlwinch/tests/golden_cli_checks.rs
@@ -1,29 +1,30 @@
-//! What the program says of files that it is given, held to the byte: `check-settings`, `check-configuration`,
-//! `check-policy`, `check` and `explain`, a file that is refused at a start, plans, histories, reports, and a coordinator's
-//! status, with standard output, standard error and exit code.
+//! Compares what the program prints about its input files with approved texts, byte for byte:
+//! `check-settings`, `check-configuration`, `check-policy`, `check` and `explain`, files that are rejected at
+//! a start, plans, histories, reports, and a coordinator's status, with standard output, standard error and
+//! exit code.
 //!
-//! The files are below `tests/golden/cli/inputs`, several in one text, and in the folders of the operator's files; the
-//! approved texts are below `tests/golden/cli/checks`. They are written on purpose only, by
-//! `GOLDEN=write cargo test -p marlwinch --test golden_cli_checks`; without that a missing or different text fails its
-//! test. `(time)` stands for the time of a log line, `(address)` for a port that the test was given.
+//! The input files are below `tests/golden/cli/inputs`, several in one text, and in the folders of the
+//! operator's files. The approved texts are below `tests/golden/cli/checks`. `GOLDEN=write cargo test -p
+//! marlwinch --test golden_cli_checks` writes them; without that variable a missing or different text fails
+//! its test. `(time)` stands for the time of a log line, `(address)` for an address with a free port.
 
 mod golden_cli_support;
 
-use golden_cli_support::{OwnFolder, Run, approve, files, folder, read, transcripts};
+use golden_cli_support::{Run, TempFolder, approve, files, folder, read, transcripts};
 use route_config::diagnostic::Code;
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, TcpListener};
 use std::path::{Path, PathBuf};
 
-/// A run for each file that a text holds, with the file's name behind these words.
-fn of_each(folder: &OwnFolder, words: &[&str], inputs: &str) -> String {
+/// The transcripts of a command for each file of an input text. The file's name follows these words.
+fn run_for_each_file(folder: &TempFolder, words: &[&str], inputs: &str) -> String {
     let names = folder.write_all(inputs);
     transcripts(names.iter().map(|name| Run::new(&[words, &[name]].concat()).within(&folder.0)))
 }
 
-/// The same command for what is no file to read.
-fn of_none(folder: &OwnFolder, words: &[&str]) -> String {
+/// The transcripts of a command for a missing file, a folder, and a file that is not UTF-8.
+fn run_for_unreadable_files(folder: &TempFolder, words: &[&str]) -> String {
     folder.write("not-utf8", b"a: \xff\xfe\n");
     std::fs::create_dir_all(folder.0.join("folder")).expect("a folder");
     let names = ["nowhere", "folder", "not-utf8"];
@@ -33,18 +34,19 @@
 // ---- Settings, configurations, policies ----------------------------------------------------------
 
 #[test]
-fn settings_are_checked_as_approved() {
-    let folder = OwnFolder::new("settings");
-    let transcript = of_each(&folder, &["check-settings"], "inputs/settings.txt");
-    let transcript = transcript + &of_none(&folder, &["check-settings"]);
+fn check_settings_matches_the_approved_text() {
+    let folder = TempFolder::new("settings");
+    let transcript = run_for_each_file(&folder, &["check-settings"], "inputs/settings.txt");
+    let transcript = transcript + &run_for_unreadable_files(&folder, &["check-settings"]);
     approve("checks/settings.txt", &transcript);
-    every_key_of_the_settings_is_at_fault(&transcript);
+    assert_an_error_at_each_settings_key(&transcript);
 }
 
-/// A new key of the settings does not compile here until it is named, and that needs a section that is at fault there.
-fn every_key_of_the_settings_is_at_fault(transcript: &str) {
+/// Asserts that some file has an error at each key of the settings. Does not compile for a new key until it
+/// is listed.
+fn assert_an_error_at_each_settings_key(transcript: &str) {
     let (_, all) = files(&read("inputs/settings.txt")).swap_remove(0);
-    let settings = node_settings::Settings::parse(&all).expect("the file with all keys is taken");
+    let settings = node_settings::Settings::parse(&all).expect("the file with all keys is valid");
     let node_settings::Settings {
         node_name: _,
         machine_class: _,
@@ -89,7 +91,7 @@
         cloud_api,
     } = settings;
     let node_settings::CloudApi { address: _, rate_per_s: _, lag_ms: _ } =
-        cloud_api.expect("it has a platform");
+        cloud_api.expect("it has `cloud_api`");
     let value: serde_json::Value = serde_json::from_str(KEYS).expect("JSON");
     for (key, below) in value.as_object().expect("keys") {
         let places: Vec<_> = match below.as_array() {
@@ -100,7 +102,7 @@
             let (top, whole) = (format!(".yaml: {place}: "), format!(".yaml: {place}["));
             assert!(
                 transcript.contains(&top) || transcript.contains(&whole),
-                "no file is at fault at {place}"
+                "no file has an error at {place}"
             );
             let name = place.rsplit('.').next().expect("a word");
             assert!(all.contains(&format!("{name}:")), "the file with all keys lacks {place}");
@@ -108,7 +110,7 @@
     }
 }
 
-/// The keys of a settings file, as files have them.
+/// The keys of a settings file.
 const KEYS: &str = r#"{"node_name": 0, "machine_class": 0, "ip": 0, "zone": 0, "region": 0, "zones": 0,
     "listen": ["frontend", "readiness", "control"], "internal_port_range": 0, "seed_nodes": 0, "bootstrap": 0,
     "counts_for_quorum": 0, "limits": ["cpu_share", "cores", "memory_mb", "max_fds", "link_mbps", "disk_mb"],
@@ -120,16 +122,16 @@
     "cloud_api": ["address", "rate_per_s", "lag_ms"]}"#;
 
 #[test]
-fn configurations_are_checked_as_approved() {
-    let folder = OwnFolder::new("configurations");
-    let transcript = of_each(&folder, &["check-configuration"], "inputs/configurations.txt");
-    let transcript = transcript + &of_none(&folder, &["check-configuration"]);
+fn check_configuration_matches_the_approved_text() {
+    let folder = TempFolder::new("configurations");
+    let transcript = run_for_each_file(&folder, &["check-configuration"], "inputs/configurations.txt");
+    let transcript = transcript + &run_for_unreadable_files(&folder, &["check-configuration"]);
     approve("checks/configurations.txt", &transcript);
-    every_key_of_a_configuration_is_at_fault(&transcript);
+    assert_an_error_at_each_configuration_key(&transcript);
 }
 
-/// Every property of the schema, wherever it stands, is the place of some fault.
-fn every_key_of_a_configuration_is_at_fault(transcript: &str) {
+/// Asserts that some configuration has an error at each property of the schema.
+fn assert_an_error_at_each_configuration_key(transcript: &str) {
     fn properties(schema: &serde_json::Value, found: &mut BTreeSet<String>) {
         let Some(object) = schema.as_object() else { return };
         if let Some(named) = object.get("properties").and_then(|named| named.as_object()) {
@@ -142,25 +144,25 @@
     assert!(keys.len() >= 35, "{keys:?}");
     for key in keys {
         let at = |end: &str| transcript.contains(&format!("/{key}{end}"));
-        assert!(at(": ") || at("/"), "no configuration is at fault at {key}");
+        assert!(at(": ") || at("/"), "no configuration has an error at {key}");
     }
 }
 
 #[test]
-fn policies_are_checked_as_approved() {
-    let folder = OwnFolder::new("policies");
-    let transcript = of_each(&folder, &["check-policy"], "inputs/policies.txt");
-    approve("checks/policies.txt", &(transcript + &of_none(&folder, &["check-policy"])));
+fn check_policy_matches_the_approved_text() {
+    let folder = TempFolder::new("policies");
+    let transcript = run_for_each_file(&folder, &["check-policy"], "inputs/policies.txt");
+    approve("checks/policies.txt", &(transcript + &run_for_unreadable_files(&folder, &["check-policy"])));
 }
 
-/// `default-policy.toml` states every key of the policy with its default. It is written by hand, `GOLDEN=write` or not.
+/// `default-policy.toml` has every key of the policy with its default. `GOLDEN=write` does not write it.
 #[test]
-fn every_default_of_the_policy_is_stated() {
+fn default_policy_file_has_every_key_with_its_default() {
     let text = read("default-policy.toml");
     assert_eq!(policy::Policy::parse(&text), Ok(policy::Policy::default()));
     let run = Run::new(&["check-policy", "default-policy.toml"]).within(&folder());
     assert!(run.transcript().contains("exit code 0\n"));
-    // What a fault says of a table is all that it may hold.
+    // The error about an unknown key lists all keys of the table.
     let expected = |wrong: &str| -> BTreeSet<String> {
         let error = policy::Policy::parse(wrong).expect_err("an unknown key").to_string();
         let (_, list) = error.split_once("expected one of ").unwrap_or_else(|| panic!("{error}"));
@@ -183,13 +185,13 @@
 
 // ---- The operator's file -------------------------------------------------------------------------
 
-/// The folder of the operator's files that tests of `operator` use: `good` or `bad`.
+/// The folder `good` or `bad` of the operator's files in the tests of route-config.
 fn corpus(which: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../route-config/tests/corpus").join(which)
 }
 
-/// The files of a folder, by name.
-fn in_folder(folder: &Path) -> Vec<String> {
+/// The names of the TOML files of a folder, sorted.
+fn toml_files(folder: &Path) -> Vec<String> {
     let entries = std::fs::read_dir(folder).unwrap_or_else(|error| panic!("{}: {error}", folder.display()));
     let names = entries.map(|entry| entry.expect("an entry").file_name().into_string().expect("a name"));
     let mut names: Vec<_> = names.filter(|name| name.ends_with(".toml")).collect();
@@ -198,34 +200,34 @@
 }
 
 #[test]
-fn bad_files_of_operators_are_reported_as_approved() {
+fn check_of_invalid_files_matches_the_approved_texts() {
     let folder = corpus("bad");
-    let names = in_folder(&folder);
+    let names = toml_files(&folder);
     let check = |words: &[&str]| {
         let runs = names.iter().map(|name| Run::new(&[words, &[name]].concat()).within(&folder));
         transcripts(runs)
     };
     let transcript = check(&["check"]);
     approve("checks/operator-bad.txt", &transcript);
-    // These two are of what is no file of an operator at all.
-    let elsewhere = [Code::TooLarge, Code::NotAFile];
-    let met = |code: &&Code| elsewhere.contains(code) || transcript.contains(code.as_str());
-    let missing: Vec<_> = Code::ALL.iter().filter(|code| !met(code)).collect();
+    // These two are about paths that are not a readable file.
+    let unreadable = [Code::TooLarge, Code::NotAFile];
+    let is_covered = |code: &&Code| unreadable.contains(code) || transcript.contains(code.as_str());
+    let missing: Vec<_> = Code::ALL.iter().filter(|code| !is_covered(code)).collect();
     assert!(missing.is_empty(), "no file with {missing:?}");
     approve("checks/operator-bad-json.txt", &check(&["check", "--json"]));
 }
 
 #[test]
-fn more_bad_files_of_operators_are_reported_as_approved() {
-    let folder = OwnFolder::new("operator-more");
-    let transcript = of_each(&folder, &["check"], "inputs/operator-files.txt");
+fn check_of_further_invalid_files_matches_the_approved_text() {
+    let folder = TempFolder::new("operator-more");
+    let transcript = run_for_each_file(&folder, &["check"], "inputs/operator-files.txt");
     approve("checks/operator-more.txt", &transcript);
 }
 
 #[test]
-fn good_files_of_operators_pass_as_approved() {
+fn check_of_valid_files_matches_the_approved_texts() {
     let folder = corpus("good");
-    let names = in_folder(&folder);
+    let names = toml_files(&folder);
     let runs = names.iter().map(|name| Run::new(&["check", name]).within(&folder));
     approve("checks/operator-good.txt", &transcripts(runs));
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
@@ -239,10 +241,10 @@
     folder().join("inputs")
 }
 
-/// What can't be read, or not as a whole. A file of many faults is told up to a number.
+/// Paths that can't be read as a file, and a file with more errors than are shown.
 #[test]
-fn what_is_no_file_of_an_operator_is_reported_as_approved() {
-    let folder = OwnFolder::new("operator-none");
+fn unreadable_files_match_the_approved_text() {
+    let folder = TempFolder::new("operator-none");
     folder.write("too-large.toml", "# a line of remarks\n".repeat((8 << 20) / 20 + 1));
     folder.write("many-faults.toml", (0..300).map(|n| format!("odd{n} = 1\n")).collect::<String>());
     folder.write("hidden-characters.toml", "[node]\nname = '\u{1b}[31m\u{202e}x'\nodd\u{7} = 1\n");
@@ -268,9 +270,8 @@
     assert_eq!(last, "many-faults.toml: refused, 200 faults, and 100 more that are not shown");
 }
 
-/// The text of every code, its rule and what it is about are the approved ones.
 #[test]
-fn codes_of_the_operators_file_are_as_approved() {
+fn diagnostic_codes_match_the_approved_list() {
     let mut list = String::new();
     for code in Code::ALL {
         let rule = code.rule().map_or("none".to_string(), |rule| rule.to_string());
@@ -280,7 +281,7 @@
 }
 
 #[test]
-fn requests_are_explained_as_approved() {
+fn explain_of_requests_matches_the_approved_texts() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let example: &[&[&str]] = &[
         &["GET", "/tally/7f3a"],
@@ -319,9 +320,9 @@
     approve("checks/explain-all-terms.txt", &transcripts(runs));
 }
 
-/// A surge is played in virtual time with a seed, so that its figures are the same each time.
+/// A surge is simulated in virtual time with a seed, so the results are the same in every run.
 #[test]
-fn surges_are_explained_as_approved() {
+fn explain_of_surges_matches_the_approved_text() {
     let deploy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let example: &[&[&str]] = &[
         &["--rate", "500/s"],
@@ -356,8 +357,8 @@
 // ---- Starts that fail ----------------------------------------------------------------------------
 
 #[test]
-fn a_bad_configuration_of_the_platforms_node_is_reported_as_approved() {
-    let folder = OwnFolder::new("platform");
+fn platform_node_with_an_invalid_configuration_matches_the_approved_text() {
+    let folder = TempFolder::new("platform");
     let names = folder.write_all("inputs/platform-configurations.txt");
     let start = |name: &str| Run::new(&[]).within(&folder.0).with("ROUTER_CONFIG", name);
     let mut transcript = Run::new(&[]).within(&folder.0).transcript();
@@ -370,7 +371,7 @@
         variable("ROUTER_DISCOVERY", "somewhere"),
         variable("ROUTER_CONSOLE", "somewhere"),
         variable("ROUTER_NAME", "another"),
-        // The log itself: what can't be read counts as `info`, and an error is told at that level.
+        // The log level: an invalid one counts as `info`, and the error is logged at that level.
         variable("MARLWINCH_LOG", "error"),
         variable("MARLWINCH_LOG", "nonsense=nonsense=nonsense"),
         variable("MARLWINCH_LOG", "off"),
@@ -379,8 +380,8 @@
 }
 
 #[test]
-fn a_node_from_a_file_that_can_not_start_says_why_as_approved() {
-    let folder = OwnFolder::new("file-start");
+fn file_node_that_cannot_start_matches_the_approved_text() {
+    let folder = TempFolder::new("file-start");
     let text = read("inputs/all-terms.toml");
     let plain = text.replace("[::1]:8080", "203.0.113.1:8080").replace("127.0.0.1:8080", "203.0.113.1:80");
     folder.write("no-listener.toml", &plain);
@@ -390,18 +391,18 @@
     folder.write("no-trace.toml", plain_log.replace("trace.jsonl", "nowhere/trace.jsonl"));
     folder.write("refused.toml", "[[listener]]\naddress = \"127.0.0.1:0\"\nport = 1\n");
     let names = ["no-listener.toml", "no-trace.toml", "no-admin.toml", "refused.toml"];
-    // Lines of the log are written by another thread, and here only the last word is held.
+    // Another thread writes log lines, so they are turned off here; the test is about the final error.
     let run = |name: &&str| Run::new(&["run", name]).within(&folder.0).with("MARLWINCH_LOG", "off");
     approve("checks/file-start.txt", &transcripts(names.iter().map(run)));
 }
 
-/// The section of `all-terms.toml` that has a trace written.
+/// The section of `all-terms.toml` that enables the trace.
 const TRACE: &str = "[trace]\nfile = \"trace.jsonl\"\nqueue = 100\nmost = \"1MiB\"\n";
 
-/// Roles without settings, with bad ones, and with settings that lack what they need.
+/// Roles without settings, with invalid settings, and with settings that lack a required key.
 #[test]
-fn a_role_that_can_not_start_says_why_as_approved() {
-    let folder = OwnFolder::new("role-start");
+fn roles_that_cannot_start_match_the_approved_text() {
+    let folder = TempFolder::new("role-start");
     let least = "node_name: n\nip: 203.0.113.1\ninternal_port_range: [7680, 7681]\n";
     folder.write("least.yaml", least);
     folder.write("bad.yaml", least.replace("7681", "7680"));
@@ -433,22 +434,22 @@
 // ---- Tools ---------------------------------------------------------------------------------------
 
 #[test]
-fn trials_are_listed_judged_and_refused_as_approved() {
-    let folder = OwnFolder::new("trials");
+fn trial_commands_match_the_approved_text() {
+    let folder = TempFolder::new("trials");
     let mut transcript = Run::new(&["trial", "list"]).transcript();
     for name in folder.write_all("inputs/trial-plans.txt") {
         transcript += &Run::new(&["trial", "run", &name]).within(&folder.0).transcript();
     }
     transcript += &Run::new(&["trial", "shrink", "no-toml.toml"]).within(&folder.0).transcript();
-    transcript += &of_each(&folder, &["trial", "judge"], "inputs/histories.txt");
+    transcript += &run_for_each_file(&folder, &["trial", "judge"], "inputs/histories.txt");
     let page = ["trial", "judge", "passed.jsonl", "--page", "nowhere/page.html"];
     transcript += &Run::new(&page).within(&folder.0).transcript();
     approve("checks/trial.txt", &transcript);
 }
 
 #[test]
-fn plans_and_reports_of_the_load_generator_are_reported_as_approved() {
-    let folder = OwnFolder::new("load");
+fn load_plans_and_reports_match_the_approved_text() {
+    let folder = TempFolder::new("load");
     let names = folder.write_all("inputs/load.txt");
     let plans = names.iter().filter(|name| name.ends_with(".toml"));
     let run = |words: &[&str]| Run::new(words).within(&folder.0);
@@ -466,7 +467,7 @@
     ] {
         transcript += &run(&["load", "diff", first, second]).transcript();
     }
-    // What a run shows in the end, for reports that were kept.
+    // The table that a run prints at its end, for stored reports.
     for name in ["first.json", "alone.json", "not-valid.json", "no-notes.json"] {
         let report = std::fs::read(folder.0.join(name)).expect("a report");
         let report = load_generator::report::Report::read(&report).expect("a report");
@@ -475,37 +476,37 @@
     approve("checks/load.txt", &transcript);
 }
 
-/// Answers one question with these bytes.
-fn coordinator(answer: String) -> String {
+/// Starts a coordinator that sends these bytes as the response to one request.
+fn start_coordinator(response: String) -> String {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("bind");
     let address = listener.local_addr().expect("address").to_string();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("accept");
-        let (mut asked, mut piece) = (Vec::new(), [0; 512]);
-        while !asked.ends_with(b"\r\n\r\n") {
-            let count = stream.read(&mut piece).expect("read");
-            asked.extend_from_slice(&piece[..count]);
+        let (mut request, mut chunk) = (Vec::new(), [0; 512]);
+        while !request.ends_with(b"\r\n\r\n") {
+            let count = stream.read(&mut chunk).expect("read");
+            request.extend_from_slice(&chunk[..count]);
         }
-        stream.write_all(answer.as_bytes()).expect("write");
+        stream.write_all(response.as_bytes()).expect("write");
     });
     address
 }
 
 #[test]
-fn a_coordinators_status_is_shown_as_approved() {
+fn status_matches_the_approved_text() {
     let mut transcript = String::new();
-    let mut ask = |name: &str, answer: String| {
-        let address = coordinator(answer);
+    let mut run_status = |name: &str, response: String| {
+        let address = start_coordinator(response);
         transcript += &format!("# {name}\n");
         transcript += &Run::new(&["status", &address]).replacing(&address, "(address)").transcript();
     };
     for (name, status) in files(&read("inputs/statuses.txt")) {
-        ask(&name, format!("HTTP/1.0 200 OK\r\nContent-Type: application/json\r\n\r\n{status}"));
+        run_status(&name, format!("HTTP/1.0 200 OK\r\nContent-Type: application/json\r\n\r\n{status}"));
     }
-    ask("not found", "HTTP/1.0 404 Not Found\r\n\r\n".into());
-    ask("no end of the head", "HTTP/1.0 200 OK\r\n".into());
-    ask("nothing", String::new());
-    // Bound and not listening, so that nobody else has the port.
+    run_status("not found", "HTTP/1.0 404 Not Found\r\n\r\n".into());
+    run_status("no end of the head", "HTTP/1.0 200 OK\r\n".into());
+    run_status("nothing", String::new());
+    // Bound but not listening: connections are refused, and no other process gets the port.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
     let closed = socket.local_addr().ok().and_then(|address| address.as_socket()).expect("an address");
--- a/crates/marlwinch/tests/golden_cli_log.rs
+++ b/crates/marlwinch/tests/golden_cli_log.rs
@@ -1,17 +1,18 @@
-//! Lines that operators may parse, held to the byte: the log of a node from a file (text and JSON) with a line for each
-//! exchange, of the platform's node with the figures that it tells at its second address, and of the roles of the system.
+//! Compares log lines, which operators may parse, with approved texts, byte for byte: the log of a node with
+//! a configuration file (text and JSON) with a line for each exchange, the log of the platform's node and the
+//! metrics of its console, and the logs of the roles of the system.
 //!
-//! The approved texts are below `tests/golden/cli/log`. They are written on purpose only, by
-//! `GOLDEN=write cargo test -p marlwinch --test golden_cli_log`; without that a missing or different text fails its test.
-//! Fixed words stand for what differs from run to run: `(time)` for times, `(ms)` for measured times, `(address)` for an
-//! address with its port, `(net)` for the addresses of a test's own machines, `(file)` and `(folder)` for paths, `(n)` for
-//! counts that depend on when they are taken, `(id)` for numbers that are drawn, `(module)` for the part of the program that
-//! a line is from. Those parts have a text of their own, `log/modules.txt`.
+//! The approved texts are below `tests/golden/cli/log`. `GOLDEN=write cargo test -p marlwinch --test
+//! golden_cli_log` writes them; without that variable a missing or different text fails its test. Fixed words
+//! stand for what differs from run to run: `(time)` for times, `(ms)` for measured times, `(address)` for an
+//! address with its port, `(net)` for the network of a test, `(file)` and `(folder)` for paths, `(n)` for
+//! counts that depend on timing, `(id)` for random numbers, `(module)` for the target of a line. The targets
+//! are in `log/modules.txt`.
 
 mod golden_cli_support;
 mod peers;
 
-use golden_cli_support::{Logged, ON_ERROR, OwnFolder, Run, approve, without_numbers};
+use golden_cli_support::{LoggedProcess, ON_ERROR, Run, TempFolder, approve, without_numbers};
 use peers::{Listener, PEER_TIMEOUT, Peer, config, list};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -19,20 +20,20 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-/// The address behind some words of a line.
-fn address_behind(line: &str, words: &str) -> SocketAddr {
+/// The address that follows these words in a line.
+fn address_after(line: &str, words: &str) -> SocketAddr {
     let (_, rest) = line.split_once(words).unwrap_or_else(|| panic!("{line}"));
     let is_part = |c: char| c.is_ascii_digit() || ".:".contains(c);
     let end = rest.find(|c| !is_part(c)).unwrap_or(rest.len());
     rest[..end].trim_end_matches(':').parse().unwrap_or_else(|error| panic!("{line}: {error}"))
 }
 
-/// Waits for the line with the address where a node listens, and has that replaced from now on.
-fn listens(node: &mut Logged) -> (SocketAddr, String) {
+/// Waits for the line with the address of a node, and from now on replaces the address. Returns both.
+fn wait_until_listening(node: &mut LoggedProcess) -> (SocketAddr, String) {
     let line = node.raw("listens on");
-    let address = address_behind(&line, "listens on ");
+    let address = address_after(&line, "listens on ");
     node.replace(address.to_string(), "(address)");
-    (address, node.fixed(&line) + "\n")
+    (address, node.normalized(&line) + "\n")
 }
 
 fn get(client: &mut Peer, path: &str) {
@@ -41,8 +42,8 @@
 
 // ---- A node from a file --------------------------------------------------------------------------
 
-/// A file with a cluster that serves, one that goes, and lines for all exchanges.
-fn node_file(boxes: &[&Listener], format: &str, more: &str) -> String {
+/// A file that logs all exchanges, with a cluster for the backend and further sections.
+fn node_file(backends: &[&Listener], format: &str, more: &str) -> String {
     format!(
         "[node]\nname = \"n-1\"\nseed = 5\n[log]\nformat = \"{format}\"\nexchanges = 1\n\
          [[listener]]\naddress = \"127.0.0.1:0\"\n[[tenant]]\nname = \"pati\"\n\
@@ -52,12 +53,12 @@
          [[route]]\nprefix = \"/look\"\nclass = \"look\"\ncluster = \"tally\"\nname = \"looks\"\n\
          [[route]]\nprefix = \"/few\"\nclass = \"few\"\ncluster = \"tally\"\n\
          [[cluster]]\nname = \"tally\"\n[[cluster.box]]\nname = \"b-1\"\naddress = \"{}\"\n{more}",
-        boxes[0].address()
+        backends[0].address()
     )
 }
 
 /// A second cluster and its route.
-fn second(backend: &Listener) -> String {
+fn second_cluster(backend: &Listener) -> String {
     format!(
         "[[cluster]]\nname = \"other\"\n[[cluster.box]]\nname = \"o-1\"\naddress = \"{}\"\n\
          [[route]]\npath = \"/other\"\nclass = \"look\"\ncluster = \"other\"\n",
@@ -65,14 +66,15 @@
     )
 }
 
-/// Numbers of a line of an exchange that are measured, in text and in JSON.
-fn exchange_line(line: &str) -> String {
+/// Replaces the measured times in the line of an exchange, in text or in JSON.
+fn without_measured_times(line: &str) -> String {
     let line = without_numbers(line, &["first_byte_ms=", "whole_ms="], "(ms)");
     without_numbers(&line, &["\"first_byte_ms\":", "\"whole_ms\":"], "\"(ms)\"")
 }
 
-/// Exchanges that end in each way there is: whole, whole with the node's own answer, cut, and gone.
-fn exchanges(node: &mut Logged, address: SocketAddr, backend: &Listener) -> String {
+/// Makes exchanges with each possible `end`, and returns their log lines: complete, complete with a response
+/// of the node itself, cut off by the backend, and abandoned by the client.
+fn exchange_lines(node: &mut LoggedProcess, address: SocketAddr, backend: &Listener) -> String {
     let mut transcript = String::new();
     let (mut client, mut peers) = (Peer::connect(address), Vec::new());
     for status in ["200 OK", "503 Later"] {
@@ -81,61 +83,62 @@
         peer.answer(status, "", "x");
         client.read();
         peers.push(peer);
-        transcript += &exchange_line(&node.line("exchange"));
+        transcript += &without_measured_times(&node.line("exchange"));
     }
-    // The second of an hour is refused by the node itself.
+    // The node itself rejects the second request within an hour.
     get(&mut client, "/few");
     let mut peer = backend.next_request(&mut peers);
     peer.answer("204 No Content", "", "");
     client.read();
     peers.push(peer);
-    transcript += &exchange_line(&node.line("exchange"));
+    transcript += &without_measured_times(&node.line("exchange"));
     get(&mut client, "/few");
     assert_eq!(client.read().status(), 429);
-    transcript += &exchange_line(&node.line("exchange"));
-    // Broken off behind its head, once some of it has gone on.
+    transcript += &without_measured_times(&node.line("exchange"));
+    // The backend closes after the client has received a part of the body.
     get(&mut client, "/look");
     let mut peer = backend.next_request(&mut peers);
     peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n");
-    let mut beginning = Vec::new();
-    while !beginning.ends_with(b"ab\r\n") {
+    let mut received = Vec::new();
+    while !received.ends_with(b"ab\r\n") {
         let mut byte = [0];
-        // Unlike a plain read this goes on where the test itself was stopped for a while.
+        // Unlike `read`, this continues after an interruption, such as a stop of the test itself.
         client.stream.read_exact(&mut byte).expect("the beginning of the answer");
-        beginning.push(byte[0]);
+        received.push(byte[0]);
     }
     peer.stream.shutdown(Shutdown::Both).expect("closed");
     client.read_to_end();
-    transcript += &exchange_line(&node.line("exchange"));
-    // The client leaves before there is an answer.
+    transcript += &without_measured_times(&node.line("exchange"));
+    // The client disconnects before there is a response.
     let mut client = Peer::connect(address);
     get(&mut client, "/look");
     let peer = backend.next_request(&mut peers);
     drop(client);
-    transcript += &exchange_line(&node.line("exchange"));
+    transcript += &without_measured_times(&node.line("exchange"));
     drop(peer);
     transcript
 }
 
-/// All that a node from a file says at its start, of exchanges, at reloads and at its end.
-fn file_node(format: &str, level: &str) -> (String, Vec<String>) {
-    let folder = OwnFolder::new(&format!("log-{format}"));
+/// The log of a node with a configuration file: at its start, of exchanges, at reloads and at shutdown. Also
+/// returns the remaining lines.
+fn file_node_log(format: &str, level: &str) -> (String, Vec<String>) {
+    let folder = TempFolder::new(&format!("log-{format}"));
     let (backend, other) = (Listener::new(), Listener::new());
     let admin = "[admin]\naddress = \"127.0.0.1:0\"\n[trace]\nfile = \"trace.jsonl\"\n";
-    folder.write("node.toml", node_file(&[&backend], format, &(second(&other) + admin)));
+    folder.write("node.toml", node_file(&[&backend], format, &(second_cluster(&other) + admin)));
     let run = Run::new(&["run", "node.toml"]).within(&folder.0).with("MARLWINCH_LOG", level);
-    let mut node = Logged::start(&run);
-    let (address, mut transcript) = listens(&mut node);
+    let mut node = LoggedProcess::start(&run);
+    let (address, mut transcript) = wait_until_listening(&mut node);
     for text in ["taken: ", "recording to", "figures are told at", "taken 0", "at the boxes"] {
         let line = node.raw(text);
         if text == "figures are told at" {
-            let admin = address_behind(&line, "http://").to_string();
+            let admin = address_after(&line, "http://").to_string();
             node.replace(admin, "(address)");
         }
-        transcript += &(node.fixed(&line) + "\n");
+        transcript += &(node.normalized(&line) + "\n");
     }
-    transcript += &exchanges(&mut node, address, &backend);
-    // A file that is refused changes nothing. One that is taken may hold what waits for the next start.
+    transcript += &exchange_lines(&mut node, address, &backend);
+    // A rejected file changes nothing. A valid file may have changes that take effect only at the next start.
     folder.write("node.toml", "[[listener]]\nport = 1\n");
     node.signal("HUP");
     transcript += &node.line("refused, going on");
@@ -161,24 +164,24 @@
 }
 
 #[test]
-fn the_log_of_a_node_from_a_file_is_as_approved() {
-    let (transcript, rest) = file_node("text", "info");
+fn text_log_of_a_file_node_matches_the_approved_text() {
+    let (transcript, rest) = file_node_log("text", "info");
     approve("log/file-node.txt", &transcript);
-    // Nothing else was said but the figures, which come every ten seconds.
+    // There are no other lines except for the metrics, which are logged every ten seconds.
     let is_known = |line: &String| ["taken ", "at the boxes"].iter().any(|known| line.contains(known));
     let unknown: Vec<_> = rest.iter().filter(|line| !is_known(line)).collect();
     assert!(unknown.is_empty(), "{unknown:#?}");
 }
 
-/// The value of a member of a JSON line, a text.
-fn member(line: &str, name: &str) -> String {
+/// The value of a string member of a JSON line.
+fn string_member(line: &str, name: &str) -> String {
     let value: serde_json::Value = serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}"));
     value[name].as_str().unwrap_or_else(|| panic!("{line}: no {name}")).to_string()
 }
 
 #[test]
-fn the_log_in_json_is_as_approved() {
-    let (transcript, _) = file_node("json", "info");
+fn json_log_of_a_file_node_matches_the_approved_text() {
+    let (transcript, _) = file_node_log("json", "info");
     let mut fixed = String::new();
     let mut modules = BTreeSet::new();
     for line in transcript.lines() {
@@ -186,11 +189,11 @@
             fixed += &format!("{line}\n");
             continue;
         };
-        let (time, module) = (member(line, "timestamp"), member(line, "target"));
+        let (time, module) = (string_member(line, "timestamp"), string_member(line, "target"));
         // Such as 2025-12-02T16:00:00.123456Z.
         assert!(time.len() == 27 && time.ends_with('Z') && time.as_bytes()[10] == b'T', "{time}");
         let line = line.replacen(&time, "(time)", 1);
-        // The line of an exchange is named by its target, which is no place in the program.
+        // The target of an exchange's line is a fixed name instead of a module.
         let line = match module.as_str() {
             "marlwinch::exchange" => line,
             _ => line.replacen(&format!("\"target\":\"{module}\""), "\"target\":\"(module)\"", 1),
@@ -199,20 +202,19 @@
         modules.insert(module);
     }
     approve("log/file-node-json.txt", &fixed);
-    // What a line is from is part of it, and `MARLWINCH_LOG` may name it.
+    // Targets are part of the interface, as `MARLWINCH_LOG` may name them.
     let modules: Vec<_> = modules.into_iter().collect();
     approve("log/modules.txt", &(modules.join("\n") + "\n"));
 }
 
-/// `MARLWINCH_LOG=debug` shows each attempt that fails.
 #[test]
-fn what_debug_shows_of_an_attempt_is_as_approved() {
-    let folder = OwnFolder::new("log-debug");
+fn debug_log_of_failed_attempts_matches_the_approved_text() {
+    let folder = TempFolder::new("log-debug");
     let backend = Listener::new();
     folder.write("node.toml", node_file(&[&backend], "text", ""));
     let run = Run::new(&["run", "node.toml"]).within(&folder.0).with("MARLWINCH_LOG", "debug");
-    let mut node = Logged::start(&run);
-    let (address, _) = listens(&mut node);
+    let mut node = LoggedProcess::start(&run);
+    let (address, _) = wait_until_listening(&mut node);
     let mut client = Peer::connect(address);
     let mut transcript = String::new();
     let closed = "HTTP/1.1 503 Later\r\nConnection: close\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
@@ -230,9 +232,9 @@
     approve("log/debug.txt", &transcript);
 }
 
-/// Causes of a change of a limit are shown at `debug` as they are called in the program.
+/// At `debug` the log has the `Debug` names of the causes of limit changes.
 #[test]
-fn causes_of_a_changed_limit_keep_their_words() {
+fn debug_names_of_limit_change_causes_are_stable() {
     use admission_control::limit::Cause;
     let word = |cause: Cause| match cause {
         Cause::Room => "Room",
@@ -250,7 +252,7 @@
 
 // ---- The platform's node -------------------------------------------------------------------------
 
-/// The answer to a call at the second address.
+/// Sends a command to the console, and returns the command with its response.
 fn call(address: SocketAddr, words: &str) -> String {
     let mut caller = Peer::connect(address);
     caller.write(format!("{words}\n"));
@@ -259,8 +261,8 @@
     format!("> {words}\n{answer}")
 }
 
-/// Turns away whatever a backend is sent, until the client has its answer.
-fn turn_away(backend: &Listener, peers: &mut Vec<Peer>, client: &Peer) {
+/// Rejects every request at a backend until the client has its response.
+fn reject_all(backend: &Listener, peers: &mut Vec<Peer>, client: &Peer) {
     while !client.has_more() {
         peers.extend(backend.try_accept());
         match peers.iter_mut().find(|peer| peer.has_more()) {
@@ -274,8 +276,8 @@
 }
 
 #[test]
-fn the_log_and_the_figures_of_the_platforms_node_are_as_approved() {
-    let folder = OwnFolder::new("log-platform");
+fn log_and_console_of_the_platform_node_match_the_approved_texts() {
+    let folder = TempFolder::new("log-platform");
     let (backend, discovery, elsewhere) = (Listener::new(), Listener::new(), Listener::new());
     let known = list(41, true, &[("s-1", backend.address(), "east", "in_service")]);
     let text = |change: &dyn Fn(&mut serde_json::Value)| {
@@ -286,26 +288,26 @@
     };
     folder.write("node.json", text(&|_| {}));
     let run = Run::new(&[]).within(&folder.0).with("ROUTER_CONFIG", "node.json");
-    let mut node = Logged::start(&run);
+    let mut node = LoggedProcess::start(&run);
     node.replace(discovery.address().to_string(), "(discovery)");
     node.replace(elsewhere.address().to_string(), "(other discovery)");
-    let (address, mut transcript) = listens(&mut node);
+    let (address, mut transcript) = wait_until_listening(&mut node);
     let line = node.raw("calls are answered at");
-    let console = address_behind(&line, "answered at ");
+    let console = address_after(&line, "answered at ");
     node.replace(console.to_string(), "(second address)");
-    transcript += &(node.fixed(&line) + "\n");
+    transcript += &(node.normalized(&line) + "\n");
     transcript += &node.line("taken 0");
     let mut calls = call(console, "DUMP");
     let mut watch = discovery.accept();
     watch.read();
     watch.begin_watch();
     watch.line(&list(42, true, &[("s-1", backend.address(), "east", "in_service")]));
-    // One that is served, one that fails, one that is refused.
+    // One request is served, one fails, one is rejected.
     let (mut client, mut peers) = (Peer::connect(address), Vec::new());
     for (class, status) in [("look", "200 OK"), ("correct", "500 Broken"), ("submit", "")] {
         client.request(class, "", if class == "look" { "" } else { "x" });
         if class == "submit" {
-            turn_away(&backend, &mut peers, &client);
+            reject_all(&backend, &mut peers, &client);
         } else {
             let mut peer = backend.next_request(&mut peers);
             peer.answer(status, "", "");
@@ -317,13 +319,13 @@
     for words in ["HEALTH", "health", ""] {
         calls += &call(console, words);
     }
-    // One byte more than a call may have, and no end of the line.
+    // One byte more than the maximum length of a command, without a newline.
     let mut caller = Peer::connect(console);
     caller.write("x".repeat(257));
     let mut answer = String::new();
     caller.stream.read_to_string(&mut answer).expect("an answer");
     calls += &format!("> (257 bytes)\n{answer}");
-    // The configuration read again: the same, one at fault, other settings, another discovery.
+    // Reloads: an unchanged configuration, invalid ones, changed settings, another discovery.
     node.signal("HUP");
     transcript += &node.line("the settings are as they were");
     folder.write("node.json", text(&|config| config["settings"]["Classes"][0]["GiveUp"] = 0.into()));
@@ -358,32 +360,32 @@
     let (code, _) = node.end();
     transcript += &format!("exit code {}\n", code.expect("a code"));
     approve("log/platform-node.txt", &transcript);
-    // One that knows no backends.
+    // A node that knows no backends.
     folder.write("node.json", text(&|config| config["known"] = serde_json::Value::Null));
-    let mut node = Logged::start(&run);
-    let console = address_behind(&node.raw("calls are answered at"), "answered at ");
+    let mut node = LoggedProcess::start(&run);
+    let console = address_after(&node.raw("calls are answered at"), "answered at ");
     calls += &call(console, "HEALTH");
     approve("log/second-address.txt", &calls);
 }
 
 // ---- The roles of the system ---------------------------------------------------------------------
 
-/// The addresses of a test's own machines: 127.A.B.1 and on, where nobody else listens.
+/// A loopback network for the machines of a test: 127.A.B.1 and on, where no other process listens.
 struct Net([u8; 2]);
 
 impl Net {
     /// `salt` differs from test to test.
     fn find(salt: u32) -> Net {
-        // Fleets that are played take 127.20.0.0 to 127.219.255.255.
+        // `demo-fleet` uses 127.20.0.0 to 127.219.255.255.
         let first = std::process::id().wrapping_mul(2) + salt;
         let blocks = (0..500u32).map(|step| first.wrapping_add(step.wrapping_mul(14)));
         let mut nets = blocks.map(|number| Net([220 + (number % 30) as u8, (number / 30 % 250) as u8]));
-        nets.find(Net::is_free).expect("a net of which nobody uses an address")
+        nets.find(Net::is_free).expect("a network without used addresses")
     }
 
-    /// Whether nobody listens at the ports that are used. The sockets that find that out never listen themselves: a process
-    /// that another test starts meanwhile holds them until it has become its program, and a listening one would keep the
-    /// address from those that it is for.
+    /// Whether no process listens at the ports that are used. The sockets of this check do not listen: a
+    /// process that another test starts meanwhile inherits them until its `exec`, and a listening socket
+    /// would block the address.
     fn is_free(&self) -> bool {
         let is_free = |machine, port| {
             let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
@@ -399,8 +401,8 @@
         Ipv4Addr::new(127, self.0[0], self.0[1], number)
     }
 
-    /// The beginning of all its addresses.
-    fn beginning(&self) -> String {
+    /// The common prefix of its addresses.
+    fn prefix(&self) -> String {
         format!("127.{}.{}.", self.0[0], self.0[1])
     }
 
@@ -414,8 +416,8 @@
     }
 }
 
-/// A platform whose list holds one backend, which drains once that is set.
-fn platform(net: &Net, draining: Arc<Mutex<bool>>) -> SocketAddr {
+/// Starts a platform API that lists one backend, which drains once `draining` is set.
+fn start_platform(net: &Net, draining: Arc<Mutex<bool>>) -> SocketAddr {
     let listener = TcpListener::bind((net.machine(9), 0)).expect("a port");
     let (address, backend) = (listener.local_addr().expect("bound"), net.machine(8));
     std::thread::spawn(move || {
@@ -447,10 +449,10 @@
     address
 }
 
-/// Sends a configuration to the coordinator, again where that gives no clear answer, and returns the status of the answer.
-fn configure(net: &Net, base: u64, document: &str) -> u16 {
+/// Sends a configuration to the coordinator and returns the status of the response. Retries after a 503.
+fn replace_configuration(net: &Net, base: u64, document: &str) -> u16 {
     let address = SocketAddr::from((net.machine(1), 8665));
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         let mut operator = Peer::connect(address);
         operator.write(format!(
@@ -459,7 +461,7 @@
             document.len()
         ));
         let status = operator.read().status();
-        if status != 503 || begun.elapsed() > PEER_TIMEOUT {
+        if status != 503 || started.elapsed() > PEER_TIMEOUT {
             return status;
         }
     }
@@ -472,28 +474,29 @@
     .to_string()
 }
 
-/// Lines with the name of their process, as they are asked for.
-fn lines(name: &str, process: &mut Logged, texts: &[&str]) -> String {
+/// Waits for a line with each of these texts. Returns the lines in this order, with the name of their
+/// process.
+fn wait_for_lines(name: &str, process: &mut LoggedProcess, texts: &[&str]) -> String {
     let transcript = texts.iter().map(|text| {
-        // Lists are numbered by when they are read, and ends of connections have any port.
+        // The versions of lists depend on timing, and connections have any port.
         let line = without_numbers(&process.line(text), &["list ", " 127.0.0.1:"], "(n)");
         format!("{name} | {line}")
     });
     transcript.collect()
 }
 
-/// The same for a line whose end, behind this, says how a connection came to its end.
-fn ended(name: &str, process: &mut Logged, text: &str) -> String {
-    let line = lines(name, process, &[text]);
+/// Waits for the line about the end of a connection. Replaces the reason at its end, which may differ.
+fn wait_for_connection_end(name: &str, process: &mut LoggedProcess, text: &str) -> String {
+    let line = wait_for_lines(name, process, &[text]);
     let (transcript, _) = line.rsplit_once(": ").expect("a reason");
     format!("{transcript}: (reason)\n")
 }
 
 #[test]
-fn the_logs_of_the_roles_are_as_approved() {
-    let (folder, net) = (OwnFolder::new("log-roles"), Net::find(0));
+fn logs_of_the_roles_match_the_approved_text() {
+    let (folder, net) = (TempFolder::new("log-roles"), Net::find(0));
     let draining: Arc<Mutex<bool>> = Arc::default();
-    let platform = platform(&net, draining.clone());
+    let platform = start_platform(&net, draining.clone());
     let data = folder.0.join("data");
     std::fs::create_dir_all(&data).expect("a folder");
     let core = format!(
@@ -510,11 +513,11 @@
         let run =
             Run::new(&[role, "--metrics", if role == "agent" { "9465/metrics" } else { "9464/metrics" }]);
         let run = run.within(&folder.0).with("MARLWINCH_NODE_FILE", file);
-        let run = run.replacing(platform.to_string(), "(platform)").replacing(net.beginning(), "(net)");
-        Logged::start(&run)
+        let run = run.replacing(platform.to_string(), "(platform)").replacing(net.prefix(), "(net)");
+        LoggedProcess::start(&run)
     };
     let mut coordinator = start("coordinator", "core.yaml");
-    let mut transcript = lines(
+    let mut transcript = wait_for_lines(
         "coordinator",
         &mut coordinator,
         &[
@@ -527,61 +530,67 @@
             ": 1 backends",
         ],
     );
-    assert_eq!(configure(&net, 0, &configuration(7)), 200);
-    transcript += &lines("coordinator", &mut coordinator, &["accepted, sequence", "committed, sequence"]);
-    assert_eq!(configure(&net, 3, &configuration(8)), 412);
-    assert_eq!(configure(&net, 7, "{\"generation\":0}"), 400);
-    transcript += &lines("coordinator", &mut coordinator, &[": rejected, ", "configuration rejected: "]);
-    let mut agent = start("agent", "front.yaml");
+    assert_eq!(replace_configuration(&net, 0, &configuration(7)), 200);
+    transcript +=
+        &wait_for_lines("coordinator", &mut coordinator, &["accepted, sequence", "committed, sequence"]);
+    assert_eq!(replace_configuration(&net, 3, &configuration(8)), 412);
+    assert_eq!(replace_configuration(&net, 7, "{\"generation\":0}"), 400);
     transcript +=
-        &lines("agent", &mut agent, &["agent of", "metrics: ", ": connected", "view ", "configuration 1 of"]);
-    transcript += &lines("coordinator", &mut coordinator, &["agent of frontend-1 connected"]);
+        &wait_for_lines("coordinator", &mut coordinator, &[": rejected, ", "configuration rejected: "]);
+    let mut agent = start("agent", "front.yaml");
+    transcript += &wait_for_lines(
+        "agent",
+        &mut agent,
+        &["agent of", "metrics: ", ": connected", "view ", "configuration 1 of"],
+    );
+    transcript += &wait_for_lines("coordinator", &mut coordinator, &["agent of frontend-1 connected"]);
     let mut data_plane = start("data-plane", "front.yaml");
-    transcript += &lines(
+    transcript += &wait_for_lines(
         "data-plane",
         &mut data_plane,
         &["metrics: ", ": connected", "is active", "first backend list"],
     );
-    transcript += &lines("agent", &mut agent, &["proxy connected"]);
+    transcript += &wait_for_lines("agent", &mut agent, &["proxy connected"]);
     *draining.lock().expect("a state") = true;
-    transcript += &lines("data-plane", &mut data_plane, &["is draining"]);
-    // Settings that make no sense, and again ones that do.
+    transcript += &wait_for_lines("data-plane", &mut data_plane, &["is draining"]);
+    // Invalid settings, and valid ones again.
     folder.write("core.yaml", core.replace("node_name: core-1\n", ""));
     folder.write("front.yaml", front.replace("node_name: frontend-1\n", ""));
     coordinator.signal("HUP");
-    transcript += &lines("coordinator", &mut coordinator, &["settings: core.yaml"]);
+    transcript += &wait_for_lines("coordinator", &mut coordinator, &["settings: core.yaml"]);
     agent.signal("HUP");
-    transcript += &lines("agent", &mut agent, &["the previous settings stay in force"]);
+    transcript += &wait_for_lines("agent", &mut agent, &["the previous settings stay in force"]);
     data_plane.signal("HUP");
-    transcript += &lines("data-plane", &mut data_plane, &["settings: invalid"]);
+    transcript += &wait_for_lines("data-plane", &mut data_plane, &["settings: invalid"]);
     folder.write("front.yaml", &front);
     data_plane.signal("HUP");
-    transcript += &lines("data-plane", &mut data_plane, &["settings: valid"]);
+    transcript += &wait_for_lines("data-plane", &mut data_plane, &["settings: valid"]);
     folder.write("core.yaml", core.replace(":8665\"]", &format!(":8665\", \"{}:8665\"]", net.machine(2))));
     coordinator.signal("HUP");
-    transcript += &lines("coordinator", &mut coordinator, &["settings: seeds changed to"]);
+    transcript += &wait_for_lines("coordinator", &mut coordinator, &["settings: seeds changed to"]);
     data_plane.signal("TERM");
-    transcript += &lines("data-plane", &mut data_plane, &["shutting down", "exiting"]);
+    transcript += &wait_for_lines("data-plane", &mut data_plane, &["shutting down", "exiting"]);
     transcript += &format!("data-plane | exit code {}\n", data_plane.end().0.expect("a code"));
-    transcript += &ended("agent", &mut agent, "proxy 127.0.0.1:");
+    transcript += &wait_for_connection_end("agent", &mut agent, "proxy 127.0.0.1:");
     agent.signal("TERM");
-    transcript += &lines("agent", &mut agent, &["received SIGTERM"]);
+    transcript += &wait_for_lines("agent", &mut agent, &["received SIGTERM"]);
     transcript += &format!("agent | exit code {}\n", agent.end().0.expect("a code"));
-    transcript += &ended("coordinator", &mut coordinator, "agent of frontend-1 disconnected: ");
+    transcript +=
+        &wait_for_connection_end("coordinator", &mut coordinator, "agent of frontend-1 disconnected: ");
     coordinator.signal("TERM");
-    transcript += &lines("coordinator", &mut coordinator, &["shutdown requested"]);
+    transcript += &wait_for_lines("coordinator", &mut coordinator, &["shutdown requested"]);
     transcript += &format!("coordinator | exit code {}\n", coordinator.end().0.expect("a code"));
     approve("log/roles.txt", &transcript);
 }
 
-/// A line at `debug` has the thread and the part of the program before its text.
+/// At `debug` a line has the thread and the module before its text.
 #[test]
-fn a_line_of_a_role_at_debug_is_as_approved() {
-    let (folder, net) = (OwnFolder::new("log-role-debug"), Net::find(1));
+fn debug_line_of_a_role_matches_the_approved_text() {
+    let (folder, net) = (TempFolder::new("log-role-debug"), Net::find(1));
     folder.write("front.yaml", net.settings("frontend-1", 2, ""));
     let run = Run::new(&["agent"]).within(&folder.0).with("MARLWINCH_NODE_FILE", "front.yaml");
-    let run = run.with("MARLWINCH_LOG", "debug").replacing(net.beginning(), "(net)");
-    let mut agent = Logged::start(&run);
+    let run = run.with("MARLWINCH_LOG", "debug").replacing(net.prefix(), "(net)");
+    let mut agent = LoggedProcess::start(&run);
     let line = agent.line("Connection refused");
     agent.signal("TERM");
     let (code, rest) = agent.end();
--- a/crates/marlwinch/tests/golden_cli_support/mod.rs
+++ b/crates/marlwinch/tests/golden_cli_support/mod.rs
@@ -1,9 +1,10 @@
-//! What the golden tests of the command line share: approved texts, transcripts of runs of the program, and the files
-//! that it is given.
+//! Shared by the golden tests of the command line: approved texts, transcripts of runs of the program, and
+//! input files.
 //!
-//! An approved text is a file below `tests/golden/cli`. `GOLDEN=write cargo test -p marlwinch --test golden_cli` writes it;
-//! without that a test fails where the file is missing or differs, and names the first line that does.
-#![allow(dead_code)] // each test file uses its own part of this
+//! An approved text is a file below `tests/golden/cli`. `GOLDEN=write cargo test -p marlwinch --test
+//! golden_cli` writes it. Without that variable, a test fails if the file is missing or differs, and names
+//! the first line that differs.
+#![allow(dead_code)] // each test file uses only some of these
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,40 +13,40 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// A run that takes longer than this has failed: it was to end by itself.
-const ENDS_WITHIN: Duration = Duration::from_secs(60);
+/// The time limit of a run, which must end by itself.
+const RUN_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The folder of the approved texts and of the files that the program is given.
+/// The folder of the approved texts and of the input files.
 pub fn folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/cli")
 }
 
-/// The text of a file that a run is given or that is held against something else.
+/// Reads a file of this folder.
 pub fn read(name: &str) -> String {
     let path = folder().join(name);
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Holds a text against the approved one of this name, byte for byte, or writes it where `GOLDEN=write` asks for that.
+/// Asserts that a text is equal to the approved one of this name, byte for byte, or writes that if `GOLDEN`
+/// is `write`.
 pub fn approve(name: &str, text: &str) {
     let path = folder().join(name);
     if std::env::var("GOLDEN").is_ok_and(|value| value == "write") {
         let parent = path.parent().expect("a folder");
-        std::fs::create_dir_all(parent).expect("the folder is made");
+        std::fs::create_dir_all(parent).expect("the folder is created");
         return std::fs::write(&path, text).expect("the approved text is written");
     }
-    let approved = std::fs::read_to_string(&path).unwrap_or_else(|error| {
-        panic!("{}: {error}; GOLDEN=write writes it, on purpose only", path.display())
-    });
+    let approved = std::fs::read_to_string(&path)
+        .unwrap_or_else(|error| panic!("{}: {error}; GOLDEN=write writes this file", path.display()));
     if text == approved {
         return;
     }
     let mut pairs = text.split('\n').zip(approved.split('\n'));
-    let same = pairs.position(|(now, then)| now != then);
-    let line = same.unwrap_or(text.split('\n').count().min(approved.split('\n').count()));
+    let different = pairs.position(|(now, then)| now != then);
+    let line = different.unwrap_or(text.split('\n').count().min(approved.split('\n').count()));
     let at = |text: &str| text.split('\n').nth(line).unwrap_or("(the end of the text)").to_string();
     panic!(
-        "{}, line {}:\n  approved: {}\n  now:      {}\nGOLDEN=write approves the new text, on purpose only",
+        "{}, line {}:\n  approved: {}\n  now:      {}\nGOLDEN=write approves the new text",
         path.display(),
         line + 1,
         at(&approved),
@@ -53,7 +54,8 @@
     );
 }
 
-/// A run of the program. Nothing of the environment reaches it but what is named here; its terminal is 100 columns wide.
+/// A run of the program. It gets only the environment variables that are set here; its terminal is 100
+/// columns wide.
 pub struct Run {
     arguments: Vec<String>,
     variables: BTreeMap<String, String>,
@@ -69,19 +71,19 @@
         Run { arguments, variables: BTreeMap::new(), folder, replaced: Vec::new() }
     }
 
-    /// The same in this folder, so that paths of files are short and the same everywhere.
+    /// Runs in this folder, so that paths of files in its output are short and the same on every machine.
     pub fn within(mut self, folder: &Path) -> Self {
         self.folder = folder.into();
         self
     }
 
-    /// The same with a variable of the environment.
+    /// Sets an environment variable.
     pub fn with(mut self, name: &str, value: &str) -> Self {
         self.variables.insert(name.into(), value.into());
         self
     }
 
-    /// The same, with something that differs from run to run replaced by a fixed word.
+    /// Replaces a text that differs from run to run by a fixed word in the transcript.
     pub fn replacing(mut self, what: impl Into<String>, word: &str) -> Self {
         self.replaced.push((what.into(), word.into()));
         self
@@ -94,41 +96,42 @@
         command
     }
 
-    /// Starts it, for a process that goes on until it is told to end.
+    /// Starts the process without waiting for its end.
     pub fn start(&self) -> Child {
         let mut command = self.command();
         command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().expect("the program starts")
     }
 
-    /// Runs it to its end.
+    /// Runs the process to its end.
     pub fn output(&self) -> Output {
         let child = self.start();
         let id = child.id();
         let (sender, receiver) = channel();
         std::thread::spawn(move || sender.send(child.wait_with_output()));
-        match receiver.recv_timeout(ENDS_WITHIN) {
+        match receiver.recv_timeout(RUN_TIMEOUT) {
             Ok(output) => output.expect("its output"),
             Err(_) => {
                 let _ = Command::new("sh").args(["-c", &format!("kill -9 {id}")]).status();
-                panic!("{:?} does not end by itself", self.arguments);
+                panic!("{:?} does not end within {RUN_TIMEOUT:?}", self.arguments);
             }
         }
     }
 
-    /// Runs it and tells what it was asked, its exit code, and what it said. A stream that said nothing is left out.
+    /// Runs the process to its end. Returns its command line, its exit code and its output; an empty stream
+    /// is left out.
     pub fn transcript(&self) -> String {
         let output = self.output();
-        let mut text = format!("$ {}\n", self.line());
+        let mut text = format!("$ {}\n", self.command_line());
         let code = output.status.code().map_or("none".to_string(), |code| code.to_string());
         let _ = writeln!(text, "exit code {code}");
         for (name, bytes) in [("standard output", output.stdout), ("standard error", output.stderr)] {
             if bytes.is_empty() {
                 continue;
             }
-            let said = String::from_utf8(bytes).expect("what it says is UTF-8");
+            let output = String::from_utf8(bytes).expect("the output is UTF-8");
             let _ = writeln!(text, "--- {name}");
-            text.push_str(&self.fixed(&said));
-            if !said.ends_with('\n') {
+            text.push_str(&self.normalized(&output));
+            if !output.ends_with('\n') {
                 text.push_str("(no end of the line)\n");
             }
         }
@@ -136,8 +139,8 @@
         text
     }
 
-    /// The command line as a shell would take it.
-    fn line(&self) -> String {
+    /// The command line, quoted for a shell.
+    fn command_line(&self) -> String {
         let is_plain = |c: char| c.is_ascii_alphanumeric() || "/._-=:,@%".contains(c);
         let quoted = |text: &str| match text.chars().all(is_plain) && !text.is_empty() {
             true => text.to_string(),
@@ -147,29 +150,29 @@
             self.variables.iter().map(|(name, value)| format!("{name}={}", quoted(value))).collect();
         words.push("marlwinch".into());
         words.extend(self.arguments.iter().map(|argument| quoted(argument)));
-        self.fixed(&words.join(" "))
+        self.normalized(&words.join(" "))
     }
 
-    /// A text with fixed words for what differs from run to run.
-    fn fixed(&self, text: &str) -> String {
+    /// A text in which fixed words replace what differs from run to run.
+    fn normalized(&self, text: &str) -> String {
         let replace = |text: String, (what, word): &(String, String)| text.replace(what, word);
         without_times(&self.replaced.iter().fold(text.to_string(), replace))
     }
 }
 
-/// Transcripts of runs, one behind the other.
+/// The transcripts of several runs, concatenated.
 pub fn transcripts(runs: impl IntoIterator<Item = Run>) -> String {
     runs.into_iter().map(|run| run.transcript()).collect()
 }
 
-/// What stands before a line of standard error where the two streams are told apart.
+/// The prefix of a line of standard error in a log that holds both streams.
 pub const ON_ERROR: &str = "(error) ";
 
-/// Log lines in which `(time)` stands for the seconds since 1970 at their beginning.
+/// Replaces the Unix time at the start of each log line by `(time)`.
 pub fn without_times(text: &str) -> String {
     let line = |line: &str| {
-        let (mark, said) = line.strip_prefix(ON_ERROR).map_or(("", line), |said| (ON_ERROR, said));
-        match said.split_once(' ') {
+        let (mark, text) = line.strip_prefix(ON_ERROR).map_or(("", line), |text| (ON_ERROR, text));
+        match text.split_once(' ') {
             Some((time, rest)) if is_time(time) => format!("{mark}(time) {rest}"),
             _ => line.to_string(),
         }
@@ -177,14 +180,15 @@
     text.split('\n').map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// Whether a word is a number of seconds with three places, as long as times are since 2001.
+/// Whether a word is a number of seconds with three decimal places and at least ten digits before them, as
+/// Unix times have.
 fn is_time(word: &str) -> bool {
     let digits = |text: &str| text.bytes().all(|byte| byte.is_ascii_digit());
     word.split_once('.')
         .is_some_and(|(whole, part)| whole.len() >= 10 && digits(whole) && part.len() == 3 && digits(part))
 }
 
-/// The files that one text holds: each begins with a line `==== NAME`, and what stands before the first is a remark.
+/// Splits a text into files. Each starts with a line `==== NAME`; the text before the first is a comment.
 pub fn files(text: &str) -> Vec<(String, String)> {
     let mut files: Vec<(String, String)> = Vec::new();
     for line in text.split_inclusive('\n') {
@@ -197,23 +201,23 @@
     files
 }
 
-/// A folder of a test's own, which goes with this.
-pub struct OwnFolder(pub PathBuf);
+/// A temporary folder. It is removed when this is dropped.
+pub struct TempFolder(pub PathBuf);
 
-impl OwnFolder {
-    /// A new one.
+impl TempFolder {
+    /// Creates a folder whose name contains this one.
     pub fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("marlwinch-golden-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
-        OwnFolder(path)
+        TempFolder(path)
     }
 
-    /// Writes a file into it.
+    /// Writes a file into the folder.
     pub fn write(&self, name: &str, bytes: impl AsRef<[u8]>) {
         std::fs::write(self.0.join(name), bytes).expect("a file");
     }
 
-    /// Writes the files that a text of the approved folder holds, and returns their names.
+    /// Writes the files of an input text (see [`files`]) into the folder, and returns their names.
     pub fn write_all(&self, inputs: &str) -> Vec<String> {
         let files = files(&read(inputs));
         files.iter().for_each(|(name, text)| self.write(name, text));
@@ -221,22 +225,23 @@
     }
 }
 
-impl Drop for OwnFolder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A process of the program and the lines of its log, as they come. It is killed when dropped.
-pub struct Logged {
+/// A process of the program and the lines of its log. It is killed when dropped.
+pub struct LoggedProcess {
     child: Child,
     lines: std::sync::mpsc::Receiver<String>,
-    seen: Vec<String>,
+    received: Vec<String>,
     replaced: Vec<(String, String)>,
 }
 
-impl Logged {
-    /// Starts a run. Lines of standard error and standard output are one log; [`ON_ERROR`] stands before the first.
+impl LoggedProcess {
+    /// Starts a run. Its log has the lines of both streams; those of standard error have the prefix
+    /// [`ON_ERROR`].
     pub fn start(run: &Run) -> Self {
         let mut child = run.start();
         let (sender, lines) = channel();
@@ -252,37 +257,37 @@
         };
         follow(Box::new(out), "");
         follow(Box::new(error), ON_ERROR);
-        Logged { child, lines, seen: Vec::new(), replaced: run.replaced.clone() }
+        LoggedProcess { child, lines, received: Vec::new(), replaced: run.replaced.clone() }
     }
 
-    /// Replaces something by a fixed word from now on.
+    /// From now on replaces a text by a fixed word.
     pub fn replace(&mut self, what: impl Into<String>, word: &str) {
         self.replaced.push((what.into(), word.into()));
     }
 
-    /// Waits for a line that holds this and was not asked for before, and takes it out of those that were seen.
+    /// Waits for a line that contains this text, and removes it from the lines that were received.
     pub fn raw(&mut self, text: &str) -> String {
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         loop {
-            if let Some(at) = self.seen.iter().position(|line| line.contains(text)) {
-                return self.seen.remove(at);
+            if let Some(at) = self.received.iter().position(|line| line.contains(text)) {
+                return self.received.remove(at);
             }
-            let left = ENDS_WITHIN.saturating_sub(begun.elapsed());
+            let left = RUN_TIMEOUT.saturating_sub(started.elapsed());
             match self.lines.recv_timeout(left) {
-                Ok(line) => self.seen.push(line),
-                Err(error) => panic!("no line with {text:?}: {error}; there were {:#?}", self.seen),
+                Ok(line) => self.received.push(line),
+                Err(error) => panic!("no line with {text:?}: {error}; received {:#?}", self.received),
             }
         }
     }
 
-    /// The same with fixed words for what differs from run to run, and the end of the line.
+    /// Like [`LoggedProcess::raw`], normalized and with the newline.
     pub fn line(&mut self, text: &str) -> String {
         let line = self.raw(text);
-        self.fixed(&line) + "\n"
+        self.normalized(&line) + "\n"
     }
 
-    /// A line with fixed words for what differs from run to run.
-    pub fn fixed(&self, line: &str) -> String {
+    /// A line in which fixed words replace what differs from run to run.
+    pub fn normalized(&self, line: &str) -> String {
         let replace = |text: String, (what, word): &(String, String)| text.replace(what, word);
         without_times(&self.replaced.iter().fold(line.to_string(), replace))
     }
@@ -293,36 +298,36 @@
         assert!(kill.expect("a shell").success());
     }
 
-    /// Waits for its end, and returns its exit code and the lines that nobody asked for.
+    /// Waits for the end of the process. Returns its exit code and the lines that were not taken.
     pub fn end(mut self) -> (Option<i32>, Vec<String>) {
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let status = loop {
-            if let Some(status) = self.child.try_wait().expect("its state") {
+            if let Some(status) = self.child.try_wait().expect("its status") {
                 break status;
             }
-            assert!(begun.elapsed() < ENDS_WITHIN, "the process does not end");
+            assert!(started.elapsed() < RUN_TIMEOUT, "the process does not end");
             std::thread::sleep(Duration::from_millis(5));
         };
-        let lines = std::mem::take(&mut self.seen);
+        let lines = std::mem::take(&mut self.received);
         (status.code(), lines.into_iter().chain(self.lines.iter()).collect())
     }
 }
 
-impl Drop for Logged {
+impl Drop for LoggedProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// A text in which each number behind one of these beginnings is replaced by a word: `first_byte_ms=1.5` by
+/// Replaces each number behind one of these prefixes by a word: `first_byte_ms=1.5` becomes
 /// `first_byte_ms=(ms)`.
-pub fn without_numbers(text: &str, beginnings: &[&str], word: &str) -> String {
+pub fn without_numbers(text: &str, prefixes: &[&str], word: &str) -> String {
     let mut text = text.to_string();
-    for beginning in beginnings {
+    for prefix in prefixes {
         let mut from = 0;
-        while let Some(at) = text[from..].find(beginning) {
-            let start = from + at + beginning.len();
+        while let Some(at) = text[from..].find(prefix) {
+            let start = from + at + prefix.len();
             let is_part = |c: char| c.is_ascii_digit() || ".e-+".contains(c);
             let length = text[start..].find(|c| !is_part(c)).unwrap_or(text.len() - start);
             if length > 0 {
--- a/crates/marlwinch/tests/golden_data_plane.rs
+++ b/crates/marlwinch/tests/golden_data_plane.rs
@@ -1,10 +1,11 @@
-//! The figures that the data plane tells, as its process tells them over HTTP, held against a golden file: names, helps, types
-//! and labels. Each value is replaced by `(value)`, the length by `(length)` and the date by `(time)`; lines of one family stand
-//! in the order of the alphabet. The test is the agent of the process, its clients and its backends, and brings about every
-//! cause that is a label.
+//! The figures that the data plane tells, as its process tells them over HTTP, held against a golden file:
+//! names, helps, types and labels. Each value is replaced by `(value)`, the length by `(length)` and the date
+//! by `(time)`; lines of one family stand in the order of the alphabet. The test is the agent of the process,
+//! its clients and its backends, and brings about every cause that is a label.
 //!
-//! The golden file is written on purpose alone: `GOLDEN=write cargo test -p marlwinch --test golden_data_plane`. Without that, a
-//! file that is missing or differs fails the test with the place of the first difference.
+//! The golden file is written on purpose alone: `GOLDEN=write cargo test -p marlwinch --test
+//! golden_data_plane`. Without that, a file that is missing or differs fails the test with the place of the
+//! first difference.
 
 #[path = "../../control-protocol/tests/golden/compare.rs"]
 mod compare;
@@ -187,8 +188,8 @@
     request(ORDER, "r-1", more, body)
 }
 
-/// A request for which some backend fails or refuses in a way of its own; each under another instance, so that nothing is known
-/// of it from before.
+/// A request for which some backend fails or refuses in a way of its own; each under another instance, so
+/// that nothing is known of it from before.
 fn ask_of_backend(plane: &mut DataPlane, instance: &str, answered: Option<String>) -> u16 {
     let there = Listener::new();
     plane.serve(&configuration(|_| {}), vec![backend(instance, &there)]);
--- a/crates/marlwinch/tests/golden_platform_config.rs
+++ b/crates/marlwinch/tests/golden_platform_config.rs
@@ -1,13 +1,14 @@
-//! The platform's configuration as a node reads it, held against golden files: what each field left out or of another type comes
-//! to, what each bad value is told as, and the variables. A node's first words say its name, its address and how many clients
-//! it takes, which follow from the fields; a field that is refused is named.
-//! `GOLDEN=write cargo test -p marlwinch --test golden_platform_config` writes the `.txt` files below `tests/golden/platform` anew;
-//! `config.json` is written by hand. The fields of `settings` are held by the package `larchspread`.
+//! Compares how a node reads the platform's configuration with golden files: missing fields, fields of a
+//! wrong type, invalid values, and environment variables. The log of a start shows the node's name, its
+//! address and its limit of clients, which follow from the fields, or names the field that is rejected.
+//! `GOLDEN=write cargo test -p marlwinch --test golden_platform_config` writes the `.txt` files below
+//! `tests/golden/platform`; `config.json` is written by hand. The package `join-up-to` tests the fields of
+//! `settings`.
 
 mod platform_golden;
 
 use golden_files::shows_a_type;
-use platform_golden::{check, first_words};
+use platform_golden::{check, startup_log};
 use serde_json::{Value, json};
 
 const CONFIG: &str = include_str!("golden/platform/config.json");
@@ -16,18 +17,18 @@
     serde_json::from_str(CONFIG).expect("JSON")
 }
 
-/// The places of all values but those within the settings, as JSON pointers.
-fn places(value: &Value, at: String, all: &mut Vec<String>) {
+/// The JSON pointers of all values, except for those within the settings.
+fn pointers(value: &Value, at: String, all: &mut Vec<String>) {
     let mut add = |name: String, value: &Value| {
         let place = format!("{at}/{name}");
         all.push(place.clone());
         if name != "settings" {
-            places(value, place, all);
+            pointers(value, place, all);
         }
     };
     match value {
         Value::Object(fields) => fields.iter().for_each(|(name, value)| add(name.clone(), value)),
-        // The other entries are as the first.
+        // The other entries have the same fields as the first.
         Value::Array(entries) => entries.first().into_iter().for_each(|entry| add("0".into(), entry)),
         _ => {}
     }
@@ -42,7 +43,7 @@
     }
 }
 
-/// Texts of two files: those that show names of Rust types are kept apart.
+/// The texts of two golden files. Those that show names of Rust types are in a file of their own.
 #[derive(Default)]
 struct Texts {
     plain: String,
@@ -61,15 +62,15 @@
 }
 
 #[test]
-fn each_field_left_out_or_of_another_type_is_reported_as_it_was() {
+fn missing_fields_and_fields_of_a_wrong_type_match_the_golden_files() {
     let mut all = Vec::new();
-    places(&complete_config(), String::new(), &mut all);
+    pointers(&complete_config(), String::new(), &mut all);
     let mut texts = Texts::default();
-    texts.add("whole", &first_words(Some(CONFIG), &[]));
+    texts.add("whole", &startup_log(Some(CONFIG), &[]));
     for place in all {
         let mut without = complete_config();
         remove(&mut without, &place);
-        texts.add(&format!("without {place}"), &first_words(Some(&without.to_string()), &[]));
+        texts.add(&format!("without {place}"), &startup_log(Some(&without.to_string()), &[]));
         let before = complete_config().pointer(&place).cloned().expect("a value");
         for bad in [Value::Null, json!(7), json!("x"), json!(true), json!([]), json!({})] {
             if std::mem::discriminant(&bad) == std::mem::discriminant(&before) && !bad.is_number() {
@@ -77,14 +78,14 @@
             }
             let mut changed = complete_config();
             *changed.pointer_mut(&place).expect("a value") = bad.clone();
-            texts.add(&format!("{place} is {bad}"), &first_words(Some(&changed.to_string()), &[]));
+            texts.add(&format!("{place} is {bad}"), &startup_log(Some(&changed.to_string()), &[]));
         }
     }
     texts.check("config_fields");
 }
 
 #[test]
-fn bad_values_are_reported_as_they_were() {
+fn invalid_values_match_the_golden_files() {
     let mut texts = Texts::default();
     for (place, bad) in [
         ("/listen", json!("here")),
@@ -118,21 +119,21 @@
     ] {
         let mut config = complete_config();
         *config.pointer_mut(place).expect("a value") = bad.clone();
-        texts.add(&format!("{place} is {bad}"), &first_words(Some(&config.to_string()), &[]));
+        texts.add(&format!("{place} is {bad}"), &startup_log(Some(&config.to_string()), &[]));
     }
-    texts.add("text behind the end", &first_words(Some(&format!("{CONFIG} x")), &[]));
-    texts.add("half of it", &first_words(Some(&CONFIG[..CONFIG.len() / 2]), &[]));
-    texts.add("nothing", &first_words(Some(""), &[]));
+    texts.add("text behind the end", &startup_log(Some(&format!("{CONFIG} x")), &[]));
+    texts.add("half of it", &startup_log(Some(&CONFIG[..CONFIG.len() / 2]), &[]));
+    texts.add("nothing", &startup_log(Some(""), &[]));
     texts.check("config_values");
 }
 
-/// The variables say the same as fields, and win.
+/// Environment variables override the fields of the file.
 #[test]
-fn variables_are_read_as_they_were() {
+fn environment_variables_match_the_golden_file() {
     let mut texts = Texts::default();
-    texts.add("no configuration", &first_words(None, &[]));
-    texts.add("no such file", &first_words(None, &[("ROUTER_CONFIG", "/no/such/file.json")]));
-    texts.add("a folder", &first_words(None, &[("ROUTER_CONFIG", "/")]));
+    texts.add("no configuration", &startup_log(None, &[]));
+    texts.add("no such file", &startup_log(None, &[("ROUTER_CONFIG", "/no/such/file.json")]));
+    texts.add("a folder", &startup_log(None, &[("ROUTER_CONFIG", "/")]));
     for (name, value) in [
         ("ROUTER_NAME", "n-variable"),
         ("ROUTER_LISTEN", "127.0.0.2:0"),
@@ -142,11 +143,11 @@
         ("ROUTER_CONSOLE", "127.0.0.1:0"),
         ("ROUTER_CONSOLE", "console"),
     ] {
-        texts.add(&format!("{name} is {value:?}"), &first_words(Some(CONFIG), &[(name, value)]));
+        texts.add(&format!("{name} is {value:?}"), &startup_log(Some(CONFIG), &[(name, value)]));
     }
     let mut config = complete_config();
     config["listen"] = "127.0.0.1:nowhere".into();
-    let said = first_words(Some(&config.to_string()), &[("ROUTER_LISTEN", "127.0.0.1:0")]);
+    let said = startup_log(Some(&config.to_string()), &[("ROUTER_LISTEN", "127.0.0.1:0")]);
     texts.add("a bad field beside a good variable", &said);
     texts.check("config_variables");
 }
--- a/crates/marlwinch/tests/golden_platform_console.rs
+++ b/crates/marlwinch/tests/golden_platform_console.rs
@@ -1,23 +1,23 @@
-//! The calls of whoever operates the platform's node (`HEALTH`, `DUMP`) and the answers of its front to requests that it does not
-//! take, as bytes, held against golden files. `GOLDEN=write cargo test -p marlwinch --test golden_platform_console` writes the
-//! files below `tests/golden/platform` anew. What is replaced in them is said in `platform_golden`; besides, the time that a
-//! request has left is replaced by `<seconds>`.
+//! Compares the console of the platform's node (`HEALTH`, `DUMP`), and its responses to clients, with golden
+//! files, byte for byte. `GOLDEN=write cargo test -p marlwinch --test golden_platform_console` writes the
+//! files below `tests/golden/platform`. `platform_golden` lists what is replaced in them; besides,
+//! `<seconds>` stands for the time that a request has left.
 
 mod peers;
 mod platform_golden;
 
-use peers::{Listener, Node, PEER_TIMEOUT, Peer, config, list, serve_anew};
+use peers::{Listener, Node, PEER_TIMEOUT, Peer, config, list, serve_on_new_connection};
 use platform_golden::{check, message};
 use std::io::Read;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-fn console_of(node: &Node) -> SocketAddr {
+fn console_address(node: &Node) -> SocketAddr {
     let line = node.logged("calls are answered at");
     line.trim_end().rsplit(' ').next().and_then(|address| address.parse().ok()).expect("an address")
 }
 
-/// The answer to a call, whole.
+/// Sends a command to the console and returns the whole response.
 fn call(console: SocketAddr, text: &str) -> String {
     let mut peer = Peer::connect(console);
     peer.write(text);
@@ -25,27 +25,27 @@
     String::from_utf8(bytes).expect("a text")
 }
 
-/// Waits until a call is answered with this.
+/// Repeats a command until the response contains this text.
 fn wait_for(console: SocketAddr, text: &str, holds: &str) -> String {
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         let answer = call(console, text);
         if answer.contains(holds) {
             return answer;
         }
-        assert!(begun.elapsed() < PEER_TIMEOUT, "{text:?} is never answered with {holds:?}: {answer}");
+        assert!(started.elapsed() < PEER_TIMEOUT, "no response to {text:?} contains {holds:?}: {answer}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn calls_are_answered_as_they_were() {
+fn console_responses_match_the_golden_file() {
     let (backend, discovery) = (Listener::new(), Listener::new());
     let mut text = String::new();
     let mut node = Node::start(&config(discovery.address(), &list(0, true, &[]), |config| {
         config["console"] = "127.0.0.1:0".into();
     }));
-    let console = console_of(&node);
+    let console = console_address(&node);
     let mut note = |said: &str, answer: String| text += &format!("{said:?}\n{answer}\n");
     note("HEALTH\n", call(console, "HEALTH\n"));
     note("DUMP\n", call(console, "DUMP\n"));
@@ -57,9 +57,10 @@
     }
     let long = "x".repeat(300);
     note("300 bytes without an end", call(console, &long));
-    // One served, one that a backend fails, one that is refused as its work is longer than its time.
+    // One request is served, one fails at the backend, one is rejected as its work takes longer than its time
+    // limit.
     let mut client = node.client();
-    let mut peer = serve_anew(&backend, &mut client);
+    let mut peer = serve_on_new_connection(&backend, &mut client);
     client.request("correct", "", "x");
     peer.read();
     peer.answer("500 Internal Server Error", "", "broken");
@@ -68,7 +69,7 @@
     assert_eq!(client.read().status(), 503);
     wait_for(console, "DUMP\n", "\"active\":0");
     note("DUMP\n", wait_for(console, "DUMP\n", "\"pool_size\":1"));
-    // One is under way, so that the node does not end at once.
+    // A request is in progress, so that the node does not exit at once.
     client.request("correct", "", "x");
     let mut peer = backend.next_request(&mut vec![peer]);
     node.terminate();
@@ -78,7 +79,7 @@
     check("console.txt", &text);
 }
 
-/// A message as it came, to the end of its body.
+/// Reads a message with its body, as received.
 fn raw(peer: &mut Peer) -> String {
     let (mut bytes, mut byte) = (Vec::new(), [0]);
     while !bytes.ends_with(b"\r\n\r\n") {
@@ -94,7 +95,7 @@
     message(&(head + &String::from_utf8(body).expect("a text")))
 }
 
-/// With the time that is left replaced, which varies.
+/// Replaces the remaining time, which varies.
 fn without_time_left(text: &str) -> String {
     let lines = text
         .lines()
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn requests_are_passed_on_and_answered_as_they_were() {
+fn forwarded_requests_and_their_responses_match_the_golden_file() {
     let (backend, discovery) = (Listener::new(), Listener::new());
     let known = list(41, true, &[("s-1", backend.address(), "east", "in_service")]);
     let node = Node::start(&config(discovery.address(), &known, |_| {}));
@@ -132,13 +133,13 @@
         ),
     ] {
         client.write(request);
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut peer = loop {
             peers.extend(backend.try_accept());
             if let Some(at) = peers.iter().position(Peer::has_more) {
                 break peers.swap_remove(at);
             }
-            assert!(begun.elapsed() < PEER_TIMEOUT, "nobody asks");
+            assert!(started.elapsed() < PEER_TIMEOUT, "no request arrives");
             std::thread::sleep(Duration::from_millis(1));
         };
         text += &format!("# passed on\n{}\n", without_time_left(&raw(&mut peer)));
@@ -150,7 +151,7 @@
 }
 
 #[test]
-fn requests_that_are_not_taken_are_answered_as_they_were() {
+fn responses_to_rejected_requests_match_the_golden_file() {
     let (backend, discovery) = (Listener::new(), Listener::new());
     let known = list(41, true, &[("s-1", backend.address(), "east", "in_service")]);
     let node = Node::start(&config(discovery.address(), &known, |_| {}));
--- a/crates/marlwinch/tests/golden_platform_discovery.rs
+++ b/crates/marlwinch/tests/golden_platform_discovery.rs
@@ -1,8 +1,8 @@
-//! What a node asks of discovery and makes of its answers, held against golden files: its requests as bytes, the size of its pool
-//! after each list, and what it logs of lists, entries and load reports that it can't read and of configurations that it is
-//! given while it runs. `GOLDEN=write cargo test -p marlwinch --test golden_platform_discovery` writes the files below
-//! `tests/golden/platform` anew. What is replaced in them is said in `platform_golden`;
-//! besides, columns of configurations by `<column>`.
+//! Compares the node's side of the discovery protocol with golden files: its requests as bytes, the size of
+//! its pool after each list, and its log lines about invalid lists, entries and load reports and about
+//! configurations at a reload. `GOLDEN=write cargo test -p marlwinch --test golden_platform_discovery` writes
+//! the files below `tests/golden/platform`. `platform_golden` lists what is replaced in them; besides,
+//! `<column>` stands for columns in configurations.
 
 mod peers;
 mod platform_golden;
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Reads a head as it came.
+/// Reads the head of a message as received.
 fn raw_head(peer: &mut Peer) -> String {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
@@ -25,7 +25,7 @@
     message(&String::from_utf8(head).expect("a text"))
 }
 
-/// A node with its second address, where it tells its figures.
+/// Starts a node with a console. Returns the node, the console's address and the configuration.
 fn node_with_console(discovery: SocketAddr, known: &str) -> (Node, SocketAddr, String) {
     let text = config(discovery, known, |config| config["console"] = "127.0.0.1:0".into());
     let node = Node::start(&text);
@@ -35,8 +35,8 @@
     (node, console, text)
 }
 
-/// The figures that a node tells.
-fn figures(console: SocketAddr) -> Value {
+/// The metrics of a node.
+fn metrics(console: SocketAddr) -> Value {
     let mut peer = Peer::connect(console);
     peer.write("DUMP\n");
     let (bytes, _) = peer.read_to_end();
@@ -44,18 +44,18 @@
     serde_json::from_str(text.lines().next().expect("a line")).expect("JSON")
 }
 
-/// Waits until a figure has a value; it is told five times a second.
-fn wait_for(console: SocketAddr, figure: &str, value: u64) {
-    let begun = Instant::now();
-    while figures(console)[figure] != json!(value) {
-        assert!(begun.elapsed() < PEER_TIMEOUT, "{figure} is never {value}: {}", figures(console));
+/// Waits until a metric has a value. The node updates its metrics five times a second.
+fn wait_for(console: SocketAddr, metric: &str, value: u64) {
+    let started = Instant::now();
+    while metrics(console)[metric] != json!(value) {
+        assert!(started.elapsed() < PEER_TIMEOUT, "{metric} is never {value}: {}", metrics(console));
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Lists one after the other on one watch, and then watches that end in each way.
+/// Several lists on one watch, and then watches that end in each possible way.
 #[test]
-fn lists_are_asked_for_and_taken_in_as_they_were() {
+fn watches_and_lists_match_the_golden_file() {
     let (backends, discovery) = ([Listener::new(), Listener::new(), Listener::new()], Listener::new());
     let [one, two, three] = [0, 1, 2].map(|at| backends[at].address());
     let known = list(41, true, &[("s-1", one, "east", "in_service")]);
@@ -65,7 +65,7 @@
     text += &raw_head(&mut watch);
     watch.begin_watch();
     wait_for(console, "pool_size", 1);
-    // All fields, and only those that have to be there.
+    // Entries with the required fields only; `list` writes all fields.
     let least = |name: &str, address: SocketAddr, lifecycle: &str| json!({"instanceId": name, "hostPort": address.to_string(), "zone": "west", "lifecycle": lifecycle});
     let changes = |generation: u32, instances: Vec<Value>| {
         json!({"generation": generation, "instances": instances}).to_string()
@@ -73,7 +73,7 @@
     let steps = [
         (changes(42, vec![least("s-2", two, "in_service"), least("s-3", three, "in_service")]), 3),
         (changes(43, vec![least("s-1", one, "terminated")]), 2),
-        // One that drains is still listed.
+        // A draining backend is still in the pool.
         (changes(44, vec![least("s-2", two, "terminating"), least("s-3", three, "terminated")]), 1),
         (list(50, true, &[("s-1", one, "east", "in_service"), ("s-3", three, "west", "terminating")]), 2),
         (list(51, true, &[("s-4", two, "west", "in_service")]), 1),
@@ -105,15 +105,15 @@
     text += &raw_head(&mut watch);
     watch.begin_watch();
     watch.line("");
-    // A watch that says nothing from here on.
+    // The watch is silent from here on.
     text += &format!("{}\n", log_line(&node.logged("watch of")));
     wait_for(console, "pool_size", 2);
     check("discovery_lists.txt", &text);
 }
 
-/// Lines that are no list: what is logged of each, by a node of its own, as such lines are told once a second at most.
+/// Each invalid line goes to a node of its own, as a node logs at most one such line per second.
 #[test]
-fn lines_that_are_no_list_are_reported_as_they_were() {
+fn invalid_lists_match_the_golden_files() {
     let (mut text, mut with_types) = (String::new(), String::new());
     for line in [
         "{\"generation\":",
@@ -132,7 +132,7 @@
         watch.read();
         watch.begin_watch();
         watch.line(line);
-        // What is not whole is over with an empty line.
+        // An empty line ends an incomplete list.
         watch.line("");
         let said = log_line(&node.logged("skipped"));
         let into = if shows_a_type(&said) { &mut with_types } else { &mut text };
@@ -142,9 +142,9 @@
     check("discovery_lines_that_show_rust_types.txt", &with_types);
 }
 
-/// Load reports of answers that can't be read, by nodes of their own.
+/// Each invalid load report goes to a node of its own.
 #[test]
-fn load_reports_that_can_not_be_read_are_reported_as_they_were() {
+fn invalid_load_reports_match_the_golden_file() {
     let mut text = String::new();
     for report in [
         "concurrent=lots",
@@ -168,15 +168,17 @@
     check("discovery_load_reports.txt", &text);
 }
 
-/// The next line about a configuration that was read again. Columns vary with the length of the ports in it.
+/// The next log line about a reload. Columns are replaced, as they vary with the length of the ports in the
+/// file.
 fn reload_line(node: &Node) -> String {
     let line = node.logged("told to read the configuration again");
     without_digits(&log_line(&line), "line 1 column ", "<column>")
 }
 
-/// Configurations that a running node is given: what is logged of each, what it counts, and whom it asks from then on.
+/// Reloads of a running node: the log line of each, the counts of applied and rejected configurations, and
+/// the discovery that the node uses afterwards.
 #[test]
-fn other_configurations_are_taken_in_as_they_were() {
+fn reloads_match_the_golden_file() {
     let (before, after, backend) = (Listener::new(), Listener::new(), Listener::new());
     let known = list(41, true, &[("s-1", backend.address(), "east", "in_service")]);
     let (node, console, complete_config) = node_with_console(before.address(), &known);
@@ -189,15 +191,15 @@
         change(&mut config);
         config.to_string()
     };
-    let lose = |config: &mut Value, parent: &str, name: &str| {
+    let remove = |config: &mut Value, parent: &str, name: &str| {
         config.pointer_mut(parent).and_then(Value::as_object_mut).expect("a table").remove(name);
     };
     let cases: [(&str, String); 8] = [
         ("half of it", complete_config[..complete_config.len() / 2].to_string()),
-        ("without listen", changed(&|config| lose(config, "", "listen"))),
-        ("without a rule", changed(&|config| lose(config, "/settings/Rules", "DrainGrace"))),
-        ("without a class's name", changed(&|config| lose(config, "/settings/Classes/1", "Name"))),
-        ("without a section", changed(&|config| lose(config, "/settings", "Permissions"))),
+        ("without listen", changed(&|config| remove(config, "", "listen"))),
+        ("without a rule", changed(&|config| remove(config, "/settings/Rules", "DrainGrace"))),
+        ("without a class's name", changed(&|config| remove(config, "/settings/Classes/1", "Name"))),
+        ("without a section", changed(&|config| remove(config, "/settings", "Permissions"))),
         ("no attempts", changed(&|config| config["settings"]["Permissions"]["AttemptsCap"] = 0.into())),
         ("the same", complete_config.clone()),
         (
@@ -216,10 +218,10 @@
     node.reload(&config);
     let said = [(); 2].map(|()| reload_line(&node));
     text += &format!("another discovery\n  {}\n", said.join("\n  "));
-    // It may count its lists in its own way.
+    // The new discovery has generations of its own, so the watch starts at 0.
     let mut watch = after.accept();
     text += &raw_head(&mut watch);
-    let figures = figures(console);
-    text += &format!("applied {} rejected {}\n", figures["config_applied"], figures["config_rejected"]);
+    let metrics = metrics(console);
+    text += &format!("applied {} rejected {}\n", metrics["config_applied"], metrics["config_rejected"]);
     check("discovery_reloads.txt", &text);
 }
--- a/crates/marlwinch/tests/golden_platform_handover.rs
+++ b/crates/marlwinch/tests/golden_platform_handover.rs
@@ -1,13 +1,13 @@
-//! What an old and a new process of the platform's node say to each other when one takes the other's place, as bytes, held
-//! against golden files: the test plays the new process before an old one, and the old one before a new one.
-//! `GOLDEN=write cargo test -p marlwinch --test golden_platform_handover` writes the files below `tests/golden/platform` anew.
-//! What is replaced in them is said in `platform_golden`.
+//! Compares the handover protocol between an old and a new process of the platform's node with golden files,
+//! byte for byte: the test acts as the new process for an old one, and as the old process for a new one.
+//! `GOLDEN=write cargo test -p marlwinch --test golden_platform_handover` writes the files below
+//! `tests/golden/platform`. `platform_golden` lists what is replaced in them.
 
 mod peers;
 mod platform_golden;
 
 use peers::{Listener, Node, PEER_TIMEOUT, config, list};
-use platform_golden::{check, first_words, log_line, own_path, without_ports};
+use platform_golden::{check, log_line, own_path, startup_log, without_ports};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
@@ -21,7 +21,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A folder that goes with the test.
+/// A temporary folder. It is removed when this is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -30,14 +30,14 @@
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
-    /// The one file in it, once it is there.
-    fn place(&self) -> PathBuf {
-        let begun = Instant::now();
+    /// Waits for the only file in it, the socket for the handover.
+    fn socket_path(&self) -> PathBuf {
+        let started = Instant::now();
         loop {
             if let Some(file) = std::fs::read_dir(&self.0).expect("a folder").flatten().next() {
                 return file.path();
             }
-            assert!(begun.elapsed() < PEER_TIMEOUT, "no place for a handover");
+            assert!(started.elapsed() < PEER_TIMEOUT, "no socket for a handover");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -49,34 +49,34 @@
     }
 }
 
-fn connect(place: &Path) -> UnixStream {
-    let begun = Instant::now();
+fn connect(path: &Path) -> UnixStream {
+    let started = Instant::now();
     loop {
-        match UnixStream::connect(place) {
+        match UnixStream::connect(path) {
             Ok(stream) => {
                 stream.set_read_timeout(Some(PEER_TIMEOUT)).expect("a socket");
                 return stream;
             }
-            Err(e) => assert!(begun.elapsed() < PEER_TIMEOUT, "{}: {e}", place.display()),
+            Err(e) => assert!(started.elapsed() < PEER_TIMEOUT, "{}: {e}", path.display()),
         }
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// What is said at once, and the sockets that come with it.
+/// Receives the first message and the sockets that are attached to it.
 fn receive(stream: &UnixStream) -> (String, Vec<OwnedFd>) {
-    let mut said = [0; 256];
+    let mut buffer = [0; 256];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(16))];
     let mut attached = RecvAncillaryBuffer::new(&mut space);
-    let received = recvmsg(stream, &mut [IoSliceMut::new(&mut said)], &mut attached, RecvFlags::empty())
-        .expect("a word");
+    let received = recvmsg(stream, &mut [IoSliceMut::new(&mut buffer)], &mut attached, RecvFlags::empty())
+        .expect("a message");
     let mut sockets = Vec::new();
     for message in attached.drain() {
         if let RecvAncillaryMessage::ScmRights(some) = message {
             sockets.extend(some);
         }
     }
-    (String::from_utf8(said[..received.bytes].to_vec()).expect("a text"), sockets)
+    (String::from_utf8(buffer[..received.bytes].to_vec()).expect("a text"), sockets)
 }
 
 fn send(stream: &UnixStream, text: &str, sockets: &[&TcpListener]) {
@@ -89,38 +89,38 @@
     sendmsg(stream, &[IoSlice::new(text.as_bytes())], &mut attached, SendFlags::empty()).expect("sent");
 }
 
-/// Reads what is said until there is a whole line, or the end.
-fn line(stream: &mut UnixStream) -> String {
-    let (mut said, mut byte) = (Vec::new(), [0]);
-    while !said.ends_with(b"\n") && stream.read(&mut byte).expect("a word") == 1 {
-        said.push(byte[0]);
+/// Reads to the end of a line or of the stream.
+fn read_line(stream: &mut UnixStream) -> String {
+    let (mut line, mut byte) = (Vec::new(), [0]);
+    while !line.ends_with(b"\n") && stream.read(&mut byte).expect("a message") == 1 {
+        line.push(byte[0]);
     }
-    String::from_utf8(said).expect("a text")
+    String::from_utf8(line).expect("a text")
 }
 
 #[test]
-fn an_old_process_says_what_it_did() {
+fn messages_of_the_old_process_match_the_golden_file() {
     let (folder, discovery, backend) = (Folder::new(), Listener::new(), Listener::new());
     let known = list(41, true, &[("s-1", backend.address(), "east", "in_service")]);
     let node = Node::start_in(&config(discovery.address(), &known, |_| {}), &folder.0);
-    let place = folder.place();
-    let name = place.file_name().and_then(|name| name.to_str()).expect("a name").to_string();
+    let path = folder.socket_path();
+    let name = path.file_name().and_then(|name| name.to_str()).expect("a name").to_string();
     assert!(name.contains(&node.address.port().to_string()));
-    // One that says something else.
-    let mut stream = connect(&place);
+    // A new process with an invalid reply.
+    let mut stream = connect(&path);
     let (said, sockets) = receive(&stream);
-    // Once the old process accepts connections there, and not before, the mode of the place is its own.
-    let mode = std::fs::metadata(&place).expect("a file").permissions().mode() & 0o777;
+    // The mode of the socket is final only once the old process accepts connections.
+    let mode = std::fs::metadata(&path).expect("a file").permissions().mode() & 0o777;
     let mut text = format!("place {} mode {mode:o}\n", without_ports(&name));
     text += &format!("old {said:?} with {} sockets\n", sockets.len());
     stream.write_all(b"hello\n").expect("written");
     text += &format!(
         "new \"hello\\n\"\nold {:?}\n{}\n",
-        line(&mut stream),
+        read_line(&mut stream),
         log_line(&node.logged("a handover came to nothing"))
     );
-    // One that takes the place, and goes.
-    let mut stream = connect(&place);
+    // A new process that takes over, and exits.
+    let mut stream = connect(&path);
     let (said, sockets) = receive(&stream);
     let addresses: Vec<SocketAddr> =
         sockets.into_iter().map(|s| TcpListener::from(s).local_addr().expect("bound")).collect();
@@ -129,7 +129,7 @@
     stream.write_all(b"ready\n").expect("written");
     text += &format!(
         "new \"ready\\n\"\nold {:?}\n{}\n",
-        line(&mut stream),
+        read_line(&mut stream),
         log_line(&node.logged("a new process"))
     );
     drop(stream);
@@ -137,7 +137,7 @@
     check("handover_old.txt", &text);
 }
 
-/// A listening socket whose address a node may share.
+/// A listening socket with `SO_REUSEPORT`, so that a node can share its address.
 fn shared_listener() -> TcpListener {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_reuse_port(true).expect("a socket");
@@ -146,23 +146,23 @@
     socket.into()
 }
 
-/// Plays the old process: what the new one says to this greeting, and what it logs. The old one answers with a word, or the
-/// new one is to go on without it.
+/// Acts as the old process with this greeting. Returns the reply of the new process and its log. The old
+/// process sends a final message, or the new process must reject the greeting.
 fn new_process(greeting: &str, with_socket: bool, word: Option<&str>) -> String {
     let (folder, discovery, backend) = (Folder::new(), Listener::new(), Listener::new());
     let listener = shared_listener();
     let address = listener.local_addr().expect("bound");
-    let place = folder.0.join(format!("marlwinch-{}-{}.sock", address.ip(), address.port()));
-    let old = UnixListener::bind(&place).expect("a place");
+    let path = folder.0.join(format!("marlwinch-{}-{}.sock", address.ip(), address.port()));
+    let old = UnixListener::bind(&path).expect("a socket");
     let known = list(41, true, &[("s-1", backend.address(), "east", "in_service")]);
     let text = config(discovery.address(), &known, |config| config["listen"] = address.to_string().into());
     let (greeted, answered) = (greeting.to_string(), word.map(String::from));
-    let play = std::thread::spawn(move || {
+    let old_process = std::thread::spawn(move || {
         let (mut stream, _) = old.accept().expect("a new process");
         stream.set_read_timeout(Some(PEER_TIMEOUT)).expect("a socket");
         let sockets = if with_socket { vec![&listener] } else { Vec::new() };
         send(&stream, &greeted, &sockets);
-        let said = line(&mut stream);
+        let said = read_line(&mut stream);
         if let Some(answered) = answered {
             stream.write_all(answered.as_bytes()).expect("written");
         }
@@ -174,15 +174,15 @@
             assert_eq!(node.address, address);
             format!("old {word:?}\n  {}\n", log_line(&node.logged("process that ran")))
         }
-        None => first_words(Some(&text), &[("TMPDIR", folder.0.to_str().expect("a path"))]),
+        None => startup_log(Some(&text), &[("TMPDIR", folder.0.to_str().expect("a path"))]),
     };
-    let (said, _stream) = play.join().expect("the old process");
+    let (said, _stream) = old_process.join().expect("the old process");
     let sockets = if with_socket { "with" } else { "without" };
     format!("old {greeting:?} {sockets} its socket\nnew {said:?}\n{logged}")
 }
 
 #[test]
-fn a_new_process_says_what_it_did() {
+fn messages_of_the_new_process_match_the_golden_file() {
     let text = [
         new_process("marlwinch handover 1\n", true, Some("yours\n")),
         new_process("marlwinch handover 1\n", true, Some("mine\n")),
--- a/crates/marlwinch/tests/leaving.rs
+++ b/crates/marlwinch/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Clients that leave while their request waits, at each point at which one can: what waited is not sent on 0.3 s later,
-//! however they leave and whatever they had sent ahead.
+//! Clients that leave while their request waits, at each point at which one can: what waited is not sent on
+//! 0.3 s later, however they leave and whatever they had sent ahead.
 
 mod peers;
 mod sockets;
@@ -58,8 +58,8 @@
     }
 }
 
-/// A client that asks behind the one that leaves, and stays: what waits is sent on in the order in which it came, so that
-/// its request would come to a backend second.
+/// A client that asks behind the one that leaves, and stays: what waits is sent on in the order in which it
+/// came, so that its request would come to a backend second.
 fn stay(node: &Node) -> Peer {
     let mut client = node.client();
     client.request("correct", "X-Correlation-Id: stays\r\n", "x");
@@ -70,9 +70,10 @@
     client
 }
 
-/// The request of the client that stays has to be the first that a backend gets, on a connection that is open or a new one.
+/// The request of the client that stays has to be the first that a backend gets, on a connection that is open
+/// or a new one.
 fn first_is_who_stays(mut client: Peer, backend: &Listener, peers: &mut Vec<Peer>) {
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         if let Some(peer) = backend.try_accept() {
             peers.push(peer);
@@ -82,7 +83,7 @@
             peer.answer("200 OK", "", "done");
             break;
         }
-        assert!(begun.elapsed() < PEER_TIMEOUT, "nobody asks");
+        assert!(started.elapsed() < PEER_TIMEOUT, "nobody asks");
         std::thread::sleep(Duration::from_millis(1));
     }
     assert_eq!(client.read().status(), 200);
@@ -108,8 +109,8 @@
     }
 }
 
-/// It has been picked for a backend, and the connection there is not up yet. Then it comes up. Whether the settings allow
-/// attempts to be called off or not: nothing has gone out that could be.
+/// It has been picked for a backend, and the connection there is not up yet. Then it comes up. Whether the
+/// settings allow attempts to be called off or not: nothing has gone out that could be.
 #[test]
 fn what_waits_for_a_connection_is_not_written_once_its_client_has_left() {
     let cases =
@@ -195,8 +196,8 @@
     assert_eq!(fence.read().status(), 400);
 }
 
-/// Clients leave and the place of their requests comes free while the node does not run, so that it finds both in one turn,
-/// in either order: none of these requests is sent.
+/// Clients leave and the place of their requests comes free while the node does not run, so that it finds
+/// both in one turn, in either order: none of these requests is sent.
 #[test]
 fn what_waits_in_a_queue_is_not_sent_where_its_client_leaves_in_the_turn_of_its_place() {
     for how in HOWS {
@@ -269,8 +270,8 @@
     }
 }
 
-/// Hundreds at once, at drawn times around the moment at which a backend comes on the list: whoever left long enough before
-/// is not sent on, and all that they held is free again.
+/// Hundreds at once, at drawn times around the moment at which a backend comes on the list: whoever left long
+/// enough before is not sent on, and all that they held is free again.
 #[test]
 fn a_burst_that_leaves_is_not_sent_on() {
     for seed in 0..4 {
--- a/crates/marlwinch/tests/leaving_drawn.rs
+++ b/crates/marlwinch/tests/leaving_drawn.rs
@@ -1,5 +1,6 @@
-//! Clients that leave at drawn times around the moment at which what their requests wait for is there, at each point at
-//! which one can wait: whoever left 0.3 s before it or earlier is not sent on. Those that left later may be.
+//! Clients that leave at drawn times around the moment at which what their requests wait for is there, at
+//! each point at which one can wait: whoever left 0.3 s before it or earlier is not sent on. Those that left
+//! later may be.
 
 mod peers;
 
@@ -11,7 +12,8 @@
 
 /// From then on nothing may be sent on for a client that has left.
 const TERM: Duration = Duration::from_millis(300);
-/// The times at which clients leave are drawn over this span; what they wait for is there at two thirds of it.
+/// The times at which clients leave are drawn over this span; what they wait for is there at two thirds of
+/// it.
 const SPAN: Duration = Duration::from_millis(900);
 const CLIENTS: usize = 60;
 const SEEDS: u64 = 3;
@@ -19,17 +21,17 @@
 /// When each client left, by its id.
 type Left = BTreeMap<String, Instant>;
 
-/// Lets clients that wait leave at drawn times, by a close or a reset, some behind bytes sent ahead. Calls `release` within
-/// that time, and returns when it did.
+/// Lets clients that wait leave at drawn times, by a close or a reset, some behind bytes sent ahead. Calls
+/// `release` within that time, and returns when it did.
 fn leave_around(seed: u64, clients: Vec<(String, Peer)>, release: impl FnOnce()) -> (Left, Instant) {
     println!("seed {seed}");
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut drawn: Vec<_> =
         clients.into_iter().map(|client| (SPAN.mul_f64(rng.random::<f64>()), client)).collect();
     drawn.sort_by_key(|(at, _)| *at);
-    let (begun, mut left) = (Instant::now(), Left::new());
+    let (started, mut left) = (Instant::now(), Left::new());
     let mut go = |(at, (id, mut client)): (Duration, (String, Peer))| {
-        std::thread::sleep(at.saturating_sub(begun.elapsed()));
+        std::thread::sleep(at.saturating_sub(started.elapsed()));
         if rng.random_bool(0.5) {
             client.write("GET /ahead");
         }
@@ -40,15 +42,15 @@
     };
     let later = drawn.split_off(drawn.partition_point(|(at, _)| *at < SPAN * 2 / 3));
     drawn.into_iter().for_each(&mut go);
-    std::thread::sleep((SPAN * 2 / 3).saturating_sub(begun.elapsed()));
+    std::thread::sleep((SPAN * 2 / 3).saturating_sub(started.elapsed()));
     let released = Instant::now();
     release();
     later.into_iter().for_each(&mut go);
     (left, released)
 }
 
-/// Answers what comes to a box until a client that stays has its answer. Nobody who left [`TERM`] before `there` says that
-/// what it waits for was there may be among them.
+/// Answers what comes to a box until a client that stays has its answer. Nobody who left [`TERM`] before
+/// `there` says that what it waits for was there may be among them.
 fn answer_until_served(
     backends: &[Listener],
     peers: &mut Vec<Peer>,
@@ -56,7 +58,7 @@
     left: &Left,
     there: impl Fn(&str) -> Option<Instant>,
 ) {
-    let (begun, mut sent_on, mut stays) = (Instant::now(), 0, ask());
+    let (started, mut sent_on, mut stays) = (Instant::now(), 0, ask());
     loop {
         if stays.has_more() {
             match stays.read().status() {
@@ -77,7 +79,7 @@
             }
             let _ = std::io::Write::write(&mut peer.stream, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
-        assert!(begun.elapsed() < PEER_TIMEOUT, "who stays is not served");
+        assert!(started.elapsed() < PEER_TIMEOUT, "who stays is not served");
         std::thread::sleep(Duration::from_millis(1));
     }
     let in_time = |(id, at): &(&String, &Instant)| there(id).is_some_and(|there| **at + TERM <= there);
@@ -200,14 +202,14 @@
                      budget = { share = 1, floor = \"1000/s\" }";
         let node = Node::from_file(&file(&backends, terms));
         let clients = ask(&node, get);
-        let (begun, mut peers, mut rejected_at) = (Instant::now(), Vec::new(), Left::new());
+        let (started, mut peers, mut rejected_at) = (Instant::now(), Vec::new(), Left::new());
         while rejected_at.len() < CLIENTS {
             peers.extend(backends.iter().filter_map(Listener::try_accept));
             for peer in peers.iter_mut().filter(|peer| peer.has_more()) {
                 rejected_at.insert(id_of(&peer.read()), Instant::now());
                 peer.answer("503 Service Unavailable", "X-Unprocessed: 1\r\n", "");
             }
-            assert!(begun.elapsed() < PEER_TIMEOUT, "{} have asked", rejected_at.len());
+            assert!(started.elapsed() < PEER_TIMEOUT, "{} have asked", rejected_at.len());
             std::thread::sleep(Duration::from_millis(1));
         }
         let (left, _) = leave_around(seed, clients, || {});
--- a/crates/marlwinch/tests/node.rs
+++ b/crates/marlwinch/tests/node.rs
@@ -1,15 +1,16 @@
-//! The node as a process on loopback sockets: what it answers, what reaches a backend, and what each failure becomes.
+//! The node as a process on loopback sockets: what it answers, what reaches a backend, and what each failure
+//! becomes.
 
 mod peers;
 
 use peers::{
     Listener, Node, PEER_TIMEOUT, Peer, begin_watch, config, fails_to_start, list, node_at, node_with,
-    serve_anew, serve_on,
+    serve_on, serve_on_new_connection,
 };
 use std::net::SocketAddr;
 
-/// An address that refuses connections for as long as the socket is held: it is bound and does not listen, so that
-/// no other test is given its port.
+/// An address that refuses connections for as long as the socket is held: it is bound and does not listen, so
+/// that no other test is given its port.
 fn nobody() -> (socket2::Socket, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
@@ -58,7 +59,7 @@
     for _ in 0..4 {
         match &mut peer {
             Some(peer) => serve_on(peer, &mut client),
-            None => peer = Some(serve_anew(&backend, &mut client)),
+            None => peer = Some(serve_on_new_connection(&backend, &mut client)),
         }
     }
 
@@ -184,7 +185,7 @@
     for _ in 0..10 {
         match &mut fresh {
             Some(peer) => serve_on(peer, &mut idle),
-            None => fresh = Some(serve_anew(&new, &mut idle)),
+            None => fresh = Some(serve_on_new_connection(&new, &mut idle)),
         }
     }
     assert!(old.is_untouched());
@@ -210,7 +211,7 @@
     let mut next = discovery.accept();
     assert_eq!(next.read().first, "GET /v1/endpoints?watch=1&from=57 HTTP/1.1");
     let mut client = node.client();
-    serve_anew(&backend, &mut client);
+    serve_on_new_connection(&backend, &mut client);
 }
 
 #[test]
@@ -352,7 +353,7 @@
     // More than the node has descriptors for, none of them with a request.
     let crowd: Vec<Peer> = (0..150).map(|_| node.client()).collect();
     let mut client = node.client();
-    serve_anew(&backend, &mut client);
+    serve_on_new_connection(&backend, &mut client);
     drop(crowd);
 }
 
@@ -373,9 +374,9 @@
 
 /// Asks a node whether it is ready until it is.
 fn wait_until_ready(client: &mut Peer) {
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     while !is_ready(client) {
-        assert!(begun.elapsed() < PEER_TIMEOUT, "never ready");
+        assert!(started.elapsed() < PEER_TIMEOUT, "never ready");
     }
 }
 
@@ -412,7 +413,7 @@
     watch.line(&list(40, true, &[]));
     node.logged("older than");
     let mut client = node.client();
-    serve_anew(&backend, &mut client);
+    serve_on_new_connection(&backend, &mut client);
 }
 
 /// The file wins over `ROUTER_DISCOVERY` then. The other discovery counts its generations in its own way.
@@ -427,7 +428,7 @@
     let mut first = begin_watch(&before, 41);
     first.line("");
     let mut client = node.client();
-    let mut peer = serve_anew(&old, &mut client);
+    let mut peer = serve_on_new_connection(&old, &mut client);
     node.reload(&config_of(&after));
     let mut watch = begin_watch(&after, 0);
     // The old watch goes on until the first list comes from the new one.
@@ -435,7 +436,7 @@
     peer.expect_end();
     watch.line(&list(7, true, &[("s-2", new.address(), "east", "in_service")]));
     first.expect_end();
-    let mut peer = serve_anew(&new, &mut client);
+    let mut peer = serve_on_new_connection(&new, &mut client);
     watch.line(&list(8, false, &[("s-2", new.address(), "east", "terminating")]));
     peer.expect_end();
     drop(watch);
@@ -456,7 +457,7 @@
     }
     watch.line(&list(42, false, &[("s-1", backend.address(), "east", "in_service")]));
     let mut client = node.client();
-    serve_anew(&backend, &mut client);
+    serve_on_new_connection(&backend, &mut client);
     assert!(node.is_running() && discovery.is_untouched());
 }
 
@@ -466,7 +467,7 @@
     let backend = Listener::new();
     let (node, _discovery) = node_with(&[&backend]);
     let mut good = node.client();
-    let mut peer = serve_anew(&backend, &mut good);
+    let mut peer = serve_on_new_connection(&backend, &mut good);
     let (mut silent, mut half) = (node.client(), node.client());
     half.write("POST /correct/1 HTTP/1.1\r\nHost: b\r\n");
     silent.expect_end();
@@ -510,7 +511,8 @@
     assert_eq!(client.read().status(), 504);
 }
 
-/// With memory for the bodies and answers of four requests a fifth is turned away before it has gone anywhere.
+/// With memory for the bodies and answers of four requests a fifth is turned away before it has gone
+/// anywhere.
 #[test]
 fn what_there_is_no_memory_for_is_refused() {
     let (one, other, discovery) = (Listener::new(), Listener::new(), Listener::new());
