--- a/crates/marlwinch/tests/overload.rs
+++ b/crates/marlwinch/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Overload on sockets: a node from an operator's file before stand-in backends, with clients that ask as soon as they have
-//! their answer. Who is served, who is refused, and what the backends' ledger says of it.
+//! Overload on sockets: a node from an operator's file before stand-in backends, with clients that ask as
+//! soon as they have their answer. Who is served, who is refused, and what the backends' ledger says of it.
 
 mod backends;
 mod peers;
@@ -121,7 +121,7 @@
 /// What was refused never ran, what was served ran once, and nothing ran twice.
 fn keeps_the_rules(backends: &Backends, seen: &[Vec<Seen>]) {
     let ran: HashMap<_, _> =
-        backends.ledger.all_executions().into_iter().map(|(id, runs)| (id, runs.len())).collect();
+        backends.execution_log.all_executions().into_iter().map(|(id, runs)| (id, runs.len())).collect();
     for one in seen.iter().flatten() {
         let times = ran.get(&one.id).copied().unwrap_or(0);
         match one.status {
@@ -133,12 +133,14 @@
 
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The trials of a new user: backends of which nothing is known, that answer after 180 ms and serve many at once. That is long
-/// beside the moments for which a shared machine takes a processor away, so that figures are those of the node.
+/// The trials of a new user: backends of which nothing is known, that answer after 180 ms and serve many at
+/// once. That is long beside the moments for which a shared machine takes a processor away, so that figures
+/// are those of the node.
 #[test]
 fn plain_backends_are_used_from_the_first_second_as_round_robin_would() {
     const LENGTH: Duration = Duration::from_secs(6);
-    /// What the node may add after the first second to all but one answer in a hundred, however long services take.
+    /// What the node may add after the first second to all but one answer in a hundred, however long services
+    /// take.
     const MOST_ADDED: Duration = Duration::from_millis(90);
     let script = "[[box]]\nname = \"b\"\ncount = 3\ncores = 1000\nservice = { fixed = \"180ms\" }\n";
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/example.toml");
@@ -150,8 +152,8 @@
     }
     for (count, head) in [(60, get("/tally/1", "")), (8, post("/tally-correct/1", ""))] {
         let (direct, seen) = undisturbed(|| {
-            // Round robin over other backends like these, each of which queues for itself, in the same seconds as the node: a
-            // machine that is slow is so for both.
+            // Round robin over other backends like these, each of which queues for itself, in the same
+            // seconds as the node: a machine that is slow is so for both.
             let others = Backends::start(script);
             let node = Node::from_file(&text);
             let disturbance = Disturbance::of(node.process());
@@ -165,11 +167,13 @@
         });
         let (served, rejected, best) = (of(&seen, 200), of(&seen, 503), of(&direct, 200));
         assert!(rejected * 100 <= served, "{rejected} refused and {served} served");
-        // In a release build 0.95 and more (docs/performance.md); here tests run beside each other, without optimisation.
+        // In a release build 0.95 and more (docs/performance.md); here tests run beside each other, without
+        // optimisation.
         assert!(served as f64 >= 0.85 * best as f64, "{served} served, round robin {best}");
         let (ours, theirs) = (p99(&seen), p99(&direct));
         assert!(ours <= theirs * 2 + Duration::from_millis(50), "p99 {ours:?}, round robin {theirs:?}");
-        // The first burst waits for one service while the node learns what the backends hold; later nothing does.
+        // The first burst waits for one service while the node learns what the backends hold; later nothing
+        // does.
         let settled = |one: &&Seen| one.at > Duration::from_secs(1);
         let later: Vec<Vec<Seen>> =
             seen.iter().map(|of_one| of_one.iter().filter(settled).cloned().collect()).collect();
@@ -185,16 +189,16 @@
     many_times_the_capacity("limit = { fixed = 3 }\n", Duration::from_secs(24), Duration::from_secs(3));
 }
 
-/// The same with limits that adapt. Played in virtual time by the package `surge`; here it depends on the machine, and
-/// failed in 5 of 13 runs on a busy one: `cargo test -p marlwinch --test overload -- --ignored`.
+/// The same with limits that adapt. Played in virtual time by the package `surge`; here it depends on the
+/// machine, and failed in 5 of 13 runs on a busy one: `cargo test -p marlwinch --test overload -- --ignored`.
 #[test]
 #[ignore = "depends on the machine's speed"]
 fn at_many_times_the_capacity_limits_are_learnt() {
     many_times_the_capacity("", Duration::from_secs(48), Duration::from_secs(33));
 }
 
-/// Two backends of two cores at 60 ms, twice as slow when crowded. One request that waits keeps a core busy for longer than a
-/// shared machine takes a processor away.
+/// Two backends of two cores at 60 ms, twice as slow when crowded. One request that waits keeps a core busy
+/// for longer than a shared machine takes a processor away.
 const FOUR_CORES: &str = "[[box]]\nname = \"b\"\ncount = 2\ncores = 2\nqueue = 1000\nservice = { fixed = \"60ms\" }\n\
     choke = { waiting = 6, after = \"300ms\", factor = 2, recovers = \"1500ms\" }\n";
 
@@ -220,7 +224,8 @@
 /// Whether the trial was undisturbed, and what it has shown. The rules hold however fast the machine is.
 fn surge_of_tenants(limit: &str, length: Duration) -> (bool, Surge) {
     let backends = Backends::start(FOUR_CORES);
-    // Three clients for each of these: both cores are busy and one request waits, which never crowds a backend.
+    // Three clients for each of these: both cores are busy and one request waits, which never crowds a
+    // backend.
     let others = Backends::start(FOUR_CORES);
     let direct = {
         let addresses = others.addresses.clone();
@@ -258,15 +263,17 @@
     (is_undisturbed, Surge { seen, allowed, direct })
 }
 
-/// The latest time for a rejection over sockets: half of what a client waits for its response, and twice what a request waits in
-/// the queue at most.
+/// The latest time for a rejection over sockets: half of what a client waits for its response, and twice what
+/// a request waits in the queue at most.
 const SLOWEST_REJECTION: Duration = Duration::from_millis(1_500);
 
-/// The backends did what they can, tenants had their shares, the allowance was kept, and refusals came at once.
+/// The backends did what they can, tenants had their shares, the allowance was kept, and refusals came at
+/// once.
 fn is_shared_out(surge: &Surge, length: Duration, settled_at: Duration) {
     let Surge { seen, allowed, direct } = surge;
     assert!(allowed.len() > 20, "{}", allowed.len());
-    // Until limits are learnt, backends hold more than they can answer in time, and an allowance does not help within a backend.
+    // Until limits are learnt, backends hold more than they can answer in time, and an allowance does not
+    // help within a backend.
     let late: Vec<_> = allowed.iter().filter(|one| one.at > settled_at).collect();
     let rejected: Vec<_> = late.iter().filter(|one| one.status != 200).collect();
     assert!(late.len() > 10 && rejected.is_empty(), "of {}: {rejected:?}", late.len());
@@ -294,8 +301,8 @@
     }
     let told: Vec<_> = seen.iter().flatten().filter_map(|one| one.retry_after).collect();
     assert!(told.iter().all(|s| (1..=8).contains(s)) && told.iter().any(|s| *s > 1), "refusals are spread");
-    // By the clock of a busy machine, so with room; `rejections_come_when_the_time_in_the_queue_is_over` (overload-simulation)
-    // holds the 750 ms.
+    // By the clock of a busy machine, so with room; `rejections_come_when_the_time_in_the_queue_is_over`
+    // (overload-simulation) holds the 750 ms.
     let slowest = seen.iter().flatten().filter(|one| one.status == 503).map(|one| one.took).max();
     assert!(slowest.is_some_and(|took| took < SLOWEST_REJECTION), "not held back: {slowest:?}");
 }
@@ -323,9 +330,9 @@
         "they have the box for themselves"
     );
     keeps_the_rules(&backends, &seen);
-    // It is quiet: the steps are taken back, one after the other. The gate counts what it sheds by the time that requests
-    // took at the backend until now, which on a busy machine is a multiple of the 50 ms: more often than this, shed requests
-    // would be more work than the backend could do, and the steps would stay.
+    // It is quiet: the steps are taken back, one after the other. The gate counts what it sheds by the time
+    // that requests took at the backend until now, which on a busy machine is a multiple of the 50 ms: more
+    // often than this, shed requests would be more work than the backend could do, and the steps would stay.
     const QUIET_INTERVAL: Duration = Duration::from_secs(1);
     let start = Instant::now();
     loop {
@@ -345,7 +352,8 @@
     }
 }
 
-/// A backend with twice the weight gets about twice the traffic, and one that turns out slow gets less than its weight says.
+/// A backend with twice the weight gets about twice the traffic, and one that turns out slow gets less than
+/// its weight says.
 #[test]
 fn weights_weigh() {
     let backends =
@@ -356,7 +364,7 @@
     let node = Node::from_file(&text);
     let seen = clients(12, |_| node.address, |_| get("/", ""), PEER_TIMEOUT, PEER_TIMEOUT);
     assert_eq!(of(&seen, 200), seen.iter().map(Vec::len).sum::<usize>());
-    let runs = backends.ledger.all_executions();
+    let runs = backends.execution_log.all_executions();
     let first = runs.values().flatten().filter(|run| run.backend == "b-1").count() as f64 / runs.len() as f64;
     assert!((0.65..0.85).contains(&first), "{first} of the traffic at three quarters of the weight");
 }
--- a/crates/marlwinch/tests/peers/mod.rs
+++ b/crates/marlwinch/tests/peers/mod.rs
@@ -1,6 +1,6 @@
-//! A node as a process, and the peers of its test: clients, backends and discovery on loopback, one blocking call at
-//! a time. What does not come within [`PEER_TIMEOUT`] has failed; nothing else depends on time.
-#![allow(dead_code)] // each test file uses its own part of this
+//! Runs a node as a process, with blocking peers on loopback: clients, backends and discovery. A test fails
+//! if something does not arrive within [`PEER_TIMEOUT`]; nothing else depends on time.
+#![allow(dead_code)] // each test file uses only some of these
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 pub use test_peers::*;
 
-/// Classes of every sort, whose times never decide a test.
+/// Settings with a class of each idempotency. Their times are so long that they do not affect a test.
 const SETTINGS: &str = r#"{"NInstances": 1, "Ordinal": 0, "Zone": 0, "Localities": ["east", "west"],
     "HostTypes": ["m1"], "Quantum": 1.0, "RegistryMode": "push",
     "Classes": [
@@ -23,7 +23,7 @@
         "MaxRetryAfter": 1500.0, "ParallelTries": false, "Probes": true, "RetryAfter": true},
     "Rules": {"DrainGrace": 60000.0, "ColdFrom": 0.3, "RampTime": 1000.0, "OverloadFactor": 4.0, "TipAfter": 1500.0}}"#;
 
-/// The text of a configuration; `change` may alter it.
+/// The text of a configuration. `change` may modify it.
 pub fn config(discovery: SocketAddr, known: &str, change: impl FnOnce(&mut serde_json::Value)) -> String {
     let settings: serde_json::Value = serde_json::from_str(SETTINGS).expect("settings");
     let known: serde_json::Value = serde_json::from_str(known).expect("a list");
@@ -44,13 +44,13 @@
     serde_json::json!({"generation": generation, "reset": reset, "instances": instances}).to_string()
 }
 
-/// A node with these backends, all in service in the zone `east`, and its discovery.
+/// Starts a node with these backends, all in service in the zone `east`. Returns the node and its discovery.
 pub fn node_with(backends: &[&Listener]) -> (Node, Listener) {
     let addresses: Vec<SocketAddr> = backends.iter().map(|b| b.address()).collect();
     node_at(&addresses, "east")
 }
 
-/// The same with addresses; the zone is that of all but the first.
+/// Like [`node_with`], with addresses. The first backend is in the zone `east`, all others are in `zone`.
 pub fn node_at(addresses: &[SocketAddr], zone: &str) -> (Node, Listener) {
     let names = ["s-1", "s-2", "s-3"];
     let zone_of = |i| if i == 0 { "east" } else { zone };
@@ -61,7 +61,7 @@
     (node, discovery)
 }
 
-/// Lets a client's unsafe request be served on this connection of a backend.
+/// Sends an unsafe request that a backend must receive on this connection and serve.
 pub fn serve_on(peer: &mut Peer, client: &mut Peer) {
     client.request("correct", "", "x");
     peer.read();
@@ -69,8 +69,8 @@
     assert_eq!(client.read().status(), 200);
 }
 
-/// The same where the request must come on a new connection, which is returned.
-pub fn serve_anew(backend: &Listener, client: &mut Peer) -> Peer {
+/// Like [`serve_on`], but the backend must receive the request on a new connection, which is returned.
+pub fn serve_on_new_connection(backend: &Listener, client: &mut Peer) -> Peer {
     client.request("correct", "", "x");
     let mut peer = backend.next_request(&mut Vec::new());
     peer.answer("200 OK", "", "done");
@@ -78,7 +78,8 @@
     peer
 }
 
-/// Takes the node's next watch, which must ask for what has come after this version, and begins to answer it.
+/// Accepts the node's next watch, which must ask for changes after this generation, and sends the response
+/// head.
 pub fn begin_watch(discovery: &Listener, from: u32) -> Peer {
     let mut watch = discovery.accept();
     assert_eq!(watch.read().first, format!("GET /v1/endpoints?watch=1&from={from} HTTP/1.1"));
@@ -94,19 +95,19 @@
     pub log: Receiver<String>,
 }
 
-/// A path of its own for a file of a test.
+/// A unique path for a temporary file.
 fn own_path(end: &str) -> PathBuf {
     let unique = (std::process::id(), std::thread::current().id(), Instant::now());
     std::env::temp_dir().join(format!("marlwinch-{unique:?}.{end}").replace(['(', ')', ' ', '{', '}'], ""))
 }
 
-/// Runs a command of the program to its end.
+/// Runs the program with these arguments until it exits.
 pub fn command(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_marlwinch"));
     command.args(arguments).env("NO_COLOR", "1").output().expect("the program runs")
 }
 
-/// An operator's file on the disk, which goes with this.
+/// A temporary file. It is removed when this is dropped.
 pub struct OnDisk(pub PathBuf);
 
 impl OnDisk {
@@ -126,8 +127,8 @@
     }
 }
 
-/// Starts a node's process with this text as its configuration, which is left in the file returned, and perhaps with
-/// this value of `ROUTER_DISCOVERY`.
+/// Starts a node with this configuration, which is written to the returned path, and with `ROUTER_DISCOVERY`
+/// if an address is given.
 fn spawn(config: &str, discovery: Option<SocketAddr>) -> (Child, PathBuf, Receiver<String>) {
     let path = own_path("json");
     std::fs::write(&path, config).expect("the configuration is written");
@@ -142,7 +143,7 @@
     (child, path, log)
 }
 
-/// Starts a process and hands on the lines of its log.
+/// Starts a process and forwards the lines of its log.
 fn start(mut command: Command) -> (Child, Receiver<String>) {
     let mut child = command.stderr(Stdio::piped()).spawn().expect("the node starts");
     let mut errors = std::io::BufReader::new(child.stderr.take().expect("its log"));
@@ -156,7 +157,7 @@
     (child, log)
 }
 
-/// Starts a node that can't run, and returns how it ended and all it said.
+/// Starts a node that must fail to start. Returns its exit status and its log.
 pub fn fails_to_start(config: &str) -> (ExitStatus, Vec<String>) {
     let (mut child, file, log) = spawn(config, None);
     let status = child.wait().expect("it ends");
@@ -169,7 +170,7 @@
         Node::start_with(config, None)
     }
 
-    /// Starts a node from an operator's file alone; its one listener is at port 0.
+    /// Starts a node from an operator's file, whose only listener must have port 0.
     pub fn from_file(text: &str) -> Node {
         let file = own_path("toml");
         std::fs::write(&file, text).expect("the file is written");
@@ -179,7 +180,7 @@
         Node::listening(child, file, log)
     }
 
-    /// The same, and where it tells its figures.
+    /// Like [`Node::from_file`]. Also returns the address of the metrics.
     pub fn from_file_with_admin(text: &str) -> (Node, SocketAddr) {
         let node = Node::from_file(text);
         let line = node.logged("figures are told at");
@@ -187,13 +188,13 @@
         (node, address.and_then(|address| address.parse().ok()).expect("an address"))
     }
 
-    /// The same with a value of `ROUTER_DISCOVERY`.
+    /// Like [`Node::start`], with `ROUTER_DISCOVERY` if an address is given.
     pub fn start_with(config: &str, discovery: Option<SocketAddr>) -> Node {
         let (child, file, log) = spawn(config, discovery);
         Node::listening(child, file, log)
     }
 
-    /// The same with a folder of its own for what outlives the process.
+    /// Like [`Node::start`], with `TMPDIR` set to this folder, where the socket for a handover is.
     pub fn start_in(config: &str, folder: &std::path::Path) -> Node {
         let path = own_path("json");
         std::fs::write(&path, config).expect("the configuration is written");
@@ -206,12 +207,12 @@
         Node::listening(child, path, log)
     }
 
-    /// The id of its process.
+    /// The id of the process.
     pub fn process(&self) -> u32 {
         self.child.id()
     }
 
-    /// What the process holds in memory now.
+    /// The resident memory of the process.
     pub fn memory_kib(&self) -> u64 {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("its status");
@@ -219,7 +220,7 @@
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    /// Ends the process with no word.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         self.child.kill().expect("killed");
         self.child.wait().expect("it ends");
@@ -233,12 +234,12 @@
         node
     }
 
-    /// Waits for a line of the log that holds this.
+    /// Waits for a log line that contains this text.
     pub fn logged(&self, text: &str) -> String {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            // The node writes a line of figures now and then, so the time for one line is no bound.
-            assert!(begun.elapsed() < PEER_TIMEOUT, "no line with {text:?}");
+            // The node logs metrics regularly, so the time limit for a single line is not enough.
+            assert!(started.elapsed() < PEER_TIMEOUT, "no line with {text:?}");
             let line =
                 self.log.recv_timeout(PEER_TIMEOUT).unwrap_or_else(|e| panic!("no line with {text:?}: {e}"));
             if line.contains(text) {
@@ -256,13 +257,14 @@
         self.signal("TERM");
     }
 
-    /// Puts another text in place of the configuration and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.file, config).expect("the configuration is written");
         self.signal("HUP");
     }
 
-    /// Stops the process until what this returns is dropped: all that is done meanwhile comes to it in one turn.
+    /// Stops the process with SIGSTOP until the returned guard is dropped. The node then finds everything
+    /// that happened meanwhile in one iteration of its event loop.
     pub fn stopped(&self) -> Stopped<'_> {
         self.signal("STOP");
         Stopped(self)
@@ -274,22 +276,22 @@
     }
 
     pub fn wait(&mut self) -> ExitStatus {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
-            if let Some(status) = self.child.try_wait().expect("its state") {
+            if let Some(status) = self.child.try_wait().expect("its status") {
                 return status;
             }
-            assert!(begun.elapsed() < PEER_TIMEOUT, "the node does not end");
+            assert!(started.elapsed() < PEER_TIMEOUT, "the node does not end");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
     pub fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("its state").is_none()
+        self.child.try_wait().expect("its status").is_none()
     }
 }
 
-/// A node that does not run.
+/// Keeps a node stopped until it is dropped.
 pub struct Stopped<'n>(&'n Node);
 
 impl Drop for Stopped<'_> {
--- a/crates/marlwinch/tests/platform_golden/mod.rs
+++ b/crates/marlwinch/tests/platform_golden/mod.rs
@@ -1,11 +1,13 @@
-//! Golden files of the platform's node: text that a test produces, held against the file of its name below
-//! `tests/golden/platform`, byte by byte; and what tests of a whole process need to have nothing vary in it.
+//! Golden files of the platform's node: compares a text with the file of its name below
+//! `tests/golden/platform`, byte for byte, and replaces the parts of a process's output that vary.
 //!
-//! A file is written only on purpose: `GOLDEN=write cargo test -p marlwinch --test TEST` writes the files of a test. Without
-//! that variable a missing or different file fails the test, with the place of the first difference.
+//! `GOLDEN=write cargo test -p marlwinch --test TEST` writes the files of
+//! a test. Without that variable a missing or different file fails the test, with the place of the first
+//! difference.
 //!
-//! Before a text is written or compared, these parts are replaced by fixed words: the time at the beginning of a line of the
-//! log by `<time>`, the path of the configuration by `<file>`, loopback ports by `<port>`, a date by `<date>`.
+//! Before a text is written or compared, these parts are replaced by fixed words: the time at the beginning
+//! of a line of the log by `<time>`, the path of the configuration by `<file>`, loopback ports by `<port>`, a
+//! date by `<date>`.
 #![allow(dead_code)] // each test file uses its own part of this
 
 use std::io::{BufRead, BufReader};
@@ -14,12 +16,13 @@
 use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Holds that a text is that of a golden file below `tests/golden/platform`, or writes the file where that is asked for.
+/// Asserts that a text is equal to a golden file below `tests/golden/platform`, or writes the file if
+/// `GOLDEN` is `write`.
 pub fn check(name: &str, text: &str) {
     golden_files::check(&format!("platform/{name}"), text);
 }
 
-/// With the digits behind each of these words replaced.
+/// Replaces the digits behind each occurrence of `before` by a word.
 pub fn without_digits(text: &str, before: &str, word: &str) -> String {
     let mut pieces = text.split(before);
     let mut out = pieces.next().unwrap_or_default().to_string();
@@ -31,14 +34,14 @@
     out
 }
 
-/// With loopback ports replaced.
+/// Replaces loopback ports.
 pub fn without_ports(text: &str) -> String {
     let text = without_digits(text, "127.0.0.1:", "<port>");
     let text = without_digits(&text, "127.0.0.2:", "<port>");
     without_digits(&text, "marlwinch-127.0.0.1-", "<port>")
 }
 
-/// A line of the log without what varies in it: its time, ports, and the path of the configuration.
+/// Replaces what varies in a log line: its time, ports, and the path of the configuration.
 pub fn log_line(line: &str) -> String {
     let (time, rest) = line.trim_end().split_once(' ').expect("a time");
     assert!(time.parse::<f64>().is_ok(), "a line begins with its time: {line}");
@@ -49,13 +52,13 @@
     format!("<time> {}", without_ports(&words.collect::<Vec<_>>().join(" ")))
 }
 
-/// A message as it came, without its date.
+/// An HTTP message as received, with its date and ports replaced.
 pub fn message(text: &str) -> String {
     let lines = text.split("\r\n").map(|line| if line.starts_with("date: ") { "date: <date>" } else { line });
     without_ports(&lines.collect::<Vec<_>>().join("\n"))
 }
 
-/// A path of its own for a file or folder of a test.
+/// A unique path for a temporary file or folder.
 pub fn own_path(end: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -66,8 +69,9 @@
 const VARIABLES: [&str; 6] =
     ["ROUTER_CONFIG", "ROUTER_NAME", "ROUTER_LISTEN", "ROUTER_DISCOVERY", "ROUTER_CONSOLE", "MARLWINCH_LOG"];
 
-/// What a node says with this configuration and these variables until it listens, which ends it, or has ended by itself.
-pub fn first_words(config: Option<&str>, variables: &[(&str, &str)]) -> String {
+/// What a node says with this configuration and these variables until it listens, which ends it, or has ended
+/// by itself.
+pub fn startup_log(config: Option<&str>, variables: &[(&str, &str)]) -> String {
     let file = own_path(".json");
     let mut command = Command::new(env!("CARGO_BIN_EXE_marlwinch"));
     for name in VARIABLES {
@@ -80,22 +84,22 @@
     }
     command.envs(variables.iter().copied());
     let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn().expect("the node starts");
-    let mut said = String::new();
+    let mut output = String::new();
     for line in BufReader::new(child.stderr.take().expect("its log")).lines() {
         let line = line.expect("a line");
-        said += &format!("  {}\n", log_line(&line));
+        output += &format!("  {}\n", log_line(&line));
         if line.contains(" listens on ") {
             let _ = child.kill();
             break;
         }
     }
-    let status = child.wait().expect("it ends");
+    let status = child.wait().expect("it exits");
     let _ = std::fs::remove_file(&file);
     let code = status.code().map_or(String::new(), |code| format!("  code {code}\n"));
-    said + &code
+    output + &code
 }
 
-/// An address of nobody: nothing is sent there before a node listens.
-pub fn nobody() -> SocketAddr {
+/// An address where no process listens. A node does not connect to it before it listens itself.
+pub fn unused_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9))
 }
--- a/crates/marlwinch/tests/pools.rs
+++ b/crates/marlwinch/tests/pools.rs
@@ -1,12 +1,12 @@
-//! The node's connections to backends, as a process on loopback sockets: which are used again, and what comes on them out of turn.
+//! The node's connections to backends: which are reused, and what happens with unexpected bytes on them.
 
 mod peers;
 
-use peers::{Listener, Node, begin_watch, config, list, node_with, serve_anew, serve_on};
+use peers::{Listener, Node, begin_watch, config, list, node_with, serve_on, serve_on_new_connection};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// An answer that has begun and does not go on ends long before the client's time does.
+/// An answer that has started and does not go on ends long before the client's time does.
 #[test]
 fn an_answer_that_stalls_is_given_up() {
     for part in ["HTTP/1.1 200 OK\r\nContent-", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"] {
@@ -19,14 +19,14 @@
         client.request("correct", "", "x");
         let mut peer = backend.next_request(&mut Vec::new());
         peer.write(part);
-        // 504 would mean that the time was up.
+        // 504 would mean that the time limit was reached.
         assert_eq!(client.read().status(), 502);
         peer.expect_end();
     }
 }
 
 #[test]
-fn an_answer_is_served_behind_some_that_come_ahead() {
+fn a_response_after_interim_responses_is_served() {
     let backend = Listener::new();
     let (node, _discovery) = node_with(&[&backend]);
     let mut client = node.client();
@@ -38,9 +38,9 @@
     serve_on(&mut peer, &mut client);
 }
 
-/// What comes behind an answer must not pass for the next one.
+/// Bytes behind a response must not be taken for the next response.
 #[test]
-fn a_connection_with_more_than_its_answer_is_not_used_again() {
+fn a_connection_with_bytes_behind_its_response_is_not_reused() {
     for behind in ["HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "\u{0}\u{1}noise"] {
         let backend = Listener::new();
         let (node, _discovery) = node_with(&[&backend]);
@@ -61,10 +61,10 @@
     }
 }
 
-/// A backend that sends a second answer some milliseconds late is given that much time before it gets another request: it
-/// would pass for that one's answer.
+/// After a backend has sent a second response some milliseconds late, the node waits that long before it
+/// reuses a connection to it: the second response would be taken for that of the next request.
 #[test]
-fn a_second_answer_that_comes_late_is_not_taken_for_the_next_ones() {
+fn a_late_second_response_is_not_taken_for_that_of_the_next_request() {
     const LATE: Duration = Duration::from_millis(10);
     let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let backend = Listener::new();
@@ -74,11 +74,12 @@
     let mut peer = backend.next_request(&mut Vec::new());
     peer.write(answer("first"));
     assert_eq!(client.read().body, b"first");
-    // Nobody asks meanwhile, so that the node sees it for what it is.
+    // There is no request meanwhile, so the node sees that the response is unsolicited.
     std::thread::sleep(LATE);
     peer.write(answer("stray"));
     peer.expect_end();
-    // From now on the next request is there at once. A round in which this test was late itself says nothing.
+    // From now on the next request follows at once. A round in which this test itself was late is not
+    // counted.
     let mut counted = 0;
     for _ in 0..100 {
         client.request("correct", "", "x");
@@ -93,7 +94,8 @@
         if at.elapsed() < LATE + Duration::from_millis(3) {
             counted += 1;
             peer.write(answer("stray"));
-            // It is on another connection that the next request comes, or the stray one was taken for its answer.
+            // The next request must arrive on another connection; otherwise the stray response was taken for
+            // its response.
             let mut other = backend.next_request(&mut Vec::new());
             other.write(answer("third"));
             assert_eq!(client.read().body, b"third");
@@ -118,13 +120,14 @@
         client.request("correct", "", "x");
         let mut peer = backend.next_request(&mut Vec::new());
         peer.answer("200 OK", "", "done");
-        // Before the client knows of the answer the connection has ended.
+        // The connection has ended before the client gets the response.
         drop(peer);
         assert_eq!(client.read().status(), 200);
     }
 }
 
-/// A write to a connection that the backend is about to close is a request that may have run.
+/// If a request were written to a connection that the backend is about to close, it would be unknown whether
+/// it ran.
 #[test]
 fn an_idle_connection_is_closed_before_the_backend_would() {
     let (backend, discovery) = (Listener::new(), Listener::new());
@@ -132,18 +135,18 @@
     let change = |c: &mut serde_json::Value| c["settings"]["Permissions"]["IdleClose"] = 2000.0.into();
     let node = Node::start(&config(discovery.address(), &known, change));
     let mut client = node.client();
-    let mut peer = serve_anew(&backend, &mut client);
+    let mut peer = serve_on_new_connection(&backend, &mut client);
     peer.expect_end();
 }
 
-/// A backend that moves keeps its number, and its new address is used at once.
+/// A backend that moves keeps its id, and its new address is used at once.
 #[test]
-fn a_backend_that_changes_its_address_is_met_there() {
+fn a_changed_address_of_a_backend_is_used_at_once() {
     let (old, new) = (Listener::new(), Listener::new());
     let (node, discovery) = node_with(&[&old]);
     let mut watch = begin_watch(&discovery, 41);
     let mut client = node.client();
-    let mut peer = serve_anew(&old, &mut client);
+    let mut peer = serve_on_new_connection(&old, &mut client);
     watch.line(&list(42, false, &[("s-1", new.address(), "east", "in_service")]));
     peer.expect_end();
     client.request("correct", "", "x");
@@ -152,17 +155,17 @@
     assert_eq!(client.read().body, b"moved");
 }
 
-/// Whoever waited for its connect to the end of the request's time would have none left for another attempt.
+/// A connect that may take all of the request's time would leave none for another attempt.
 #[test]
-fn a_machine_that_takes_no_connection_is_given_up_in_time_for_another() {
+fn a_backend_that_accepts_no_connection_is_given_up_in_time_for_another_attempt() {
     let silent = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     silent.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
     silent.listen(0).expect("a backlog");
     let address = silent.local_addr().ok().and_then(|address| address.as_socket()).expect("an address");
-    // Once its backlog is full it answers nobody.
-    let patience = std::time::Duration::from_millis(200);
+    // Once its backlog is full, connects are not answered.
+    let connect_timeout = std::time::Duration::from_millis(200);
     let full: Vec<_> =
-        (0..8).map_while(|_| std::net::TcpStream::connect_timeout(&address, patience).ok()).collect();
+        (0..8).map_while(|_| std::net::TcpStream::connect_timeout(&address, connect_timeout).ok()).collect();
     assert!(full.len() < 8, "its backlog is never full");
 
     let (backend, discovery) = (Listener::new(), Listener::new());
@@ -177,7 +180,7 @@
     };
     let node = Node::start(&config(discovery.address(), &known, change));
     let mut client = node.client();
-    let mut peer = serve_anew(&backend, &mut client);
+    let mut peer = serve_on_new_connection(&backend, &mut client);
     for _ in 0..4 {
         serve_on(&mut peer, &mut client);
     }
--- a/crates/marlwinch/tests/repeats.rs
+++ b/crates/marlwinch/tests/repeats.rs
@@ -1,14 +1,16 @@
-//! Requests with a key that may have run: backends drop their repeats, but only those of a group and only for a while.
+//! Retries of keyed requests that may have been executed. Backends drop repeats by their key, but only within
+//! a group of backends and within a time window.
 
 mod peers;
 
 use peers::{Listener, Node, PEER_TIMEOUT, Peer, config, list, node_at};
 use std::time::{Duration, Instant};
 
-/// A first backend breaks under a request of which it has had all, and the connection to the only other one does not come up
-/// until the backends have forgotten the key: nothing is written there then, and the client is told before.
+/// A backend closes its connection after it has received a whole request. The connection to the only other
+/// backend is established after the time window of the key: the request must not be written there, and the
+/// client must have its response before.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_not_written() {
+fn a_retry_is_not_written_to_a_connection_established_after_the_window() {
     let (first, (second, full)) = (Listener::new(), Listener::full());
     let discovery = Listener::new();
     let known = list(41, true, &[("s-1", first.address(), "east", "in_service")]);
@@ -26,25 +28,25 @@
     client.request("submit", "", "x");
     let peer = first.next_request(&mut vec![peer]);
     watch.line(&list(42, false, &both));
-    // It knows the list once it asks for what comes after it.
+    // The node has applied the list once it asks for later changes.
     drop(watch);
     let mut watch = discovery.accept();
     assert!(watch.read().first.contains("from=42 "));
     drop(peer);
-    // Its window is over, and the connections come up.
+    // The window is over, and the connections are established.
     std::thread::sleep(Duration::from_millis(600));
     full.into_iter().for_each(|_| drop(second.accept()));
-    let (begun, mut peers) = (Instant::now(), Vec::new());
+    let (started, mut peers) = (Instant::now(), Vec::new());
     while !client.has_more() {
         peers.extend(second.try_accept());
-        assert!(!peers.iter().any(Peer::has_more), "it is written after its window");
-        assert!(begun.elapsed() < PEER_TIMEOUT, "it has no answer");
+        assert!(!peers.iter().any(Peer::has_more), "the retry is written after its window");
+        assert!(started.elapsed() < PEER_TIMEOUT, "the request has no response");
         std::thread::sleep(Duration::from_millis(1));
     }
     let answer = client.read();
     assert_eq!((answer.status(), answer.header("retry-after")), (502, None), "it may have run");
 
-    // The first request there is of somebody else.
+    // The first request at the other backend is one of another client.
     watch.begin_watch();
     watch.line(&list(43, false, &[("s-1", first.address(), "east", "terminating")]));
     let mut other = node.client();
@@ -56,7 +58,7 @@
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_is_sent_again_within_its_zone_only() {
+fn a_keyed_request_that_may_have_run_is_retried_only_within_its_zone() {
     for zone in ["east", "west"] {
         let (one, other) = (Listener::new(), Listener::new());
         let (node, _discovery) = node_at(&[one.address(), other.address()], zone);
--- a/crates/marlwinch/tests/service.rs
+++ b/crates/marlwinch/tests/service.rs
@@ -1,5 +1,5 @@
-//! The platform's node in daily service: calls at its second address, other settings at SIGHUP, a new process beside the
-//! one that runs.
+//! The platform's node in daily service: calls at its second address, other settings at SIGHUP, a new process
+//! beside the one that runs.
 
 mod folder;
 mod peers;
@@ -32,13 +32,13 @@
 
 /// Waits until the figures are so.
 fn until(console: SocketAddr, holds: impl Fn(&serde_json::Value) -> bool) {
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         let figures = figures(console);
         if holds(&figures) {
             return;
         }
-        assert!(begun.elapsed() < PEER_TIMEOUT, "the figures stay {figures}");
+        assert!(started.elapsed() < PEER_TIMEOUT, "the figures stay {figures}");
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
 }
@@ -70,9 +70,9 @@
             stream
         })
         .collect();
-    let begun = Instant::now();
+    let started = Instant::now();
     while call(console, "HEALTH").first().map(String::as_str) != Some("ACK") {
-        assert!(begun.elapsed() < PEER_TIMEOUT, "it is never ready");
+        assert!(started.elapsed() < PEER_TIMEOUT, "it is never ready");
     }
     assert!(call(console, "EXPLODE")[0].starts_with("NAK"));
     assert!(call(console, &"x".repeat(10_000))[0].starts_with("NAK"));
@@ -180,9 +180,9 @@
         let mut held = backend.next_request(&mut peers);
         let new = Node::start_in(&with_console(&[&backend], &discovery, beside), &folder.0);
         let new_console = console(&new);
-        let begun = Instant::now();
+        let started = Instant::now();
         while call(new_console, "HEALTH").first().map(String::as_str) != Some("ACK") {
-            assert!(begun.elapsed() < PEER_TIMEOUT, "the new one never takes clients");
+            assert!(started.elapsed() < PEER_TIMEOUT, "the new one never takes clients");
         }
         old.logged("a new process takes the connections");
         // Whoever connects now is the new one's, before and after the old one was told to end.
@@ -258,9 +258,9 @@
         [("s-1", backend.address(), "east", "terminated"), ("s-2", next.address(), "east", "in_service")];
     watch.line(&list(42, false, &both));
     until(console, |f| f["pool_size"] == 1);
-    let begun = Instant::now();
+    let started = Instant::now();
     while !backend_is(&node, &next) {
-        assert!(begun.elapsed() < PEER_TIMEOUT, "the new list is not used");
+        assert!(started.elapsed() < PEER_TIMEOUT, "the new list is not used");
     }
     // A watch that ends is asked for anew, from there on.
     drop(watch);
--- a/crates/marlwinch/tests/structure.rs
+++ b/crates/marlwinch/tests/structure.rs
@@ -1,17 +1,19 @@
-//! The structure that `docs/architecture.md` describes: which packages depend on which, and that modules of a package have
-//! no dependency cycle.
+//! The structure that `docs/architecture.md` describes: which packages depend on which, and that modules of a
+//! package have no dependency cycle.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Packages without I/O that are no decisions and no state: messages, and values with units.
+/// Packages without I/O that are in neither of the layers `decisions` and `state`: messages, and values with
+/// units.
 const PURE: [&str; 2] = ["control-protocol", "units"];
-/// The programs that run as a role.
+/// The packages that run as a process of their own.
 const ROLES: [&str; 4] = ["coordinator", "agent", "data-plane", "standalone-proxy"];
-/// What a role uses of the packages for tests and experiments: the recorder writes the generator's traces.
+/// Packages for tests and experiments that a role may use: the recorder writes traces in the load generator's
+/// format.
 const USED_BY_ROLES: [(&str, &str); 1] = [("standalone-proxy", "load-generator")];
 
-/// Modules, or packages, with those that each depends on.
+/// Modules or packages, each with its dependencies.
 type Graph = BTreeMap<String, BTreeSet<String>>;
 
 fn root() -> PathBuf {
@@ -26,7 +28,7 @@
     names
 }
 
-/// The packages of this workspace that a package depends on, except for its tests.
+/// The packages of this workspace that a package depends on, without its dev-dependencies.
 fn dependencies(package: &str) -> Vec<String> {
     let manifest = std::fs::read_to_string(root().join("crates").join(package).join("Cargo.toml"));
     let manifest = manifest.expect("a manifest");
@@ -37,7 +39,7 @@
     names.filter(|name| packages.contains(name)).collect()
 }
 
-/// The packages of a layer, by the table of the architecture page.
+/// The packages of a layer, from the table of the architecture page.
 fn layer(name: &str) -> Vec<String> {
     let page = std::fs::read_to_string(root().join("docs/architecture.md")).expect("the page");
     let start = format!("| {name} | ");
@@ -78,7 +80,7 @@
     }
 }
 
-/// The modules below a folder of sources with their texts, by their paths in the package. Tests are left out.
+/// The modules below a source folder with their texts, by their paths in the package, without tests.
 fn modules(sources: &Path) -> BTreeMap<String, String> {
     let mut modules = BTreeMap::new();
     let mut folders = vec![(sources.to_path_buf(), String::new())];
@@ -103,8 +105,8 @@
     if prefix.is_empty() { name.to_string() } else { format!("{prefix}::{name}") }
 }
 
-/// The paths that begin with `crate` or `super` in a module, from the root of the package. What stands in braces behind a path
-/// gives one path each.
+/// The paths in a module that start with `crate` or `super`, from the root of the package. A list in braces
+/// gives one path for each item.
 fn paths_in(module: &str, text: &str) -> Vec<String> {
     let code: String = text.lines().map(|line| line.split("//").next().unwrap_or_default()).collect();
     let mut paths = Vec::new();
@@ -120,7 +122,7 @@
     paths
 }
 
-/// The paths that a text begins with: `crate::a::b`, `super::a` or `crate::a::{b, c}`.
+/// The paths at the start of a text: `crate::a::b`, `super::a` or `crate::a::{b, c}`.
 fn resolve(module: &str, text: &str) -> Vec<String> {
     let is_path = |c: char| c.is_alphanumeric() || c == '_' || c == ':';
     let end = text.find(|c| !is_path(c)).unwrap_or(text.len());
@@ -140,7 +142,7 @@
     names.map(|name| join(&path, name)).collect()
 }
 
-/// Which siblings among modules depend on which. A module and those below it count as one to their siblings.
+/// The dependencies between sibling modules. A module and its submodules count as one.
 fn sibling_graph(modules: &BTreeMap<String, String>) -> Graph {
     let mut graph = Graph::new();
     for (module, text) in modules {
@@ -154,7 +156,8 @@
     graph
 }
 
-/// The ancestors of two modules, or they themselves, that lie beside each other. `None` if one lies in the other.
+/// The ancestors of two modules, or the modules themselves, that are siblings. `None` if one contains the
+/// other.
 fn siblings(one: &str, other: &str) -> Option<(String, String)> {
     let (one, other): (Vec<&str>, Vec<&str>) = (one.split("::").collect(), other.split("::").collect());
     let common = one.iter().zip(&other).take_while(|(one, other)| one == other).count();
@@ -162,7 +165,8 @@
     is_apart.then(|| (one[..=common].join("::"), other[..=common].join("::")))
 }
 
-/// What is left once all that depends on nothing left is taken away: the members of cycles, and what depends on them.
+/// Removes nodes without remaining dependencies until none is left to remove. Returns the rest: the members
+/// of cycles, and the nodes that depend on them.
 fn in_cycles(graph: &Graph) -> BTreeSet<String> {
     let mut left: BTreeSet<String> = graph.keys().cloned().collect();
     loop {
@@ -188,7 +192,7 @@
 }
 
 #[test]
-fn a_dependency_cycle_is_noticed() {
+fn a_dependency_cycle_is_detected() {
     let text = |text: &str| text.to_string();
     let mut modules = BTreeMap::from([
         (text("chain"), text("use crate::message::Append;\nuse super::log;")),
--- a/crates/marlwinch/tests/trials.rs
+++ b/crates/marlwinch/tests/trials.rs
@@ -1,4 +1,4 @@
-//! The plans that ship, played with processes of this program, and the command around them.
+//! Runs the built-in plans with processes of this program, and tests the command `trial`.
 
 mod peers;
 
@@ -7,8 +7,8 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Plays a plan by the command. A machine that is busy with something else gets two more tries: a run without a verdict is no
-/// verdict, either way.
+/// Runs a plan and asserts that it passes. On a busy machine a run may have no verdict, which is neither a
+/// pass nor a failure, so there are up to three runs.
 fn passes(plan: &str, seed: &str) {
     for _ in 0..3 {
         let output = command(&["trial", "run", plan, "--seed", seed]);
@@ -23,41 +23,41 @@
             code => panic!("{plan} seed {seed}: {code:?}\n{said}"),
         }
     }
-    panic!("the machine is too busy for any verdict");
+    panic!("the machine is too busy: three runs without a verdict");
 }
 
 #[test]
-fn a_node_that_is_killed_is_replaced_by_the_others() {
+fn other_nodes_take_over_from_a_killed_node() {
     passes("killed", "1");
 }
 
 #[test]
-fn nodes_that_wake_up_late_send_nothing_on_that_is_over() {
+fn nodes_that_resume_after_a_stall_send_no_expired_requests() {
     passes("stalled", "1");
 }
 
 #[test]
-fn nodes_that_restart_in_turn_lose_nothing() {
+fn rolling_restarts_lose_no_requests() {
     passes("in-turn", "1");
 }
 
 #[test]
-fn nodes_that_all_come_back_at_once_serve_again() {
+fn nodes_that_all_restart_at_once_serve_again() {
     passes("all-at-once", "1");
 }
 
 #[test]
-fn nodes_that_do_not_hear_discovery_go_on() {
+fn nodes_serve_on_while_discovery_is_silent() {
     passes("silent-discovery", "1");
 }
 
 #[test]
-fn answers_that_are_lost_run_nothing_twice() {
+fn lost_responses_cause_no_second_execution() {
     passes("answers-lost", "1");
 }
 
 #[test]
-fn a_slow_way_to_a_site_is_borne() {
+fn a_slow_link_to_a_site_breaks_no_rule() {
     passes("slow-site", "1");
 }
 
@@ -67,25 +67,25 @@
 }
 
 #[test]
-fn what_is_repeated_through_another_node_runs_once() {
+fn a_retry_through_another_node_executes_once() {
     passes("other-node", "1");
 }
 
 #[test]
-fn five_draws_pass() {
+fn five_random_plans_pass() {
     for seed in ["1", "10", "18", "23", "26"] {
         passes("draws", seed);
     }
 }
 
 #[test]
-fn no_node_outlives_a_rig_that_is_killed() {
-    let mut rig = Command::new(env!("CARGO_BIN_EXE_marlwinch"))
+fn no_node_outlives_a_killed_trial() {
+    let mut trial = Command::new(env!("CARGO_BIN_EXE_marlwinch"))
         .args(["trial", "run", "killed"])
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
-        .expect("the rig");
+        .expect("the trial starts");
     let children = |of: u32| -> Vec<u32> {
         let tasks = std::fs::read_dir(format!("/proc/{of}/task")).into_iter().flatten().flatten();
         let lists = tasks.filter_map(|task| std::fs::read_to_string(task.path().join("children")).ok());
@@ -93,28 +93,28 @@
             .flat_map(|list| list.split(' ').filter_map(|pid| pid.parse().ok()).collect::<Vec<_>>())
             .collect()
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut all: Vec<u32> = Vec::new();
-    // Three keepers, and a node under each.
-    while all.len() < 6 && begun.elapsed() < Duration::from_secs(30) {
-        let keepers = children(rig.id());
-        all = keepers.iter().flat_map(|keeper| children(*keeper)).chain(keepers.iter().copied()).collect();
+    // Three supervisors, each with a node.
+    while all.len() < 6 && started.elapsed() < Duration::from_secs(30) {
+        let supervisors = children(trial.id());
+        all = supervisors.iter().flat_map(|pid| children(*pid)).chain(supervisors.iter().copied()).collect();
     }
     assert_eq!(all.len(), 6, "{all:?}");
-    rig.kill().expect("killed");
-    rig.wait().expect("ended");
-    let runs = |pid: &u32| {
+    trial.kill().expect("killed");
+    trial.wait().expect("ended");
+    let is_running = |pid: &u32| {
         let state = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
         Path::new(&format!("/proc/{pid}")).exists() && !state.contains(") Z")
     };
-    while all.iter().any(runs) && begun.elapsed() < Duration::from_secs(60) {
+    while all.iter().any(is_running) && started.elapsed() < Duration::from_secs(60) {
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(!all.iter().any(runs), "{all:?}");
+    assert!(!all.iter().any(is_running), "{all:?}");
 }
 
 #[test]
-fn the_command_separates_a_bad_plan_from_a_finding_and_judges_again_what_it_wrote() {
+fn exit_codes_tell_invalid_plans_from_violations_and_judge_repeats_a_verdict() {
     let output = command(&["trial", "list"]);
     let said = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(said.lines().count() == 10 && said.contains("stalled "), "{said}");
@@ -124,7 +124,8 @@
     assert_eq!(output.status.code(), Some(2));
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(said.contains("the duration \"1\" has no unit") && said.contains("no `boxes`"), "{said}");
-    // A bound that no run can keep is a finding, told with its story, and judged the same from what was written.
+    // No run can keep this bound: the violation is reported, and `judge` repeats the verdict from the written
+    // history.
     let plan = peers::OnDisk::new(
         "name = \"strict\"\nlength = \"1s\"\nnodes = { count = 1 }\nboxes = { count = 1 }\nbounds = { connections = 0 }\n\
          [[clients]]\nclass = \"look\"\nrepeat = \"safe\"\npath = \"/look/{n}\"\nrate = \"20/s\"\n",
@@ -141,7 +142,7 @@
     assert_eq!(output.status.code(), Some(1));
     let again = String::from_utf8_lossy(&output.stdout).into_owned();
     assert_eq!(again, said);
-    // Shrinking leaves nothing that the finding does not need.
+    // Shrinking leaves only what the violation needs.
     let output = command(&["trial", "shrink", plan.path(), "--plays", "3"]);
     assert_eq!(output.status.code(), Some(1));
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/marlwinch/tests/turns.rs
+++ b/crates/marlwinch/tests/turns.rs
@@ -1,12 +1,14 @@
-//! What comes to the node within one turn: the process is stopped, both sides do their part, and it goes on.
+//! Events that the node finds in one iteration of its event loop: the process is stopped, its peers act, and
+//! it continues.
 
 mod peers;
 
 use peers::{Listener, Node, PEER_TIMEOUT, Peer, config, list};
 use std::time::{Duration, Instant};
 
-/// A node that knows one backend and has a resting connection to it, with its watch.
-fn resting(old: &Listener, discovery: &Listener) -> (Node, Peer, Peer) {
+/// Starts a node with one backend and an idle connection to it. Returns the node, its watch and that
+/// connection.
+fn node_with_idle_connection(old: &Listener, discovery: &Listener) -> (Node, Peer, Peer) {
     let known = list(41, true, &[("s-1", old.address(), "east", "in_service")]);
     let node = Node::start(&config(discovery.address(), &known, |_| {}));
     let watch = discovery.open_watch();
@@ -18,15 +20,15 @@
     (node, watch, peer)
 }
 
-/// A drain, and requests that would go to the backend. Which socket the node reads first is chance, so that a request may be out
-/// by the time at which it knows of the drain, well within the grace. Each comes to one backend, once, and has that one's answer;
-/// once the drain is known none goes there.
+/// Which socket the node reads first is random, so a request may be sent to the draining backend before the
+/// node knows of the drain, well within the grace period. Each request must reach one backend, once, and none
+/// the draining backend once the drain is known.
 #[test]
-fn a_drain_and_requests_in_one_turn() {
+fn a_drain_and_requests_in_one_iteration() {
     let (old, new, discovery) = (Listener::new(), Listener::new(), Listener::new());
-    let (node, mut watch, peer) = resting(&old, &discovery);
+    let (node, mut watch, peer) = node_with_idle_connection(&old, &discovery);
     let (mut clients, mut at_old): (Vec<Peer>, _) = ((0..2).map(|_| node.client()).collect(), vec![peer]);
-    // They are taken: what comes on them then is a request and no connection.
+    // The connections are accepted now, so that only requests arrive on them later.
     for client in &mut clients {
         client.request("look", "", "");
         let mut peer = old.next_request(&mut at_old);
@@ -41,7 +43,7 @@
     let lines = [("s-1", old.address(), "east", "terminating"), ("s-2", new.address(), "east", "in_service")];
     watch.line(&list(42, false, &lines));
     drop(stopped);
-    let (begun, mut at_new, mut ids) = (Instant::now(), Vec::new(), Vec::new());
+    let (started, mut at_new, mut ids) = (Instant::now(), Vec::new(), Vec::new());
     while !clients.iter().all(Peer::has_more) {
         at_old.extend(old.try_accept());
         at_new.extend(new.try_accept());
@@ -49,7 +51,7 @@
             ids.push(peer.read().header("x-correlation-id").map(str::to_string));
             peer.answer("200 OK", "", "done");
         }
-        assert!(begun.elapsed() < PEER_TIMEOUT, "{ids:?} have come");
+        assert!(started.elapsed() < PEER_TIMEOUT, "only {ids:?} have arrived");
         std::thread::sleep(Duration::from_millis(1));
     }
     clients.iter_mut().for_each(|client| assert_eq!(client.read().status(), 200));
@@ -57,7 +59,7 @@
     ids.sort();
     ids.dedup();
     assert_eq!((sent, ids.len()), (clients.len(), clients.len()), "each once: {ids:?}");
-    // The drain is known: its connections are let go of with no further word, and what comes next goes elsewhere.
+    // The drain is known: the node closes its connections to the backend, and later requests go elsewhere.
     at_old.iter_mut().for_each(Peer::expect_end);
     clients[0].request("look", "", "");
     let mut peer = new.next_request(&mut at_new);
@@ -68,11 +70,12 @@
     }
 }
 
-/// An answer, and its client's leaving: nothing is kept of either.
+/// A response arrives together with the disconnect of its client: nothing of the request is kept, and its id
+/// is free.
 #[test]
-fn an_answer_and_its_clients_leaving_in_one_turn() {
+fn a_response_and_the_disconnect_of_its_client_in_one_iteration() {
     let (backend, discovery) = (Listener::new(), Listener::new());
-    let (node, _watch, peer) = resting(&backend, &discovery);
+    let (node, _watch, peer) = node_with_idle_connection(&backend, &discovery);
     let mut peers = vec![peer];
     for round in 0..10 {
         let mut client = node.client();
@@ -86,14 +89,14 @@
         drop(client);
         drop(stopped);
         peers.push(peer);
-        // Its id is free, and whoever asks next gets an answer of its own.
-        let begun = Instant::now();
+        // The id is free, and the next request with it gets its own response.
+        let started = Instant::now();
         loop {
             let mut next = node.client();
             next.request("correct", "X-Correlation-Id: same\r\n", "x");
             while !next.has_more() && !peers.iter().any(Peer::has_more) {
                 peers.extend(backend.try_accept());
-                assert!(begun.elapsed() < PEER_TIMEOUT, "nothing comes");
+                assert!(started.elapsed() < PEER_TIMEOUT, "nothing arrives");
                 std::thread::sleep(Duration::from_millis(1));
             }
             if !next.has_more() {
@@ -103,16 +106,17 @@
                 peers.push(peer);
                 break;
             }
-            // As long as the one before is not over there are two of that id, which is refused.
+            // As long as the previous request is not over, the id is in use, and the request is rejected.
             assert_eq!(next.read().status(), 400);
-            assert!(begun.elapsed() < PEER_TIMEOUT, "the id is never free");
+            assert!(started.elapsed() < PEER_TIMEOUT, "the id does not become free");
         }
     }
 }
 
-/// Clients leave, and 0.3 s later the backend that they wait for is listed, all told at once.
+/// Clients disconnect, and 0.3 s later the backend that they wait for is listed. Their requests must not be
+/// sent.
 #[test]
-fn a_listing_and_clients_that_have_left_in_one_turn() {
+fn a_new_backend_and_disconnected_clients_in_one_iteration() {
     let (backend, discovery) = (Listener::new(), Listener::new());
     let node = Node::start(&config(discovery.address(), &list(41, true, &[]), |c| {
         c["settings"]["Classes"][2]["Target"] = 1600.0.into();
--- a/crates/marlwinch/tests/watches.rs
+++ b/crates/marlwinch/tests/watches.rs
@@ -1,5 +1,5 @@
-//! What the node is told, just as it acts on something else: watches that fall silent, discovery that is down and back,
-//! lists in other forms, and backends that drain, restart or move between a pick and its first byte.
+//! Watches of discovery: silent ones, discovery that is down and comes back, lists in unusual forms, and
+//! backends that drain, restart or move between the selection of a backend and the first byte to it.
 
 mod peers;
 
@@ -14,15 +14,15 @@
     (Node::start(&config(discovery.address(), &known, change)), discovery)
 }
 
-/// Takes the node's next call for a watch, which asks for what came after this version.
+/// Accepts the node's next watch, which must ask for changes after this generation.
 fn next_watch(discovery: &Listener, from: u32) -> Peer {
     let mut watch = discovery.accept();
     assert_eq!(watch.read().first, format!("GET /v1/endpoints?watch=1&from={from} HTTP/1.1"));
     watch
 }
 
-/// Lets a client's unsafe request be served by whoever gets it, which must be this backend, on a new connection.
-fn served_anew(node: &Node, backend: &Listener) -> Peer {
+/// Sends an unsafe request that this backend must receive, on a new connection, and serve.
+fn serve_on_new_connection(node: &Node, backend: &Listener) -> Peer {
     let mut client = node.client();
     client.request("correct", "", "x");
     let mut peer = backend.next_request(&mut Vec::new());
@@ -31,33 +31,34 @@
     peer
 }
 
-/// What a silent watch misses counts as told 6 s after it fell silent, also where the one in its place is answered and then
-/// says nothing either.
+/// A drain counts as notified at the latest 6 s after its watch fell silent, so a silent watch must be
+/// replaced within that time, also if its replacement falls silent after its head.
 #[test]
-fn a_silent_watch_whose_replacement_is_silent_too_is_replaced_in_time() {
+fn a_silent_watch_and_its_silent_replacement_are_replaced_in_time() {
     let backend = Listener::new();
     let (_node, discovery) = node_with(backend.address(), |_| {});
     let mut first = next_watch(&discovery, 41);
     first.begin_watch();
     first.line("");
-    let silent = Instant::now();
+    let silent_since = Instant::now();
     let mut second = next_watch(&discovery, 41);
     second.begin_watch();
     let mut third = next_watch(&discovery, 41);
-    assert!(silent.elapsed() < Duration::from_secs(7), "after {:?}", silent.elapsed());
+    assert!(silent_since.elapsed() < Duration::from_secs(7), "after {:?}", silent_since.elapsed());
     third.begin_watch();
 }
 
-/// While discovery is down it takes calls and says nothing on them, nor does it when it is back: a new one has to come, within
-/// the grace for drains, as what discovery gets at its return counts at once.
+/// While discovery is down it accepts watches and sends nothing on them, also after its return. So the node
+/// must open a new watch within the grace period for drains, as lists that discovery has at its return take
+/// effect at once.
 #[test]
-fn discovery_that_is_back_is_asked_within_the_grace_for_drains() {
+fn discovery_is_asked_again_within_the_drain_grace_after_its_return() {
     let (old, new) = (Listener::new(), Listener::new());
     let (node, discovery) = node_with(old.address(), |c| c["settings"]["Rules"]["DrainGrace"] = 300.0.into());
-    let mut resting = served_anew(&node, &old);
-    let begun = Instant::now();
+    let mut idle = serve_on_new_connection(&node, &old);
+    let started = Instant::now();
     let mut down = Vec::new();
-    while begun.elapsed() < Duration::from_millis(700) {
+    while started.elapsed() < Duration::from_millis(700) {
         down.extend(discovery.try_accept());
         std::thread::sleep(Duration::from_millis(1));
     }
@@ -68,13 +69,13 @@
     watch.begin_watch();
     let lines = [("s-1", old.address(), "east", "terminating"), ("s-2", new.address(), "east", "in_service")];
     watch.line(&list(42, false, &lines));
-    resting.expect_end();
-    served_anew(&node, &new);
+    idle.expect_end();
+    serve_on_new_connection(&node, &new);
     assert!(old.is_untouched());
 }
 
 #[test]
-fn a_list_may_come_indented_and_behind_one_that_was_cut_short() {
+fn an_indented_list_behind_a_truncated_one_is_applied() {
     let (old, new) = (Listener::new(), Listener::new());
     let (node, discovery) = node_with(old.address(), |_| {});
     let mut watch = next_watch(&discovery, 41);
@@ -90,14 +91,14 @@
     for line in pretty(&two).lines() {
         watch.line(line);
     }
-    // It is known once the connections to the backend before are of no use: a new watch goes on from there.
+    // A new watch starts from the generation that the node has applied.
     drop(watch);
     next_watch(&discovery, 44);
-    served_anew(&node, &new);
+    serve_on_new_connection(&node, &new);
     assert!(old.is_untouched());
 }
 
-/// A drain is told while the connection of what was picked for the backend is not up: nothing is written when it is.
+/// The drain arrives while the connection for a request to this backend is being established.
 #[test]
 fn nothing_is_written_to_a_backend_whose_drain_was_notified_during_the_connect() {
     let ((old, full), new) = (Listener::full(), Listener::new());
@@ -116,45 +117,45 @@
         false,
         &[("s-1", old.address(), "east", "terminating"), ("s-2", new.address(), "east", "in_service")],
     ));
-    served_anew(&node, &new);
-    // Once those that filled its queue are out of it, the system tries again by itself.
+    serve_on_new_connection(&node, &new);
+    // Once the backlog has room, the kernel retries the connect.
     full.into_iter().for_each(|_| drop(old.accept()));
     let mut peers = vec![old.accept()];
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut at_new: Vec<Peer> = Vec::new();
     loop {
         peers.extend(old.try_accept());
-        assert!(!peers.iter().any(Peer::has_more), "it is written to a box that drains");
+        assert!(!peers.iter().any(Peer::has_more), "a request is written to a draining backend");
         at_new.extend(new.try_accept());
         if let Some(peer) = at_new.iter_mut().find(|peer| peer.has_more()) {
             peer.read();
             peer.answer("200 OK", "", "done");
             break;
         }
-        assert!(begun.elapsed() < PEER_TIMEOUT, "nobody asks");
+        assert!(started.elapsed() < PEER_TIMEOUT, "no request arrives");
         std::thread::sleep(Duration::from_millis(1));
     }
     assert_eq!(client.read().status(), 200);
 }
 
-/// A backend that was restarted under its id and address is another process: connections to the one before are of no use.
+/// A backend that restarted with its id and address is another process, so old connections to it are useless.
 #[test]
-fn a_backend_that_comes_back_under_its_id_is_met_on_new_connections() {
+fn a_restarted_backend_gets_new_connections() {
     let backend = Listener::new();
     let (node, discovery) = node_with(backend.address(), |_| {});
     let mut watch = next_watch(&discovery, 41);
     watch.begin_watch();
-    let mut resting = served_anew(&node, &backend);
+    let mut idle = serve_on_new_connection(&node, &backend);
     let line = list(42, false, &[("s-1", backend.address(), "east", "in_service")]);
     watch.line(&line.replace("\"startedAtMs\":0", "\"startedAtMs\":1700000000250"));
-    resting.expect_end();
-    served_anew(&node, &backend);
+    idle.expect_end();
+    serve_on_new_connection(&node, &backend);
 }
 
-/// SIGHUP names a discovery that is not up, and another one right after: the list goes on as it was, and the last one named
-/// is the one that counts, whatever its generations.
+/// A reload names a discovery that is down, and a second reload another one: the node keeps its list
+/// meanwhile and uses the last discovery, whatever its generations are.
 #[test]
-fn two_moves_in_a_row_of_which_the_first_leads_nowhere_end_at_the_last() {
+fn two_changes_of_discovery_of_which_the_first_is_down_end_at_the_last() {
     let (old, new) = (Listener::new(), Listener::new());
     let (node, discovery) = node_with(old.address(), |_| {});
     let mut watch = next_watch(&discovery, 41);
@@ -169,18 +170,18 @@
     let last = Listener::new();
     node.reload(&config(last.address(), &known, |_| {}));
     let mut moved = next_watch(&last, 0);
-    // Until its first list is there, the one before still tells.
-    drop(served_anew(&node, &old));
+    // The previous list applies until the first list of the new discovery arrives.
+    drop(serve_on_new_connection(&node, &old));
     moved.begin_watch();
     moved.line(&list(3, true, &[("s-2", new.address(), "east", "in_service")]));
     watch.expect_end();
-    served_anew(&node, &new);
+    serve_on_new_connection(&node, &new);
 }
 
-/// Another class in a hurry does not take from a request the time that it has: an answer may pause for longer than a
-/// quarter of the shortest aim of all.
+/// A class with a short target does not shorten the time of other classes: a response may pause for longer
+/// than a quarter of the shortest target of all classes.
 #[test]
-fn a_class_in_a_hurry_leaves_the_others_their_time() {
+fn a_class_with_a_short_target_does_not_shorten_the_time_of_others() {
     let backend = Listener::new();
     let (node, _discovery) = node_with(backend.address(), |c| {
         c["settings"]["Classes"][0]["Target"] = 40.0.into();
@@ -196,13 +197,13 @@
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"done"[..]));
 }
 
-/// Discovery answers each watch and ends it at once: it is called again after pauses that grow, not without end.
+/// Discovery ends each watch right after its head.
 #[test]
-fn discovery_that_ends_each_watch_at_once_is_not_called_without_a_pause() {
+fn watches_that_end_at_once_are_reopened_with_back_off() {
     let backend = Listener::new();
     let (_node, discovery) = node_with(backend.address(), |_| {});
-    let (begun, mut calls) = (Instant::now(), 0u32);
-    while begun.elapsed() < Duration::from_secs(2) {
+    let (started, mut calls) = (Instant::now(), 0u32);
+    while started.elapsed() < Duration::from_secs(2) {
         if let Some(mut watch) = discovery.try_accept() {
             if watch.try_read().is_some() {
                 watch.begin_watch();
@@ -213,24 +214,24 @@
         std::thread::sleep(Duration::from_micros(200));
     }
     // After 0.1, 0.2, 0.4 ... s.
-    assert!((2..=6).contains(&calls), "{calls} calls within 2 s");
+    assert!((2..=6).contains(&calls), "{calls} watches within 2 s");
 }
 
-/// A list that does not end: its watch is given up, and the list stays as it was.
+/// A list without end exceeds the size limit: its watch is closed, and the current list stays.
 #[test]
-fn a_list_larger_than_any_ends_its_watch_and_changes_nothing() {
+fn a_list_beyond_the_size_limit_closes_its_watch_and_changes_nothing() {
     let backend = Listener::new();
     let (node, discovery) = node_with(backend.address(), |_| {});
     let mut watch = next_watch(&discovery, 41);
     watch.begin_watch();
     let piece = format!("{:x}\r\n{}\r\n", 1 << 16, " ".repeat(1 << 16));
     watch.write("20\r\n{\"generation\":99,\"reset\":true, \r\n");
-    // Some more than it reads; it may be over before all of that is written.
+    // More than the limit; the node may close before all of it is written.
     for _ in 0..48 {
         if std::io::Write::write_all(&mut watch.stream, piece.as_bytes()).is_err() {
             break;
         }
     }
     next_watch(&discovery, 41);
-    served_anew(&node, &backend);
+    serve_on_new_connection(&node, &backend);
 }
