--- a/crates/fault-injection/src/bin/trial-standin.rs
+++ b/crates/fault-injection/src/bin/trial-standin.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// One of this number of requests is handled wrongly.
+/// One in this many requests is handled wrongly.
 const FAULT_INTERVAL: u64 = 10;
 /// How long after its start a node with [`Misbehaviour::FailAfterAWhile`] begins to fail requests.
 const FAILS_AFTER: Duration = Duration::from_secs(2);
@@ -28,9 +28,9 @@
     None,
     /// Sends all requests to one backend.
     OverloadOne,
-    /// Does not respond.
+    /// Does not respond to a request.
     Silent,
-    /// Closes without a response.
+    /// Closes the connection without a response.
     CloseEarly,
     /// Forwards a request after its client has timed out.
     ForwardLate,
@@ -72,7 +72,7 @@
     backends: Vec<SocketAddr>,
     requests: AtomicU64,
     started_at: Instant,
-    /// The connections that are never closed.
+    /// Connections that stay open, for [`Misbehaviour::LeakConnections`].
     leaked: Mutex<Vec<TcpStream>>,
 }
 
--- a/crates/fault-injection/src/checkers/attempts.rs
+++ b/crates/fault-injection/src/checkers/attempts.rs
@@ -7,18 +7,18 @@
 /// The start of an attempt's execution at a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Execution {
-    /// When it started, µs.
+    /// The time of the start, µs since the start of the run.
     pub at_us: u64,
-    /// The backend.
+    /// The name of the backend that executes the attempt.
     pub backend: String,
-    /// The index of the entry that records it.
+    /// The index of the history's entry that records the start.
     pub entry: usize,
 }
 
 /// An attempt of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// Its id.
+    /// The id of the attempt, unique in the run.
     pub id: String,
     /// The id of the request, which is that of its first attempt.
     pub request: String,
@@ -26,7 +26,7 @@
     pub node: String,
     /// Whether its request may be executed more than once.
     pub idempotency: Idempotency,
-    /// When it was sent, µs.
+    /// The time at which the client sent it, µs since the start of the run.
     pub sent_us: u64,
     /// How long its client waits for a response, µs.
     pub timeout_us: u64,
@@ -43,7 +43,7 @@
 /// How an attempt ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// With a response.
+    /// The client received a complete response of this kind.
     Response(ResponseKind),
     /// The client timed out and closed the connection.
     TimedOut,
@@ -56,9 +56,9 @@
 /// A span of time, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimeSpan {
-    /// Its start, µs.
+    /// The start, µs since the start of the run.
     pub from_us: u64,
-    /// Its end, µs.
+    /// The end, µs since the start of the run.
     pub to_us: u64,
 }
 
--- a/crates/fault-injection/src/checkers/drains.rs
+++ b/crates/fault-injection/src/checkers/drains.rs
@@ -12,7 +12,7 @@
 /// The notification of a node of a drain.
 struct DrainNotice {
     at_us: u64,
-    /// The index of its entry.
+    /// The index of the history's entry that records the notification.
     entry: usize,
 }
 
--- a/crates/fault-injection/src/checkers/load.rs
+++ b/crates/fault-injection/src/checkers/load.rs
@@ -12,7 +12,7 @@
 /// The most connections to a target within a window.
 struct ConnectionLimit {
     window_us: u64,
-    /// The window, as shown in a violation.
+    /// The length of the window as text, for the description of a violation.
     window_name: &'static str,
     connections: u64,
 }
@@ -36,9 +36,9 @@
 
 /// Connections to a target beyond its limit.
 struct Excess {
-    /// When the limit was first exceeded, µs.
+    /// The time at which the limit was first exceeded, µs since the start of the run.
     at_us: u64,
-    /// The index of the entry that exceeded it.
+    /// The index of the history's entry that first exceeded the limit.
     entry: usize,
     /// The largest number of connections within a window.
     max_connections: u64,
--- a/crates/fault-injection/src/checkers/mod.rs
+++ b/crates/fault-injection/src/checkers/mod.rs
@@ -24,7 +24,7 @@
 use crate::history::{Event, History};
 use serde::Serialize;
 
-/// All checkers.
+/// All checkers, one per rule, in the order in which they are run.
 pub fn all() -> Vec<Box<dyn Checker>> {
     vec![
         Box::new(ResponseChecker),
@@ -53,9 +53,9 @@
     /// The trial's own timers were later than the plan allows, so the history does not show whether a rule
     /// was broken.
     NoVerdict {
-        /// The maximum lateness, ms.
+        /// The maximum lateness of the trial's timers, ms.
         late_ms: u64,
-        /// The maximum that the plan allows, ms.
+        /// The maximum lateness that the plan allows, ms.
         #[serde(rename = "bears_ms")]
         max_lateness_ms: u64,
     },
--- a/crates/fault-injection/src/checkers/recovery.rs
+++ b/crates/fault-injection/src/checkers/recovery.rs
@@ -50,7 +50,7 @@
 }
 
 struct RequestOutcome {
-    /// When its first attempt was sent, µs.
+    /// The time at which the first attempt was sent, µs since the start of the run.
     sent_us: u64,
     /// Whether any of its attempts was served.
     is_served: bool,
--- a/crates/fault-injection/src/checkers/violation.rs
+++ b/crates/fault-injection/src/checkers/violation.rs
@@ -9,10 +9,10 @@
 pub struct Violation {
     /// The name of the checker.
     pub checker: &'static str,
-    /// What happened, in one line.
+    /// A description of the violation for reports, in one line.
     #[serde(rename = "what")]
     pub description: String,
-    /// When, µs since the start of the run.
+    /// The time of the violation, µs since the start of the run.
     #[serde(rename = "t")]
     pub at_us: u64,
     /// The indexes of the entries of the history that show it, as few as possible.
@@ -22,12 +22,12 @@
 
 /// Checks a history against one rule.
 pub trait Checker {
-    /// Its name, which is a key in verdicts and reports.
+    /// The name of the checker, which is a key in verdicts and reports.
     fn name(&self) -> &'static str;
 
-    /// Its rule, in one line.
+    /// The rule that the history must satisfy, in one line for reports.
     fn rule(&self) -> &'static str;
 
-    /// The violations of its rule.
+    /// Returns the violations of the rule; empty if the history satisfies it.
     fn check(&self, history: &History, attempts: &Attempts) -> Vec<Violation>;
 }
--- a/crates/fault-injection/src/client_load.rs
+++ b/crates/fault-injection/src/client_load.rs
@@ -30,12 +30,12 @@
 
 struct IdleConnection {
     stream: TcpStream,
-    /// The id of the last attempt on it.
+    /// The id of the last attempt on the connection.
     last_attempt: String,
 }
 
 impl IdleConnection {
-    /// Whether it may be reused: it is open, and no bytes have arrived after its last response. Records such
+    /// Whether the connection is open and no bytes have arrived after its last response. Records such
     /// bytes.
     fn is_reusable(&self, recorder: &Recorder) -> bool {
         match self.stream.try_read(&mut [0; 256]) {
@@ -109,7 +109,6 @@
     UnexpectedData,
 }
 
-/// A complete response.
 struct Response {
     status: u16,
     connection: ConnectionState,
@@ -155,13 +154,13 @@
 
 /// Sends the requests of one client group.
 pub struct LoadSource {
-    /// The group.
+    /// The client group, which sets the rate, the request and the time-out.
     pub clients: ClientGroup,
     /// The index of the group in the plan, which is part of its request ids.
     pub group: usize,
-    /// The connections to the nodes.
+    /// The nodes, and idle connections to them; shared by all groups.
     pub pool: Arc<ConnectionPool>,
-    /// Records the attempts and their outcomes.
+    /// The recorder of the run, which gets the attempts and their outcomes.
     pub recorder: Recorder,
 }
 
@@ -170,7 +169,7 @@
     id: &'a str,
     /// The id of the first attempt.
     request: &'a str,
-    /// The index of the node.
+    /// The index of the node in the pool.
     node: usize,
     /// The number of the request in its group.
     number: usize,
@@ -287,7 +286,7 @@
         }
     }
 
-    /// The HTTP request of an attempt.
+    /// The HTTP request of an attempt, with its id in `X-Correlation-Id`.
     fn request_text(&self, attempt: &Attempt) -> String {
         let (clients, id, request) = (&self.clients, attempt.id, attempt.request);
         let path = clients.path.replace("{n}", &attempt.number.to_string());
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -45,23 +45,23 @@
 struct NodeState {
     process: Option<Process>,
     starts: u64,
-    /// Its resources when it became ready.
+    /// The resources of the process when it became ready.
     initial_resources: ResourceUsage,
-    /// The names of the backends whose drain it was notified of.
+    /// The names of the backends whose drain the node was notified of.
     draining: Vec<String>,
 }
 
 /// A node with its links and its own discovery server.
 pub struct Node {
-    /// Its name.
+    /// The name of the node, unique in the fleet.
     pub name: String,
     position: NodePosition,
     folder: ProcessFolder,
-    /// The link that its clients use.
+    /// The link from the clients to the node.
     pub client_link: Relay,
-    /// Its links to the backends, by backend index.
+    /// The links from the node to the backends, by backend index.
     pub backend_links: Vec<Relay>,
-    /// Its link to discovery.
+    /// The link from the node to its discovery server.
     pub discovery_link: Relay,
     discovery: Discovery,
     state: Mutex<NodeState>,
@@ -188,7 +188,7 @@
         move || recorder.record(&target, Event::Connected { node: node.clone() })
     }
 
-    /// All backends as a node reaches them.
+    /// All backends, each with the address of its relay and its drain state for a node.
     fn links_of(&self, node: &Node, draining: &[String]) -> Vec<BackendLink> {
         let links = self.backends.iter().zip(&node.backend_links);
         links
@@ -229,7 +229,7 @@
     /// Starts the process of a node, without waiting until it is ready.
     ///
     /// # Errors
-    /// Its file can't be written, or its process can't be started.
+    /// The node's file can't be written, or its process can't be started.
     pub fn launch(&self, node: &Node) -> Result<(), RunError> {
         let mut state = lock(&node.state);
         state.starts += 1;
@@ -252,7 +252,7 @@
     /// Waits until a launched node accepts requests, points its clients' link to it, and records it as ready.
     ///
     /// # Errors
-    /// It exits before that, or takes too long.
+    /// The node exits before that, or takes too long.
     pub fn wait_until_ready(&self, node: &Node) -> Result<(), RunError> {
         let mut state = lock(&node.state);
         let Some(process) = &state.process else { return Ok(()) };
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -12,42 +12,42 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Idempotency {
-    /// Any number of times.
+    /// They may be executed any number of times.
     Safe,
     /// Only at backends that recognize its idempotency key as seen.
     Keyed,
-    /// At most once.
+    /// They may be executed at most once, also when the response is lost.
     Unsafe,
 }
 
-/// The class of a response, by its status.
+/// The class of a response, by its HTTP status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ResponseKind {
-    /// 2xx.
+    /// The status is 200 to 299.
     Served,
     /// 429 or 503: the request was not executed, so a retry is safe.
     #[serde(rename = "refused")]
     Rejected,
-    /// Any other status.
+    /// Any other status: the request may have been executed.
     Failed,
 }
 
-/// A change of the state of a process.
+/// A change of the state of a process, or a signal that the trial sent to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ProcessEvent {
-    /// It accepts requests.
+    /// The process accepts requests after a start or restart.
     Ready,
-    /// It was paused (SIGSTOP).
+    /// The trial paused the process with SIGSTOP.
     #[serde(rename = "stopped")]
     Paused,
-    /// It was resumed (SIGCONT).
+    /// The trial resumed the process with SIGCONT.
     #[serde(rename = "woken")]
     Resumed,
-    /// It was killed (SIGKILL).
+    /// The trial killed the process with SIGKILL.
     Killed,
-    /// It was asked to shut down (SIGTERM).
+    /// The trial asked the process to shut down with SIGTERM.
     #[serde(rename = "told")]
     Terminating,
     /// It exited, with its exit code or the negative number of the signal that ended it.
@@ -59,11 +59,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct Holds")]
 pub struct ResourceUsage {
-    /// Open file descriptors.
+    /// The number of open file descriptors.
     pub descriptors: u64,
-    /// Threads.
+    /// The number of threads.
     pub threads: u64,
-    /// Resident memory, KiB.
+    /// The resident memory, in KiB.
     pub memory_kib: u64,
 }
 
@@ -95,18 +95,18 @@
     pub max_lateness_ms: u64,
 }
 
-/// An observation.
+/// An observation of the trial, stored under its kind in the key `what`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
 pub enum Event {
     /// The first entry: the configuration of the run.
     #[serde(rename = "begun")]
     RunStarted {
-        /// The plan's name.
+        /// The name of the plan that is executed.
         plan: String,
-        /// The seed of all random choices.
+        /// The seed of the run's random choices.
         seed: u64,
-        /// The names of the nodes.
+        /// The names of the nodes, by index.
         nodes: Vec<String>,
         /// The name and the site of each backend.
         #[serde(rename = "boxes")]
@@ -117,14 +117,14 @@
     /// A client sends an attempt of a request.
     #[serde(rename = "sent")]
     AttemptSent {
-        /// The attempt.
+        /// The id of the attempt, unique in the run.
         id: String,
-        /// The request: the id of its first attempt.
+        /// The id of the request, which is that of its first attempt.
         #[serde(rename = "of")]
         request: String,
-        /// The node.
+        /// The name of the node that it is sent to.
         node: String,
-        /// The class of the request.
+        /// The class of the client group that sends it.
         class: String,
         /// Whether requests of the class may be executed more than once.
         #[serde(rename = "repeat")]
@@ -136,7 +136,7 @@
     /// A client has received the complete response to an attempt.
     #[serde(rename = "answered")]
     ResponseReceived {
-        /// The attempt.
+        /// The id of the attempt.
         id: String,
         /// The class of the response.
         #[serde(rename = "how")]
@@ -147,31 +147,31 @@
     /// The client of an attempt has timed out and closed the connection.
     #[serde(rename = "gave-up")]
     TimedOut {
-        /// The attempt.
+        /// The id of the attempt.
         id: String,
     },
     /// The connection of an attempt ended without a complete response.
     #[serde(rename = "lost")]
     ConnectionLost {
-        /// The attempt.
+        /// The id of the attempt.
         id: String,
     },
     /// No connection could be opened for an attempt: nothing was sent.
     #[serde(rename = "not-taken")]
     ConnectFailed {
-        /// The attempt.
+        /// The id of the attempt.
         id: String,
     },
     /// Bytes arrived after the final response to an attempt.
     #[serde(rename = "extra")]
     UnexpectedData {
-        /// The attempt.
+        /// The id of the attempt.
         id: String,
     },
     /// A backend has received an attempt and executes or queues it.
     #[serde(rename = "began")]
     ExecutionStarted {
-        /// The attempt.
+        /// The id of the attempt.
         id: String,
     },
     /// A backend crashed because it was overloaded while it warmed up.
@@ -180,54 +180,54 @@
     /// A node was notified that a backend drains or is removed.
     #[serde(rename = "drained")]
     DrainNotified {
-        /// The node.
+        /// The name of the notified node.
         node: String,
-        /// The backend.
+        /// The name of the backend that drains or is removed.
         #[serde(rename = "of")]
         backend: String,
     },
     /// A node was notified that a backend is in service again.
     #[serde(rename = "back")]
     ReturnNotified {
-        /// The node.
+        /// The name of the notified node.
         node: String,
-        /// The backend.
+        /// The name of the backend that is in service again.
         #[serde(rename = "of")]
         backend: String,
     },
     /// A node opened a connection to this backend, or to discovery.
     Connected {
-        /// The node.
+        /// The name of the node that opened the connection.
         node: String,
     },
     /// A fault begins.
     #[serde(rename = "fault")]
     FaultStarted {
-        /// Its index in the plan.
+        /// The index of the fault in the plan.
         #[serde(rename = "number")]
         fault: usize,
-        /// What it is.
+        /// A description of the fault for reports.
         text: String,
     },
     /// A fault ends.
     #[serde(rename = "healed")]
     FaultEnded {
-        /// Its index in the plan.
+        /// The index of the fault in the plan.
         #[serde(rename = "number")]
         fault: usize,
     },
     /// The state of a process has changed.
     Process {
-        /// The change.
+        /// The new state, or the signal that was sent to the process.
         #[serde(rename = "did")]
         event: ProcessEvent,
     },
     /// The resources of a process when it became ready and after traffic had ended.
     #[serde(rename = "holds")]
     ResourcesMeasured {
-        /// When it became ready.
+        /// The usage when the process became ready.
         before: ResourceUsage,
-        /// After traffic.
+        /// The usage after traffic had ended.
         after: ResourceUsage,
     },
     /// Clients start to send requests.
@@ -238,12 +238,12 @@
     /// The maximum lateness of the trial's own timers during the run.
     #[serde(rename = "late")]
     TimersLate {
-        /// The maximum lateness, ms.
+        /// The longest time by which a timer overran, ms.
         by_ms: u64,
     },
 }
 
-/// An entry of a history.
+/// An observation with its time and source; one line of a stored history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Line")]
 pub struct Entry {
@@ -254,7 +254,7 @@
     /// for the trial itself.
     #[serde(rename = "by")]
     pub source: String,
-    /// What was observed.
+    /// The observation; its keys are stored beside the time and the source.
     #[serde(flatten)]
     pub event: Event,
 }
@@ -270,12 +270,12 @@
     /// Why a history can't be read.
     #[derive(Debug)]
     pub enum HistoryError {
-        /// A line can't be read.
+        /// Reading a line, numbered from 1, failed or it is not UTF-8.
         Read(line: usize, source: io::Error) {
             display("line {line}: {source}")
             source(source)
         }
-        /// A line is not a valid entry.
+        /// A line, numbered from 1, is not the JSON of an [`Entry`].
         Parse(line: usize, source: serde_json::Error) {
             display("line {line}: {source}")
             source(source)
@@ -290,7 +290,7 @@
 /// The entries of a run, sorted by time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct History {
-    /// The entries.
+    /// The entries, from the oldest to the newest.
     pub entries: Vec<Entry>,
 }
 
--- a/crates/fault-injection/src/node_files.rs
+++ b/crates/fault-injection/src/node_files.rs
@@ -13,42 +13,42 @@
 /// The state of a backend as a node is notified of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainState {
-    /// It accepts requests.
+    /// The backend may get new requests.
     InService,
-    /// It drains: it must not get new requests.
+    /// The backend drains and must not get new requests.
     Draining,
 }
 
 /// A backend as one node reaches it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendLink {
-    /// The backend's name.
+    /// The name of the backend, unique in the fleet.
     pub name: String,
-    /// Its site.
+    /// The site that the backend is located at.
     pub site: String,
     /// The address of the relay between the node and the backend.
     pub address: SocketAddr,
-    /// Its state as the node is notified of it.
+    /// The state of the backend as the node is notified of it.
     pub drain_state: DrainState,
 }
 
-/// A node's position among the nodes.
+/// The name and the site of a node, and its position among all nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodePosition {
-    /// Its name.
+    /// The name of the node, unique in the fleet.
     pub name: String,
-    /// Its site.
+    /// The site that the node is located at.
     pub site: String,
-    /// Its index, from 0.
+    /// The index of the node, from 0.
     pub index: usize,
-    /// The number of nodes.
+    /// The number of nodes in the fleet.
     pub nodes: usize,
 }
 
 /// The file and the arguments with which a node is started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeCommand {
-    /// The name of the file that it reads.
+    /// The name of the configuration file that the node reads.
     pub file: &'static str,
     /// The command line arguments.
     pub arguments: &'static [&'static str],
@@ -58,7 +58,7 @@
     /// Why an operator's file can't be used for a node.
     #[derive(Debug)]
     pub enum NodeFileError {
-        /// It is not valid TOML.
+        /// The operator's file is not valid TOML.
         Parse(source: toml::de::Error) {
             from()
             display("{source}")
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -22,7 +22,7 @@
 pub struct BackendGroup {
     /// The number of backends. Their names are `box-1`, `box-2` and so on.
     pub count: usize,
-    /// Their sites, assigned round-robin.
+    /// The sites of the backends, assigned round-robin.
     pub sites: Vec<String>,
     /// The number of requests that a backend executes concurrently.
     pub cores: u32,
@@ -30,26 +30,26 @@
     pub service_time: ServiceTime,
     /// How they warm up after a start; `None` if they have full capacity at once.
     pub cold_start: Option<ColdStart>,
-    /// How long they remember an idempotency key.
+    /// How long a backend remembers an idempotency key.
     pub deduplication_window: Duration,
 }
 
 /// Open-loop clients that send requests of one class: the send times do not depend on responses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientGroup {
-    /// The class, as recorded in the history.
+    /// The name of the class, as recorded in the history.
     pub class: String,
     /// Whether its requests may be executed more than once.
     pub idempotency: Idempotency,
-    /// The HTTP method.
+    /// The HTTP method of the requests, sent as the plan has it.
     pub method: String,
-    /// The path; `{n}` is replaced by the number of the request.
+    /// The path of the requests; `{n}` is replaced by the number of the request in its group.
     pub path: String,
     /// Additional header fields, as name and value.
     pub headers: Vec<(String, String)>,
     /// Requests per second, in total over all nodes.
     pub requests_per_s: f64,
-    /// How long they wait for a response.
+    /// How long a client waits for a response to an attempt.
     pub timeout: Duration,
     /// The number of retries, each through the next node: of every request after a rejection or a failed
     /// connect, and of idempotent requests after any failure.
@@ -59,9 +59,9 @@
 /// A range of durations from which one is drawn uniformly; fixed if both ends are equal.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DurationRange {
-    /// The shortest duration.
+    /// The shortest duration, inclusive.
     pub min: Duration,
-    /// The longest duration.
+    /// The longest duration, inclusive; `min` is used if it is shorter than that.
     pub max: Duration,
 }
 
@@ -83,21 +83,21 @@
     At(DurationRange),
     /// Clients have sent this number of attempts to a node.
     AfterRequests {
-        /// The node's name.
+        /// The name of the node that the attempts are sent to.
         node: String,
-        /// The number of attempts.
+        /// The number of attempts that starts the fault.
         count: u64,
     },
     /// A time after the start of another fault.
     AfterFault {
         /// The other fault's index in the plan.
         fault: usize,
-        /// The time after its start.
+        /// The time from the start of the other fault to that of this one.
         delay: DurationRange,
     },
 }
 
-/// What a fault applies to.
+/// A participant of the fleet, or a choice among them, that a fault applies to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Participant {
     /// The node or backend of this name.
@@ -106,7 +106,7 @@
     AnyNode,
     /// A backend that is drawn at random.
     AnyBackend,
-    /// All clients.
+    /// All clients. Only the links from them to nodes can be disturbed.
     Clients,
     /// The discovery service.
     Discovery,
@@ -115,18 +115,18 @@
 /// A direction of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From the side that opened the connection.
+    /// Bytes from the side that opened the connection.
     Request,
-    /// Towards the side that opened the connection.
+    /// Bytes towards the side that opened the connection.
     Response,
 }
 
 /// The directions of a link that a fault applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Directions {
-    /// One direction.
+    /// Only bytes in this direction.
     Only(Direction),
-    /// Both directions.
+    /// Bytes in both directions.
     Both,
 }
 
@@ -149,7 +149,7 @@
     Drop(Directions),
     /// Bytes are delayed.
     Delay {
-        /// The shortest delay.
+        /// The shortest delay of a chunk of bytes.
         min: Duration,
         /// The difference between the longest and the shortest delay.
         jitter: Duration,
@@ -180,7 +180,7 @@
     DisturbLinks {
         /// The participants that accept the connections of the links.
         to: Vec<Participant>,
-        /// The fault of the links.
+        /// The fault that each of these links gets.
         fault: LinkFault,
     },
     /// Notifies a node that these backends drain. With a duration, it is notified after it that they are in
@@ -193,36 +193,36 @@
 /// A fault of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When it starts.
+    /// The condition on which the fault starts.
     pub trigger: FaultTrigger,
-    /// What it does.
+    /// The change that the fault makes to its targets.
     pub action: FaultAction,
     /// The participants it applies to, all at the same time; for a link, the side that connects.
     pub targets: Vec<Participant>,
-    /// How long it lasts; `None` until traffic ends.
+    /// How long the fault lasts; `None` until traffic ends.
     pub duration: Option<DurationRange>,
     /// The period over which links recover one after another; zero if all recover at once.
     pub recovery_time: Duration,
 }
 
-/// A plan.
+/// The plan of a trial, with random choices that are still open until [`Plan::draw`] makes them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Its name.
+    /// The name of the plan in histories and reports.
     pub name: String,
-    /// What it tests, in one line.
+    /// A description of the trial, in one line.
     pub about: String,
     /// The number of nodes. Their names are `node-1`, `node-2` and so on.
     pub nodes: usize,
-    /// The kind of configuration that they are started from.
+    /// The kind of configuration that all nodes are started from.
     pub node_kind: NodeKind,
-    /// The backends.
+    /// The backends that all nodes share.
     pub backends: BackendGroup,
-    /// The clients.
+    /// The client groups, which send at the same time.
     pub clients: Vec<ClientGroup>,
-    /// How long traffic lasts.
+    /// How long clients send requests.
     pub traffic_duration: Duration,
-    /// The faults.
+    /// The faults that may be injected; [`FaultTrigger::AfterFault`] refers to them by index.
     pub faults: Vec<Fault>,
     /// How many of the faults are drawn at random for a run; `None` for all.
     pub sampled_faults: Option<usize>,
@@ -231,7 +231,7 @@
 }
 
 impl Plan {
-    /// The names of its nodes.
+    /// The names of the nodes, by index: `node-1`, `node-2` and so on.
     pub fn node_names(&self) -> Vec<String> {
         (1..=self.nodes).map(|number| format!("node-{number}")).collect()
     }
--- a/crates/fault-injection/src/process.rs
+++ b/crates/fault-injection/src/process.rs
@@ -21,12 +21,12 @@
 /// The number of streams that are read from a supervisor: its reports, and the log of the process.
 const STREAMS: u32 = 2;
 
-/// The programs of a trial.
+/// The programs that a trial starts, and the environment of its nodes.
 #[derive(Clone, Debug)]
 pub struct Programs {
     /// The supervisor's command line. The program to supervise and its arguments are appended.
     pub supervisor: Vec<OsString>,
-    /// The program of a node.
+    /// The path of the program that runs as a node.
     pub node: PathBuf,
     /// Additional environment variables of nodes.
     pub variables: Vec<(OsString, OsString)>,
@@ -35,13 +35,13 @@
 /// The command line and the environment of a process to start.
 #[derive(Clone, Debug, Default)]
 pub struct Launch {
-    /// The program.
+    /// The path of the program to start.
     pub program: PathBuf,
-    /// Its arguments.
+    /// The command line arguments, without the program's name.
     pub arguments: Vec<OsString>,
     /// Environment variables in addition to the inherited ones.
     pub variables: Vec<(OsString, OsString)>,
-    /// Its working directory.
+    /// The working directory of the process.
     pub folder: PathBuf,
 }
 
@@ -200,18 +200,17 @@
         self.shared.lock().exit_code
     }
 
-    /// Waits for its exit and returns [`Process::exit_code`]; `None` after the time-out.
+    /// Waits for the process to exit and returns [`Process::exit_code`]; `None` after the time-out.
     pub fn wait_for_exit(&self, timeout: Duration) -> Option<i32> {
         self.wait_for(timeout, |status| status.exit_code)
     }
 
-    /// The last lines that it logged, oldest first.
+    /// The last lines that the process logged, oldest first.
     pub fn log(&self) -> Vec<String> {
         let status = self.shared.lock();
         status.log[status.log.len().saturating_sub(RETAINED_LINES)..].to_vec()
     }
 
-    /// Sends a command to the supervisor.
     fn send_command(&mut self, command: &str) {
         if let Some(commands) = &mut self.commands {
             // Fails only if the supervisor has exited, which it does after its process.
@@ -219,32 +218,32 @@
         }
     }
 
-    /// Sends SIGSTOP.
+    /// Pauses the process: the supervisor sends it SIGSTOP.
     pub fn pause(&mut self) {
         self.send_command("stop");
     }
 
-    /// Sends SIGCONT.
+    /// Resumes a paused process: the supervisor sends it SIGCONT.
     pub fn resume(&mut self) {
         self.send_command("wake");
     }
 
-    /// Sends SIGTERM.
+    /// Asks the process to shut down: the supervisor sends it SIGTERM.
     pub fn terminate(&mut self) {
         self.send_command("end");
     }
 
-    /// Sends SIGHUP.
+    /// Asks the process to reload its configuration: the supervisor sends it SIGHUP.
     pub fn reload(&mut self) {
         self.send_command("reload");
     }
 
-    /// Sends SIGKILL.
+    /// Kills the process: the supervisor sends it SIGKILL.
     pub fn kill(&mut self) {
         self.send_command("kill");
     }
 
-    /// Its current resources; `None` if it does not run.
+    /// The current resources of the process, from `/proc`; `None` if it does not run.
     pub fn resource_usage(&self) -> Option<ResourceUsage> {
         let folder = PathBuf::from(format!("/proc/{}", self.pid()?));
         let descriptors = std::fs::read_dir(folder.join("fd")).ok()?.count() as u64;
@@ -260,7 +259,7 @@
         })
     }
 
-    /// Whether the system shows it as stopped: state `T` in `/proc`.
+    /// Whether the system shows the process as stopped: state `T` in `/proc`.
     pub fn is_paused(&self) -> bool {
         let stat = self.pid().and_then(|pid| std::fs::read_to_string(format!("/proc/{pid}/stat")).ok());
         stat.is_some_and(|stat| stat.rsplit(") ").next().is_some_and(|state| state.starts_with('T')))
--- a/crates/fault-injection/src/process_folder.rs
+++ b/crates/fault-injection/src/process_folder.rs
@@ -6,9 +6,9 @@
 /// The condition of a folder at the next start of its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FolderCondition {
-    /// All files as the process left them.
+    /// All files are as the process left them.
     Unchanged,
-    /// No files.
+    /// The folder has no files.
     Empty,
     /// The files of the last [`ProcessFolder::take_snapshot`]; no files if there was none.
     Snapshot,
@@ -27,7 +27,7 @@
     /// Creates a folder within `parent`, unless it is there already.
     ///
     /// # Errors
-    /// It can't be created.
+    /// The folder can't be created.
     pub fn new(parent: &Path, name: &str) -> io::Result<Self> {
         let (path, snapshot) = (parent.join(name), parent.join(format!("{name}.copy")));
         std::fs::create_dir_all(&path)?;
--- a/crates/fault-injection/src/relay.rs
+++ b/crates/fault-injection/src/relay.rs
@@ -65,7 +65,7 @@
         Ok(Relay { address, shared, last_fault: Mutex::default(), _task: task })
     }
 
-    /// Sets the target of new connections. Open ones keep theirs.
+    /// Sets the target of new connections. Open connections stay connected to the previous target.
     pub fn set_target(&self, target: SocketAddr) {
         *lock(&self.shared.target) = target;
     }
@@ -84,7 +84,7 @@
         self.shared.faults.borrow().is_empty()
     }
 
-    /// Ends a fault. Does nothing if it is not active.
+    /// Ends an injected fault. Does nothing if the fault is not active.
     pub fn heal(&self, id: LinkFaultId) {
         self.shared.faults.send_modify(|faults| faults.remove(id));
     }
--- a/crates/fault-injection/src/relay/pump.rs
+++ b/crates/fault-injection/src/relay/pump.rs
@@ -22,7 +22,7 @@
 pub(super) enum PumpEnd {
     /// The sender has closed its side, and the close was forwarded.
     Complete,
-    /// With an error, or by a fault of the link.
+    /// An error or a fault of the link ended it.
     Broken,
 }
 
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -26,9 +26,9 @@
 
 /// The result of a run.
 pub struct RunOutput {
-    /// All that was recorded, sorted by time.
+    /// All observations of the run, sorted by time.
     pub history: History,
-    /// The name and the last log lines of each node.
+    /// The name of each node with its last log lines, oldest first.
     pub logs: Vec<(String, Vec<String>)>,
 }
 
@@ -117,7 +117,7 @@
 struct Injection {
     fleet: Arc<Fleet>,
     fault: Fault,
-    /// Its index in the plan.
+    /// The index of the fault in the drawn plan.
     index: usize,
     /// When each fault of the plan began, by index; `None` until then.
     starts: Arc<Vec<watch::Sender<Option<Instant>>>>,
@@ -251,7 +251,7 @@
         }
     }
 
-    /// The links from each target of the fault to each of these.
+    /// The links from each target of the fault to each participant of `to`.
     fn links(&self, to: &[Participant]) -> Vec<&Relay> {
         let pairs = self.fault.targets.iter().flat_map(|from| to.iter().map(move |to| (from, to)));
         let links = pairs.filter_map(|(from, to)| match (from, to) {
