--- a/crates/fleet-demo/src/backend.rs
+++ b/crates/fleet-demo/src/backend.rs
@@ -43,17 +43,17 @@
 
 /// A running backend.
 pub struct Backend {
-    /// Its instance id.
+    /// The instance id, under which the platform's list has the backend.
     pub instance: String,
-    /// Its service.
+    /// The name of the service that the backend executes.
     pub service: &'static str,
-    /// The address at which it listens.
+    /// The address at which the backend listens.
     pub address: SocketAddrV4,
-    /// Its zone.
+    /// The zone that the platform's list has for the backend; one of [`ZONES`].
     pub zone: &'static str,
-    /// The number of requests that it executes concurrently.
+    /// The number of requests that the backend executes concurrently.
     pub slots: u32,
-    /// Whether it drains.
+    /// Whether the platform's list has the backend as draining; set by the scenario.
     pub draining: Cell<bool>,
     running: Cell<u32>,
     waiting: Cell<u32>,
@@ -100,7 +100,7 @@
     /// Starts a backend that accepts requests. Its instance id and zone are derived from `number`.
     ///
     /// # Errors
-    /// It can't listen at the address.
+    /// The backend can't listen at the address.
     pub async fn start(
         state: &Rc<DemoState>,
         address: SocketAddrV4,
@@ -132,7 +132,7 @@
         Ok(backend)
     }
 
-    /// Stops it, and closes its connections.
+    /// Stops the backend, and closes its connections.
     pub fn stop(&self) {
         if let Some(serving) = self.serving.borrow_mut().take() {
             serving.abort();
--- a/crates/fleet-demo/src/configuration.rs
+++ b/crates/fleet-demo/src/configuration.rs
@@ -9,9 +9,9 @@
 /// A tenant, with its credentials and its rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// The name of the tenant, sent to backends as `x-tenant-id`.
     pub name: &'static str,
-    /// The API key that its requests are sent with.
+    /// The API key that the tenant's requests are sent with.
     pub api_key: &'static str,
     /// The rate limit in requests per second, which is also the burst size; 0 for no limit.
     pub rate_per_s: f64,
@@ -21,7 +21,7 @@
 pub const UNLIMITED_TENANT: Tenant = Tenant { name: "desk", api_key: "key-of-desk", rate_per_s: 0.0 };
 /// The tenant with a rate limit.
 pub const LIMITED_TENANT: Tenant = Tenant { name: "visitors", api_key: "key-of-visitors", rate_per_s: 6.0 };
-/// All tenants.
+/// The tenants that each configuration has.
 pub const TENANTS: [Tenant; 2] = [UNLIMITED_TENANT, LIMITED_TENANT];
 
 /// The path prefix of the route that a generation adds.
--- a/crates/fleet-demo/src/fleet.rs
+++ b/crates/fleet-demo/src/fleet.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Starts all processes.
+    /// Starts all processes one after another, without waiting until they are ready.
     ///
     /// # Errors
     /// A process can't be started.
@@ -146,7 +146,7 @@
         self.state.record_fault(process.location);
     }
 
-    /// Shuts all processes down.
+    /// Shuts all processes down, and kills those that do not exit in time.
     pub async fn shut_down(&self) {
         let processes = std::mem::take(&mut self.processes.borrow_mut().all);
         // Dropping a process that has not exited in time kills it.
--- a/crates/fleet-demo/src/http.rs
+++ b/crates/fleet-demo/src/http.rs
@@ -27,13 +27,13 @@
 /// A complete response.
 #[derive(Debug)]
 pub struct Reply {
-    /// Its status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Its body.
+    /// The complete body; empty without one.
     pub body: Bytes,
 }
 
-/// Opens a connection.
+/// Opens a connection, with `TCP_NODELAY`; fails if that takes longer than `CONNECT_TIMEOUT`.
 pub async fn connect(peer: SocketAddrV4) -> Result<Connection, DemoError> {
     const STEP: &str = "connect to";
     let io_error = |error| DemoError::PeerIo(STEP, peer, error);
@@ -104,7 +104,7 @@
 /// A response of a test server, with a body in one piece or in frames.
 pub type ServerResponse = Response<Either<Full<Bytes>, Frames>>;
 
-/// Completes a response.
+/// Completes a response; with an invalid header field it is replaced by an empty one.
 pub fn finish(head: hyper::http::response::Builder, body: Either<Full<Bytes>, Frames>) -> ServerResponse {
     // Building fails only with an invalid header field, which no test server sets.
     head.body(body).unwrap_or_else(|_| Response::new(Either::Left(Full::default())))
--- a/crates/fleet-demo/src/monitoring.rs
+++ b/crates/fleet-demo/src/monitoring.rs
@@ -17,7 +17,7 @@
 const STATUS_INTERVAL: Duration = Duration::from_millis(300);
 /// How long the audit of the index may take to report a lost block.
 const AUDIT_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a response may take.
+/// The time-out of a readiness check or a status request.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Checks the readiness of a frontend periodically, until dropped.
--- a/crates/fleet-demo/src/observations.rs
+++ b/crates/fleet-demo/src/observations.rs
@@ -9,13 +9,13 @@
 pub struct Arrival {
     /// The id of the request.
     pub request_id: String,
-    /// When it arrived.
+    /// The time at which the backend had received the request.
     pub at: Duration,
-    /// The service of the backend.
+    /// The service of the backend, as the platform's list has it.
     pub service: &'static str,
     /// The instance id of the backend.
     pub instance: String,
-    /// The path of the request.
+    /// The path of the request, with its query if it has one.
     pub path: String,
     /// The tenant that the fleet added to the request; `None` if it added none.
     pub tenant: Option<String>,
@@ -23,22 +23,22 @@
     pub body_hash: u64,
     /// The number of the event after which the stream is to be resumed; `None` for a stream from its start.
     pub resume_after: Option<u32>,
-    /// Whether it was executed.
+    /// Whether the backend executed the request; `false` if it was rejected or is not started yet.
     pub executed: bool,
 }
 
 /// How an attempt ended for its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// A complete response of a backend.
+    /// A complete response of a backend with a status of 200 to 299.
     Served,
     /// A 408, 421, 429 or 503, each of which states that the request was not executed.
     Rejected(u16),
     /// Any other 4xx; only the fleet sends these.
     Denied(u16),
-    /// A 5xx other than 503.
+    /// Any other status, such as a 5xx other than 503.
     Failed(u16),
-    /// The connection ended without a complete response; with the error.
+    /// No connection was opened, or it ended without a complete response; with the error.
     Interrupted(String),
     /// The client timed out at the deadline.
     TimedOut,
@@ -49,57 +49,57 @@
 pub struct Attempt {
     /// The id of its request.
     pub request_id: String,
-    /// Its kind.
+    /// The kind of the request, which determines the route and the deadline.
     pub kind: RequestKind,
     /// The tenant whose API key it was sent with.
     pub tenant: &'static str,
     /// The number of the frontend that it was sent to.
     pub frontend: usize,
-    /// Its path.
+    /// The path of the request, without a query.
     pub path: String,
-    /// The [`hash`] of its body.
+    /// The [`hash`] of the request's body.
     pub body_hash: u64,
-    /// When it was sent.
+    /// The time at which the client sent the attempt.
     pub sent_at: Duration,
     /// The time from sending to the first byte or event of the response; `None` without a response.
     pub first_byte: Option<Duration>,
-    /// When it ended.
+    /// The time at which the outcome was known.
     pub ended_at: Duration,
-    /// How it ended.
+    /// The outcome for the client.
     pub outcome: Outcome,
     /// A description of content in the response that was not produced for this request; `None` if there is
     /// none.
     pub mismatch: Option<String>,
 }
 
-/// The drain of a backend.
+/// The drain of a backend, as the platform announced it.
 #[derive(Clone, Debug)]
 pub struct Drain {
     /// The instance id of the backend.
     pub instance: String,
-    /// When the platform's list first showed the drain.
+    /// The time at which the platform's list first showed the drain.
     pub listed_at: Duration,
 }
 
-/// A configuration that was acknowledged.
+/// A configuration that a coordinator acknowledged to the operator.
 #[derive(Clone, Debug)]
 pub struct AcknowledgedConfiguration {
-    /// Its generation.
+    /// The generation, which increases with each configuration.
     pub generation: u64,
     /// The path prefix of the route that it added; `None` for the first configuration, which adds none.
     pub added_route: Option<String>,
-    /// The document that was sent.
+    /// The configuration document, as it was sent.
     pub document: String,
-    /// When it was acknowledged.
+    /// The time at which the operator received the acknowledgement.
     pub at: Duration,
 }
 
 /// A configuration as a coordinator returned it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReadDocument {
-    /// The document.
+    /// The document, as the coordinator returned it.
     Received(String),
-    /// It returned none; with the reason, as shown in the results.
+    /// The coordinator returned none; with the reason, as shown in the results.
     Missing(String),
 }
 
@@ -108,14 +108,14 @@
 pub struct ReadBack {
     /// The name of the coordinator.
     pub coordinator: String,
-    /// The document that it returned.
+    /// The document that the coordinator returned, or why it returned none.
     pub document: ReadDocument,
 }
 
 /// A kill of a process by the scenario or a user, or its restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessFault {
-    /// When it was recorded.
+    /// The time at which the kill or restart was recorded.
     pub at: Duration,
     /// The part of the fleet that the process belongs to.
     pub location: Location,
@@ -135,9 +135,9 @@
 /// A view of the core that was observed for the first time.
 #[derive(Clone, Debug)]
 pub struct ObservedView {
-    /// When it was first observed.
+    /// The time at which a coordinator's status first showed the view.
     pub at: Duration,
-    /// Its number.
+    /// The number of the view, as the status has it.
     pub number: u64,
     /// The names of the coordinators in the chain, from head to tail.
     pub chain: Vec<String>,
@@ -146,7 +146,7 @@
 /// A cached prompt block that a backend evicted without reporting it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostBlock {
-    /// When it was evicted.
+    /// The time of the eviction.
     pub at: Duration,
     /// The instance id of the backend.
     pub instance: String,
@@ -157,7 +157,7 @@
 /// A mismatch between the index and a backend that the audit of the index reported.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportedMismatch {
-    /// When a coordinator's status first showed it.
+    /// The time at which a coordinator's status first showed the mismatch.
     pub at: Duration,
     /// The instance id of the backend.
     pub instance: String,
@@ -174,13 +174,13 @@
     pub arrivals: Vec<Arrival>,
     /// The attempts of the clients, in order of their ends.
     pub attempts: Vec<Attempt>,
-    /// The drains of backends.
+    /// The drains of backends, oldest first.
     pub drains: Vec<Drain>,
     /// The acknowledged configurations, oldest first.
     pub acknowledged: Vec<AcknowledgedConfiguration>,
-    /// The configurations that were read back at the end.
+    /// The configurations that were read back at the end, one per coordinator.
     pub read_back: Vec<ReadBack>,
-    /// The kills and restarts of processes.
+    /// The kills and restarts of processes, oldest first.
     pub faults: Vec<ProcessFault>,
     /// A line of text for each process that exited by itself.
     pub unexpected_exits: Vec<String>,
@@ -188,7 +188,7 @@
     pub views: Vec<ObservedView>,
     /// The blocks that backends evicted without reporting it.
     pub lost_blocks: Vec<LostBlock>,
-    /// The mismatches that the audit reported.
+    /// The mismatches that the audit reported, each once.
     pub mismatches: Vec<ReportedMismatch>,
 }
 
--- a/crates/fleet-demo/src/operator.rs
+++ b/crates/fleet-demo/src/operator.rs
@@ -47,7 +47,7 @@
     /// except the first adds a route. Returns its generation.
     ///
     /// # Errors
-    /// A coordinator rejects it, or none acknowledges it in time.
+    /// A coordinator rejects the configuration, or none acknowledges it in time.
     pub async fn change(&self, state: &Rc<DemoState>) -> Result<u64, DemoError> {
         let base = *self.generation.borrow();
         let generation = base + GENERATION_STEPS[base as usize % GENERATION_STEPS.len()];
--- a/crates/fleet-demo/src/outgoing_request.rs
+++ b/crates/fleet-demo/src/outgoing_request.rs
@@ -11,19 +11,19 @@
 
 /// A request of a client.
 pub struct OutgoingRequest {
-    /// Its id.
+    /// The id of the request, sent as `x-request-id`.
     pub id: String,
-    /// Its kind.
+    /// The kind of the request, which determines its deadline.
     pub kind: RequestKind,
-    /// The tenant that it is sent for.
+    /// The tenant whose API key the request is sent with.
     pub tenant: Tenant,
-    /// The number of the frontend that it is sent to.
+    /// The number of the frontend that the request is sent to.
     pub frontend: usize,
-    /// Its path.
+    /// The path of the request, without a query.
     pub path: String,
-    /// Its body. An empty body makes the request a `GET`, any other a `POST`.
+    /// The body. An empty one makes the request a `GET`, any other a `POST`.
     pub body: Bytes,
-    /// Its prompt as `ID:TOKENS` blocks separated by commas; `None` for a plain call.
+    /// The prompt as `ID:TOKENS` blocks separated by commas; `None` for a plain call.
     pub prompt: Option<String>,
 }
 
--- a/crates/fleet-demo/src/platform.rs
+++ b/crates/fleet-demo/src/platform.rs
@@ -18,7 +18,7 @@
 
 /// A running platform, with its list of backends.
 pub struct Platform {
-    /// The address at which it serves the list.
+    /// The address at which the platform serves the list.
     pub address: SocketAddrV4,
     backends: RefCell<Vec<Rc<Backend>>>,
 }
@@ -27,7 +27,7 @@
     /// Starts a platform with an empty list.
     ///
     /// # Errors
-    /// It can't listen at the address.
+    /// The platform can't listen at the address.
     pub async fn start(address: SocketAddrV4) -> Result<Rc<Self>, DemoError> {
         let listen_error = |error| DemoError::Io("listen at the address of the test platform", error);
         let listener = TcpListener::bind(address).await.map_err(listen_error)?;
@@ -55,7 +55,7 @@
         self.backends.borrow().clone()
     }
 
-    /// The entries of the list, of one zone or of all zones.
+    /// The entries of one zone, or of all zones if `zone` is `None`.
     fn entries(&self, zone: Option<&str>) -> Vec<Value> {
         let backends = self.backends.borrow();
         let selected = backends.iter().filter(|backend| zone.is_none_or(|zone| zone == backend.zone));
--- a/crates/fleet-demo/src/processes.rs
+++ b/crates/fleet-demo/src/processes.rs
@@ -19,9 +19,9 @@
 pub struct FleetProcess {
     /// The name of the machine that it belongs to.
     pub name: String,
-    /// Its role, which is the subcommand of the program.
+    /// The role of the process, which is the subcommand of the program.
     pub role: &'static str,
-    /// The part of the fleet that it belongs to.
+    /// The part of the fleet that the process belongs to.
     pub location: Location,
     launch: Launch,
     process: Option<Process>,
@@ -30,13 +30,13 @@
 /// A process that has exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExitedProcess {
-    /// Its index in [`Processes::all`].
+    /// The index of the process in [`Processes::all`].
     pub index: usize,
-    /// Its exit code, or the negative number of the signal that ended it.
+    /// The exit code, or the negative number of the signal that ended the process.
     pub code: i32,
 }
 
-/// All processes of the fleet.
+/// The processes of the fleet, with the programs that they are started from.
 pub struct Processes {
     programs: Programs,
     /// The coordinators, then an agent and a data plane for each frontend.
--- a/crates/fleet-demo/src/request_kind.rs
+++ b/crates/fleet-demo/src/request_kind.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-/// The service of the language model.
+/// The service of the language model, which executes streams.
 pub const MODEL_SERVICE: &str = "form-reader";
-/// The service of plain calls.
+/// The service that executes plain calls.
 pub const PLAIN_SERVICE: &str = "tally";
-/// The host of all routes.
+/// The host of all routes, sent as the `host` header of each request.
 pub const HOST: &str = "count.example";
 
 /// A kind of request.
@@ -26,7 +26,7 @@
 }
 
 impl RequestKind {
-    /// All kinds.
+    /// All kinds, in the order of the tables.
     pub const ALL: [RequestKind; 5] = [
         RequestKind::Form,
         RequestKind::Question,
@@ -35,7 +35,7 @@
         RequestKind::Added,
     ];
 
-    /// Its name in tables and paths.
+    /// The name of the kind in tables and paths.
     pub fn name(self) -> &'static str {
         match self {
             RequestKind::Form => "form",
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The `route_type` of its route.
+    /// The `route_type` of the kind's route.
     pub fn route_type(self) -> &'static str {
         match self {
             RequestKind::Form | RequestKind::Question => "streaming",
@@ -55,22 +55,22 @@
         }
     }
 
-    /// The service that executes it.
+    /// The service that executes requests of the kind.
     pub fn service(self) -> &'static str {
         if self.is_stream() { MODEL_SERVICE } else { PLAIN_SERVICE }
     }
 
-    /// Whether its response is a stream of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RequestKind::Form | RequestKind::Question)
     }
 
-    /// Whether it may be executed more than once.
+    /// Whether a request of the kind may be executed more than once.
     pub fn is_idempotent(self) -> bool {
         !matches!(self, RequestKind::Form | RequestKind::Pull)
     }
 
-    /// The number of events of its response; 0 for a plain call.
+    /// The number of events of a response; 0 for a plain call.
     pub fn event_count(self) -> u32 {
         match self {
             RequestKind::Form => 9,
--- a/crates/fleet-demo/src/response_check.rs
+++ b/crates/fleet-demo/src/response_check.rs
@@ -12,7 +12,7 @@
 pub struct ReceivedResponse {
     /// The time to the first byte or event of the body; `None` for an empty body.
     pub first_byte: Option<Duration>,
-    /// How it ended.
+    /// The outcome, by the status, or by the error that ended the response.
     pub outcome: Outcome,
     /// A description of content that was not produced for the request; `None` if there is none.
     pub mismatch: Option<String>,
@@ -21,7 +21,7 @@
 }
 
 impl ReceivedResponse {
-    /// The result of an attempt without a response.
+    /// The result of an attempt without a response, which has only an outcome.
     pub fn none(outcome: Outcome) -> Self {
         ReceivedResponse { first_byte: None, outcome, mismatch: None, retry_after: None }
     }
--- a/crates/fleet-demo/src/run.rs
+++ b/crates/fleet-demo/src/run.rs
@@ -43,9 +43,9 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DemoOutcome {
-    /// No rule was broken.
+    /// All rules were kept.
     RulesKept,
-    /// A rule was broken.
+    /// At least one rule was broken; the results show which.
     RuleBroken,
     /// SIGINT or SIGTERM, by number, ended the run.
     Interrupted(i32),
--- a/crates/fleet-demo/src/scenario.rs
+++ b/crates/fleet-demo/src/scenario.rs
@@ -57,7 +57,7 @@
     /// Sends the first configuration.
     ///
     /// # Errors
-    /// It is rejected or not acknowledged in time.
+    /// The configuration is rejected or not acknowledged in time.
     pub async fn configure(&self) -> Result<(), DemoError> {
         let generation = self.operator.change(&self.state).await?;
         self.state.print_event(&format!("the first configuration, generation {generation}, is acknowledged"));
--- a/crates/fleet-demo/src/state.rs
+++ b/crates/fleet-demo/src/state.rs
@@ -10,11 +10,11 @@
 
 /// The state that all parts of a run share. They run on one thread.
 pub struct DemoState {
-    /// The addresses of the machines.
+    /// The addresses of the machines, on a block of loopback of this run alone.
     pub topology: Topology,
-    /// The observations so far.
+    /// The observations of the run so far, which the rules are checked against at its end.
     pub observations: RefCell<Observations>,
-    /// Whether each frontend is ready, by its number.
+    /// Whether each frontend is ready, by its number; `false` until its first successful check.
     pub ready: RefCell<[bool; FRONTENDS]>,
     newest_sent: Cell<Option<u64>>,
     started_at: Instant,
--- a/crates/fleet-demo/src/topology.rs
+++ b/crates/fleet-demo/src/topology.rs
@@ -4,9 +4,9 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener};
 
-/// The number of coordinators.
+/// The number of coordinators, which form the core.
 pub const COORDINATORS: usize = 3;
-/// The number of frontends.
+/// The number of frontends, each with an agent and a data plane.
 pub const FRONTENDS: usize = 4;
 /// The zones, to which machines are assigned round-robin.
 pub const ZONES: [&str; 3] = ["east", "north", "west"];
@@ -25,7 +25,7 @@
 /// The addresses of all machines, in a block of 256 addresses of the loopback network.
 #[derive(Clone, Copy, Debug)]
 pub struct Topology {
-    /// The second and the third octet.
+    /// The second and the third octet of all addresses.
     block: [u8; 2],
 }
 
@@ -68,12 +68,12 @@
         Ipv4Addr::new(127, self.block[0], self.block[1], last_octet as u8)
     }
 
-    /// The IP address of a coordinator.
+    /// The IP address of a coordinator, by its number from 0.
     pub fn coordinator_ip(&self, number: usize) -> Ipv4Addr {
         self.ip(1 + number)
     }
 
-    /// The IP address of a frontend.
+    /// The IP address of a frontend, by its number from 0.
     pub fn frontend_ip(&self, number: usize) -> Ipv4Addr {
         self.ip(11 + number)
     }
@@ -88,7 +88,7 @@
         SocketAddrV4::new(self.ip(250), 0)
     }
 
-    /// The control address of a coordinator.
+    /// The address of a coordinator's status and configuration calls.
     pub fn control_address(&self, number: usize) -> SocketAddrV4 {
         SocketAddrV4::new(self.coordinator_ip(number), CONTROL_PORT)
     }
