--- a/crates/load-generator/src/diff.rs
+++ b/crates/load-generator/src/diff.rs
@@ -7,9 +7,9 @@
 /// A confidence interval of a difference, in the unit of its metric.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Interval {
-    /// The lower bound.
+    /// The lower bound; negative if the second report may have the smaller mean.
     pub from: f64,
-    /// The upper bound.
+    /// The upper bound; positive if the second report may have the larger mean.
     pub to: f64,
 }
 
@@ -22,7 +22,7 @@
     pub first_mean: f64,
     /// The mean over the runs of the second report.
     pub second_mean: f64,
-    /// The second mean minus the first.
+    /// The second mean minus the first, in the unit of the metric.
     pub difference: f64,
     /// The 95% confidence interval of the difference; `None` if a report has fewer than two runs with this
     /// metric.
--- a/crates/load-generator/src/engine.rs
+++ b/crates/load-generator/src/engine.rs
@@ -25,7 +25,7 @@
 /// The results of a run.
 #[derive(Clone, Debug)]
 pub struct RunOutput {
-    /// The outcomes and latencies of all threads.
+    /// The merged record of all threads.
     pub record: Record,
     /// The number of requests that the plan scheduled.
     pub due: u64,
@@ -37,7 +37,6 @@
     pub cpu_share: Option<f64>,
 }
 
-/// The results of a worker's thread.
 struct ThreadOutput {
     worker: WorkerOutput,
     cpu_share: Option<f64>,
--- a/crates/load-generator/src/engine/connect.rs
+++ b/crates/load-generator/src/engine/connect.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpStream;
 
-/// A bidirectional byte stream.
+/// A bidirectional byte stream to the target, which HTTP/1.1 is spoken on.
 pub trait Io: AsyncRead + AsyncWrite + Unpin + Send {}
 impl<T: AsyncRead + AsyncWrite + Unpin + Send> Io for T {}
 
@@ -16,7 +16,7 @@
 
 /// Opens connections to the target. Implemented by [`Tcp`], and by tests with an in-memory target.
 pub trait Connect: Send + Sync {
-    /// Opens a new connection.
+    /// Opens a new connection. The future fails if it can't be opened.
     fn connect(&self) -> ConnectFuture;
 }
 
--- a/crates/load-generator/src/engine/observation.rs
+++ b/crates/load-generator/src/engine/observation.rs
@@ -20,11 +20,11 @@
 pub enum AttemptLog {
     /// Keeps each outcome with the id of its attempt, at a cost in memory per attempt.
     Keep,
-    /// Only counts outcomes.
+    /// Only counts outcomes in the record, for runs with many requests.
     Discard,
 }
 
-/// The outcome of an attempt.
+/// An attempt with its outcome, as [`AttemptLog::Keep`] keeps it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptResult {
     /// The attempt's unique id, sent as `X-Correlation-Id`.
--- a/crates/load-generator/src/engine/worker.rs
+++ b/crates/load-generator/src/engine/worker.rs
@@ -37,7 +37,7 @@
 /// The suffixes of an attempt's id, one per send. An attempt is sent again if the server closed its reused
 /// connection before the request was received.
 const RESEND_SUFFIXES: [&str; 3] = ["", "a", "b"];
-/// The longest `Retry-After`, in seconds.
+/// The longest `Retry-After` that is honoured, in seconds; a longer one counts as this.
 const MAX_RETRY_AFTER_S: f64 = 86_400.0;
 /// Error numbers of Linux.
 const ENFILE: i32 = 23;
@@ -53,7 +53,6 @@
     Runtime,
 }
 
-/// The inputs of a worker.
 pub(super) struct WorkerOptions {
     pub(super) plan: Arc<Plan>,
     pub(super) connect: Arc<dyn Connect>,
@@ -61,12 +60,11 @@
     /// The worker's index; it sends every request whose number modulo the number of threads equals it.
     pub(super) number: usize,
     pub(super) timer: SendTimer,
-    /// When the run begins.
+    /// The start of the run, from which due times count.
     pub(super) start: Instant,
     pub(super) attempt_log: AttemptLog,
 }
 
-/// The results of a worker.
 pub(super) struct WorkerOutput {
     pub(super) record: Record,
     /// The outcome of each attempt; empty unless they are kept.
@@ -157,10 +155,9 @@
     }
 }
 
-/// The result of an attempt.
 struct AttemptEnd {
     outcome: Outcome,
-    /// The backend that responded, from `X-Served-By`.
+    /// The backend that responded, from `X-Served-By`; `None` without that header.
     backend: Option<String>,
     retry_after: Option<Duration>,
 }
@@ -187,13 +184,12 @@
     Target,
 }
 
-/// One attempt of a request.
 struct Attempt<'a> {
     request: &'a ScheduledRequest,
     class: &'a RequestClass,
     /// The number of the attempt, 0 for the first.
     number: u32,
-    /// When the client gives up on the request.
+    /// The end of the client's time-out, which covers all attempts of the request.
     deadline: Instant,
 }
 
--- a/crates/load-generator/src/html.rs
+++ b/crates/load-generator/src/html.rs
@@ -89,7 +89,7 @@
 /// How values are placed on the vertical axis.
 #[derive(Clone, Copy, PartialEq)]
 enum Scale {
-    /// From 0.
+    /// Linear from 0.
     Linear,
     Logarithmic,
 }
--- a/crates/load-generator/src/mix.rs
+++ b/crates/load-generator/src/mix.rs
@@ -9,17 +9,17 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// The name in reports.
+    /// The name of the class in reports.
     pub name: String,
     /// The relative frequency of the class.
     pub weight: f64,
-    /// The HTTP method.
+    /// The HTTP method of the class's requests.
     pub method: String,
     /// The path and query; `{key}` is replaced by the request's key in hexadecimal.
     pub path: String,
     /// Whether requests carry an `Idempotency-Key`, the same in all attempts.
     pub keyed: bool,
-    /// The size of the body, in bytes.
+    /// The size of a request's body, in bytes; 0 for none.
     pub body: usize,
     /// How long a client waits for a response, from the due time and over all attempts.
     pub timeout_ms: u64,
@@ -28,9 +28,9 @@
 /// The random properties of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DrawnRequest {
-    /// The index of the class.
+    /// The index of the class in the plan.
     pub class: usize,
-    /// The index of the tenant; `None` if the plan has no tenants.
+    /// The index of the tenant in the plan; `None` for a request without one.
     pub tenant: Option<usize>,
     /// The key, from 1 by descending frequency; the number of the request when a trace is replayed.
     pub key: u64,
@@ -38,10 +38,10 @@
     pub random: u64,
 }
 
-/// The Zipf distribution of keys.
+/// The Zipf distribution that the keys of requests are drawn from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KeyDistribution {
-    /// The number of keys.
+    /// The number of distinct keys, which are numbered from 1.
     pub count: u64,
     /// The exponent; 0 for a uniform distribution, larger values prefer the first keys more.
     pub exponent: f64,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Draws the next request.
+    /// Draws the properties of the next request.
     pub fn draw(&mut self) -> DrawnRequest {
         let class = draw_index(&self.classes, &mut self.rng).unwrap_or(0);
         let tenant = draw_index(&self.tenants, &mut self.rng);
--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 use units::{DurationSetting, FractionSetting};
 
-/// A validated plan.
+/// A validated plan, from which a run can be started.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// When requests are due.
+    /// The schedule of due times, which a trace replaces if there is one.
     pub schedule: Schedule,
-    /// The classes of requests.
+    /// The classes that requests are drawn from, in the order of reports.
     pub classes: Vec<RequestClass>,
     /// The tenants; empty for requests without a tenant.
     pub tenants: Vec<TenantWeight>,
@@ -36,7 +36,7 @@
 /// A tenant and its relative frequency.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantWeight {
-    /// The name, sent as `X-Account`.
+    /// The name of the tenant, sent as `X-Account`.
     pub name: String,
     /// The relative frequency of the tenant's requests.
     pub weight: f64,
@@ -49,7 +49,7 @@
     pub retry_share: f64,
     /// The maximum number of retries of a request.
     pub max_retries: u32,
-    /// The delay before a retry.
+    /// The delay from the end of an attempt to its retry.
     pub retry_delay: Duration,
     /// The share of requests, 0 to 1, whose clients wait as long as `Retry-After` says instead.
     pub honour_share: f64,
@@ -60,9 +60,9 @@
 pub struct ScheduledRequest {
     /// The number of the request in the plan, from 0.
     pub number: u64,
-    /// When it is due, since the start of the run.
+    /// The due time of the request, since the start of the run.
     pub at: Duration,
-    /// The class, tenant, key and random bits.
+    /// The class, tenant, key and random bits that were drawn for the request.
     pub drawn: DrawnRequest,
 }
 
@@ -76,7 +76,7 @@
             display("{source}")
             source(source)
         }
-        /// `for` is missing.
+        /// The file lacks the key `for`, the duration of the run.
         MissingDuration {
             display("the plan has no `for`, the duration of the run, such as \"30s\"")
         }
@@ -88,11 +88,11 @@
         InvalidRate {
             display("a rate or count must be a number of at most {MAX_RATE}")
         }
-        /// There is no shape, or the duration is zero.
+        /// The plan has no shape, or its duration is zero.
         NothingToSend {
             display("the plan sends nothing: it needs a `for` above 0 and at least one `[[shape]]`")
         }
-        /// There is no class.
+        /// The plan has no class of requests.
         NoClass {
             display("the plan has no `[[class]]`")
         }
@@ -104,11 +104,11 @@
         NoWeight {
             display("no class has a weight above 0")
         }
-        /// A class has an invalid path: the class and the path.
+        /// A class has an invalid path; with the name of the class and the path.
         InvalidPath(class: String, path: String) {
             display("class {class}: {path:?} is not a valid path")
         }
-        /// A class has an invalid method: the class and the method.
+        /// A class has an invalid method; with the name of the class and the method.
         InvalidMethod(class: String, method: String) {
             display("class {class}: {method:?} is not a valid method")
         }
@@ -378,7 +378,6 @@
         plan.checked()
     }
 
-    /// Returns the plan if it is valid.
     fn checked(self) -> Result<Self, PlanError> {
         self.check_schedule()?;
         self.check_weights()?;
--- a/crates/load-generator/src/record.rs
+++ b/crates/load-generator/src/record.rs
@@ -11,11 +11,11 @@
 /// The outcome of a request, or of one attempt of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// A response with a status below 400.
+    /// A complete response with a status below 400.
     Served,
-    /// A response with status 429 or 503.
+    /// A complete response with status 429 or 503.
     Rejected,
-    /// A response with any other status.
+    /// A complete response with any other status of 400 or above.
     Failed,
     /// No complete response: the connect failed, the connection broke, or the client timed out.
     Lost,
@@ -24,7 +24,7 @@
 }
 
 impl Outcome {
-    /// All outcomes in the order of reports.
+    /// All outcomes, in the order in which records and reports count them.
     pub const ALL: [Outcome; 5] =
         [Outcome::Served, Outcome::Rejected, Outcome::Failed, Outcome::Lost, Outcome::Unsent];
 
@@ -47,7 +47,7 @@
     PerMille = 3,
 }
 
-/// An empty histogram of microseconds.
+/// An empty histogram of times from 1 µs to [`MAX_US`].
 #[expect(clippy::expect_used, reason = "the bounds are constants, and a precision has at most 5 digits")]
 fn histogram(precision: Precision) -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_US, precision as u8).expect("valid bounds and digits")
@@ -92,16 +92,16 @@
 /// Whether an attempt is the first of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptKind {
-    /// The first attempt.
+    /// The first attempt of a request, whose lag counts from the due time.
     First,
-    /// A later attempt.
+    /// Any later attempt of a request.
     Retry,
 }
 
 /// The record of a run, or of one thread of it.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// The statistics of all requests.
+    /// The statistics of all requests together.
     pub all: RequestStatistics,
     /// The statistics by class, in the order of the plan.
     pub classes: Vec<RequestStatistics>,
@@ -129,7 +129,7 @@
 const MAX_SECONDS: usize = 24 * 3600;
 
 impl Record {
-    /// An empty record for this number of classes.
+    /// An empty record of a plan with this number of classes.
     pub fn new(classes: usize) -> Self {
         Record {
             all: RequestStatistics::new(Precision::PerMille),
@@ -193,7 +193,7 @@
         *self.generator_errors.entry(reason.to_string()).or_default() += 1;
     }
 
-    /// Adds the record of another thread.
+    /// Adds the record of another thread with the same classes.
     pub fn merge(&mut self, other: &Record) {
         self.all.merge(&other.all);
         for (mine, theirs) in self.classes.iter_mut().zip(&other.classes) {
--- a/crates/load-generator/src/report.rs
+++ b/crates/load-generator/src/report.rs
@@ -19,22 +19,22 @@
 /// The report of a plan that was run once or repeatedly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The version of the report format.
+    /// The version of the report format; [`Report::read`] accepts only that of this program.
     pub form: u32,
     /// The target of the requests, as the caller names it.
     pub target: String,
-    /// The seed of the plan.
+    /// The seed of the plan's schedule and request mix.
     pub seed: u64,
     /// The planned duration of a run, in seconds.
     pub seconds: f64,
     /// Problems of the replayed trace; empty without one.
     #[serde(default)]
     pub notes: Vec<String>,
-    /// The results of each run.
+    /// The results of each run, in the order of the runs.
     pub runs: Vec<Run>,
 }
 
-/// The results of a run.
+/// The results of one run of the plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Run {
     /// Whether the results are valid, and if not, why.
@@ -82,17 +82,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(expecting = "struct Times")]
 pub struct TimeQuantiles {
-    /// The mean.
+    /// The arithmetic mean, in milliseconds.
     pub mean: f64,
-    /// The median.
+    /// The median, in milliseconds.
     pub p50: f64,
-    /// The 90th percentile.
+    /// The 90th percentile, in milliseconds.
     pub p90: f64,
-    /// The 99th percentile.
+    /// The 99th percentile, in milliseconds.
     pub p99: f64,
-    /// The 99.9th percentile.
+    /// The 99.9th percentile, in milliseconds.
     pub p999: f64,
-    /// The maximum.
+    /// The longest time, in milliseconds.
     pub max: f64,
 }
 
@@ -129,7 +129,7 @@
 }
 
 impl Run {
-    /// Computes the figures of a run.
+    /// Computes the figures of a run. `plan` is the plan that was run; it has the names of the classes.
     pub fn from_output(plan: &Plan, output: &RunOutput) -> Self {
         let record = &output.record;
         let classes = plan.classes.iter().zip(&record.classes);
@@ -216,7 +216,7 @@
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Whether all runs are valid.
+    /// Whether all runs are valid; `true` for a report without runs.
     pub fn is_valid(&self) -> bool {
         self.runs.iter().all(|run| run.verdict.is_valid())
     }
--- a/crates/load-generator/src/schedule.rs
+++ b/crates/load-generator/src/schedule.rs
@@ -11,40 +11,40 @@
 /// counts as 0.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Shape {
-    /// A constant rate.
+    /// A constant rate, in requests per second.
     Constant(f64),
     /// A linear change from one rate to another, which then stays.
     Ramp {
-        /// The rate at the start of the run.
+        /// The rate at the start of the run, in requests per second.
         from: f64,
-        /// The rate at the end of the ramp.
+        /// The rate at the end of the ramp and afterwards, in requests per second.
         to: f64,
-        /// The duration of the ramp.
+        /// The duration of the ramp, from the start of the run.
         over: Duration,
     },
     /// A rate between two times, and 0 outside.
     Step {
-        /// When the rate begins, since the start of the run.
+        /// The start of the step, since the start of the run.
         from: Duration,
-        /// When the rate ends, since the start of the run.
+        /// The end of the step, exclusive, since the start of the run.
         until: Duration,
-        /// The rate in between.
+        /// The rate within the step, in requests per second.
         rate: f64,
     },
     /// A sine wave around a mean.
     Sine {
-        /// The mean rate.
+        /// The mean rate, in requests per second, which is also the rate at the start of the run.
         mean: f64,
         /// The largest difference from the mean, in requests per second.
         amplitude: f64,
-        /// The period.
+        /// The duration of one period of the wave.
         period: Duration,
     },
     /// A number of requests at one instant.
     Burst {
-        /// When they are due, since the start of the run.
+        /// The due time of all its requests, since the start of the run.
         at: Duration,
-        /// The number of requests.
+        /// The number of requests, in addition to those by the rate.
         count: u64,
     },
 }
@@ -87,11 +87,11 @@
 pub struct Schedule {
     /// The shapes whose sum is the rate.
     pub shapes: Vec<Shape>,
-    /// The arrival process.
+    /// The arrival process, which places requests by the rate.
     pub spacing: Spacing,
     /// The duration of the run; no request is due at its end or later.
     pub length: Duration,
-    /// The seed of the random draws.
+    /// The seed of the random draws, of the schedule and of the request mix.
     pub seed: u64,
 }
 
@@ -106,7 +106,7 @@
         self.shapes.iter().map(|shape| shape.rate(at)).sum::<f64>().max(0.0)
     }
 
-    /// The times of all arrivals, in order.
+    /// The due times of all requests, bursts included, in order.
     pub fn times(&self) -> ArrivalTimes<'_> {
         let mut bursts: Vec<_> = self
             .shapes
@@ -145,7 +145,7 @@
     step: u64,
     step_requests: f64,
     elapsed_in_step: f64,
-    /// The integral of the rate from there to the next arrival.
+    /// The integral of the rate from that position to the next arrival.
     until_next: f64,
     /// Pending bursts with their remaining requests, the next one last.
     bursts: Vec<(Duration, u64)>,
--- a/crates/load-generator/src/trace.rs
+++ b/crates/load-generator/src/trace.rs
@@ -18,13 +18,13 @@
 pub struct TraceEntry {
     /// When the request was sent, in seconds from an arbitrary origin.
     pub t: f64,
-    /// The HTTP method.
+    /// The HTTP method, in capital letters.
     pub method: String,
-    /// The path and query.
+    /// The path and query, from the leading slash.
     pub target: String,
     /// The name of the class in reports.
     pub class: String,
-    /// The tenant; `None` for a request without one.
+    /// The name of the tenant; `None` for a request without one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<String>,
     /// Whether the request had an idempotency key.
@@ -42,9 +42,9 @@
 /// A request of a trace with its due time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TraceRequest {
-    /// When it is due, since the first request and scaled by the speed.
+    /// The due time, since the first request and scaled by the speed.
     pub at: Duration,
-    /// The recorded line.
+    /// The recorded line that the request is sent from.
     pub entry: TraceEntry,
 }
 
@@ -53,14 +53,14 @@
 pub struct InvalidLine {
     /// The line number, from 1.
     pub number: usize,
-    /// Why the line is invalid.
+    /// A description of why the line is invalid, for people.
     pub reason: String,
 }
 
 /// A trace that can be replayed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Trace {
-    /// The valid requests by due time.
+    /// The valid requests, sorted by due time.
     pub requests: Vec<TraceRequest>,
     /// The number of invalid lines.
     pub invalid_lines: usize,
--- a/crates/load-generator/src/validity.rs
+++ b/crates/load-generator/src/validity.rs
@@ -17,7 +17,7 @@
 pub struct Measurements {
     /// The number of requests that the plan scheduled.
     pub due: u64,
-    /// The planned duration of the run.
+    /// The planned duration of the run, from which the rates are computed.
     pub length: Duration,
     /// The busiest worker's share of a core, 0 to 1; `None` if the system does not report it.
     pub cpu_share: Option<f64>,
@@ -28,7 +28,7 @@
 /// Whether a run is valid, and why not.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Why the run is invalid; empty if it is valid.
+    /// The reasons why the run is invalid, for people; empty if it is valid.
     pub reasons: Vec<String>,
     /// The rate at which first attempts were sent, per second. Reports name it `reached`.
     #[serde(rename = "reached")]
@@ -39,7 +39,7 @@
 }
 
 impl Verdict {
-    /// Whether no limit was exceeded.
+    /// Whether the run is valid, which is so without reasons against it.
     pub fn is_valid(&self) -> bool {
         self.reasons.is_empty()
     }
