--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -84,7 +84,7 @@
         EmptyTrace {
             display("the trace contains no valid request")
         }
-        /// A rate or the count of a burst is not a finite number, or larger than [`MAX_RATE`].
+        /// A rate or the count of a burst is not a finite number, or larger than `MAX_RATE`.
         InvalidRate {
             display("a rate or count must be a number of at most {MAX_RATE}")
         }
@@ -112,7 +112,7 @@
         InvalidMethod(class: String, method: String) {
             display("class {class}: {method:?} is not a valid method")
         }
-        /// A class has a time-out of 0 or a body larger than [`MAX_BODY`].
+        /// A class has a time-out of 0 or a body larger than `MAX_BODY`.
         InvalidClass(class: String) {
             display("class {class}: `patience` must be above 0, and `body` at most {MAX_BODY} bytes")
         }
--- a/crates/load-generator/src/trace.rs
+++ b/crates/load-generator/src/trace.rs
@@ -95,7 +95,7 @@
         InvalidMethod {
             display("method: not a method")
         }
-        /// The body is larger than [`MAX_BODY`].
+        /// The body is larger than `MAX_BODY`.
         BodyTooLarge {
             display("body: {MAX_BODY} bytes at most")
         }
