--- a/crates/test-servers/src/backend_model.rs
+++ b/crates/test-servers/src/backend_model.rs
@@ -10,9 +10,9 @@
 /// The distribution of the time that a request takes on a core of speed 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServiceTime {
-    /// A constant time.
+    /// The same time for each request.
     Fixed(Duration),
-    /// Uniform between two times.
+    /// Uniformly distributed between these times, both included.
     Uniform(Duration, Duration),
     /// Exponentially distributed with this mean.
     Exponential(Duration),
@@ -45,12 +45,12 @@
 /// The slow start of a backend, and the overload that makes it crash before it is warm.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// The share of its capacity, 0 to 1, at its start.
+    /// The share of the backend's capacity, 0 to 1, right after its start.
     pub initial_share: f64,
     /// The time from the start to full capacity; the share rises linearly.
     pub warm_up_time: Duration,
-    /// It crashes if the work that it receives within `overload_time` exceeds its current capacity by this
-    /// factor.
+    /// The backend crashes if the work that it receives within `overload_time` exceeds its current capacity
+    /// by this factor.
     pub overload_factor: f64,
     /// The length of the window over which received work is compared with capacity.
     pub overload_time: Duration,
@@ -59,13 +59,13 @@
 /// How a backend slows down under overload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Degradation {
-    /// The number of queued requests per core above which it is overloaded.
+    /// The number of queued requests per core above which the backend is overloaded.
     pub queued_per_core: f64,
-    /// How long it must be overloaded before it slows down.
+    /// How long the backend must be overloaded before it slows down.
     pub onset: Duration,
-    /// The factor by which requests that start while it is degraded take longer.
+    /// The factor by which requests that start while the backend is degraded take longer.
     pub factor: f64,
-    /// How long its queue must be empty before it recovers.
+    /// How long the queue must be empty before the backend recovers.
     pub recovery_time: Duration,
 }
 
@@ -74,11 +74,11 @@
 pub struct BackendSpec {
     /// The number of cores, each of which runs one request at a time.
     pub cores: u32,
-    /// The speed of its cores; [`ServiceTime`] refers to a speed of 1.
+    /// The speed of the cores; [`ServiceTime`] refers to a speed of 1.
     pub speed: f64,
-    /// The largest number of queued requests.
+    /// The largest number of queued requests; a request beyond it is rejected.
     pub queue: u32,
-    /// The distribution of service times.
+    /// The distribution of service times on a core of speed 1.
     pub service_time: ServiceTime,
     /// The slow start; `None` for full capacity from the start.
     pub cold_start: Option<ColdStart>,
@@ -88,39 +88,39 @@
     pub deduplication_window: Duration,
 }
 
-/// Identifies a request at one backend.
+/// The caller's id of a request, unique at one backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestToken(pub u64);
 
 /// What a backend does with a request on its arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs at once.
+    /// The request runs at once.
     Runs {
-        /// When it will complete, on the caller's clock.
+        /// The time at which the request will complete, on the caller's clock.
         completes_at: Duration,
     },
-    /// It waits for a core.
+    /// The request waits for a core.
     Queued,
-    /// It is rejected without execution: the queue is full, or the backend drains or has crashed.
+    /// The request is rejected without execution: the queue is full, or the backend drains or has crashed.
     Rejected,
 }
 
 /// A queued request that starts to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartedRequest {
-    /// The request.
+    /// The token that the caller passed on the arrival of the request.
     pub token: RequestToken,
-    /// When it will complete, on the caller's clock.
+    /// The time at which the request will complete, on the caller's clock.
     pub completes_at: Duration,
 }
 
-/// The number of requests at a backend.
+/// The number of requests at a backend at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ModelLoad {
-    /// Running and queued requests.
+    /// The number of running and queued requests.
     pub in_flight: u32,
-    /// Queued requests.
+    /// The number of requests that wait for a core.
     pub queued: u32,
 }
 
@@ -152,29 +152,29 @@
     }
 }
 
-/// The state of a backend.
+/// The model of a backend: its state and its random draws.
 #[derive(Debug)]
 pub struct BackendModel {
     spec: BackendSpec,
     rng: Pcg64Mcg,
-    /// When it last started; `None` if it has been warm from the beginning.
+    /// The time of the last start; `None` if the backend has been warm from the beginning.
     started_at: Option<Duration>,
     running: u32,
     queue: VecDeque<RequestToken>,
     draining: bool,
     crashed: bool,
-    /// The factor by which a script slows it down.
+    /// The factor by which a script slows the backend down; 1 for its normal speed.
     slowdown: f64,
     overloaded_since: Option<Duration>,
     degraded: bool,
     queue_empty_since: Option<Duration>,
-    /// The work that it has received while it warms up, in seconds of a core of speed 1, with the arrival
+    /// The work received while the backend warms up, in seconds of a core of speed 1, with the arrival
     /// times.
     work_while_cold: VecDeque<(Duration, f64)>,
 }
 
 impl BackendModel {
-    /// A backend without requests. `started_at` is the time of its last start; `None` for a warm backend.
+    /// A backend without requests. `started_at` is the time of the last start; `None` for a warm backend.
     pub fn new(spec: BackendSpec, seed: u64, started_at: Option<Duration>) -> Self {
         BackendModel {
             spec,
@@ -192,7 +192,7 @@
         }
     }
 
-    /// The share of its full capacity at a time, 0 to 1.
+    /// The share of the backend's full capacity at a time, 0 to 1.
     pub fn capacity_share(&self, now: Duration) -> f64 {
         let (Some(cold), Some(started_at)) = (self.spec.cold_start, self.started_at) else { return 1.0 };
         let progress =
@@ -200,33 +200,33 @@
         (cold.initial_share + (1.0 - cold.initial_share) * progress).min(1.0)
     }
 
-    /// The running and queued requests.
+    /// The numbers of running and queued requests.
     pub fn load(&self) -> ModelLoad {
         let queued = self.queue.len() as u32;
         ModelLoad { in_flight: self.running + queued, queued }
     }
 
-    /// Whether overload slows it down.
+    /// Whether overload slows the backend down.
     pub fn is_degraded(&self) -> bool {
         self.degraded
     }
 
-    /// Whether overload has crashed it while it warmed up. It rejects all requests until it restarts.
+    /// Whether the backend crashed by overload while it warmed up. Until a restart it rejects all requests.
     pub fn has_crashed(&self) -> bool {
         self.crashed
     }
 
-    /// Rejects new requests from now on, until it restarts.
+    /// Rejects new requests from now on, until the backend restarts.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
 
-    /// Slows it down by a factor; 1 restores its normal speed.
+    /// Slows the backend down by a factor; 1 restores its normal speed.
     pub fn set_slowdown(&mut self, factor: f64) {
         self.slowdown = factor.max(1e-3);
     }
 
-    /// Restarts it, cold and without requests: all present ones are lost. A slowdown stays.
+    /// Restarts the backend, cold and without requests: all present ones are lost. A slowdown stays.
     pub fn restart(&mut self, now: Duration) {
         let slowdown = self.slowdown;
         let seed = self.rng.random();
--- a/crates/test-servers/src/backend_server.rs
+++ b/crates/test-servers/src/backend_server.rs
@@ -23,11 +23,11 @@
 /// The load and the health of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackendLoad {
-    /// The running and queued requests.
+    /// The numbers of running and queued requests.
     pub requests: ModelLoad,
-    /// Whether it is slowed down by overload.
+    /// Whether the backend is slowed down by overload.
     pub is_degraded: bool,
-    /// Whether overload has crashed it while it warmed up.
+    /// Whether the backend crashed by overload while it warmed up, and has not restarted since.
     pub has_crashed: bool,
 }
 
@@ -63,7 +63,7 @@
         Ok(BackendServer { backend, address, is_up, _task: task })
     }
 
-    /// The backend's entry of the script.
+    /// The script's entry that the backend was started from.
     pub fn config(&self) -> &ScriptedBackend {
         &self.backend.config
     }
@@ -95,7 +95,7 @@
         self.backend.set_slowdown(factor);
     }
 
-    /// The current load and health.
+    /// The load and the health of the backend at this moment.
     pub fn load(&self) -> BackendLoad {
         self.backend.inspect_model(|model| BackendLoad {
             requests: model.load(),
--- a/crates/test-servers/src/clock.rs
+++ b/crates/test-servers/src/clock.rs
@@ -8,12 +8,12 @@
 pub struct Clock(Instant);
 
 impl Clock {
-    /// A clock that starts now.
+    /// A clock whose time starts at zero now.
     pub fn start() -> Self {
         Clock(Instant::now())
     }
 
-    /// The time since the start.
+    /// The time since the start of the environment.
     pub fn now(&self) -> Duration {
         self.0.elapsed()
     }
--- a/crates/test-servers/src/discovery.rs
+++ b/crates/test-servers/src/discovery.rs
@@ -21,11 +21,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lifecycle {
-    /// It accepts requests.
+    /// The backend accepts requests.
     InService,
-    /// It completes its requests and must get no new ones.
+    /// The backend completes its requests and must get no new ones.
     Terminating,
-    /// It has been removed.
+    /// The backend has been removed. Watches receive this state once; the full list omits the entry.
     Terminated,
 }
 
@@ -33,17 +33,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Endpoint {
-    /// The name of the backend.
+    /// The name of the backend, which identifies the entry.
     pub instance_id: String,
-    /// The listening address.
+    /// The address at which the backend listens.
     pub host_port: SocketAddr,
     /// The zone: the site of the backend.
     pub zone: String,
     /// The machine type; may be empty.
     pub machine_type: String,
-    /// The number of the cell.
+    /// The number of the platform's cell that the backend belongs to.
     pub cell: u16,
-    /// The lifecycle state.
+    /// The lifecycle state, from which nodes know whether to send requests.
     pub lifecycle: Lifecycle,
     /// The relative weight for load balancing; 1 by default.
     pub weight: f64,
@@ -99,9 +99,9 @@
 /// Whether discovery responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It responds.
+    /// Discovery responds to list requests and watches.
     Up,
-    /// It ends its watches, and rejects requests with status 503.
+    /// Discovery ends its watches, and rejects requests with status 503.
     Down,
 }
 
@@ -120,7 +120,7 @@
 /// A discovery service on a socket. Dropping it stops it.
 pub struct Discovery {
     shared: Arc<Shared>,
-    /// The listening address.
+    /// The address at which the service listens, on a free port of loopback.
     pub address: SocketAddr,
     _task: JoinSet<()>,
 }
@@ -169,7 +169,7 @@
         self.shared.generation.send_replace(generation);
     }
 
-    /// Makes the service available or unavailable.
+    /// Makes the service available or unavailable. The list is kept, and changes are still published to it.
     pub fn set_availability(&self, availability: Availability) {
         self.shared.availability.send_replace(availability);
     }
--- a/crates/test-servers/src/environment.rs
+++ b/crates/test-servers/src/environment.rs
@@ -17,11 +17,11 @@
 pub struct Environment {
     /// The backends, in the order of the script.
     pub backends: Arc<Vec<BackendServer>>,
-    /// The service that publishes the backends.
+    /// The discovery service that publishes the backends.
     pub discovery: Arc<Discovery>,
-    /// The executions of all backends.
+    /// The log of the executions of all backends.
     pub execution_log: Arc<ExecutionLog>,
-    /// The time since the start, which all components share.
+    /// The clock that all components share; its time counts from the start of the environment.
     pub clock: Clock,
     /// The names of the sites, in the order of their first use in the script.
     pub sites: Vec<String>,
--- a/crates/test-servers/src/execution_log.rs
+++ b/crates/test-servers/src/execution_log.rs
@@ -17,7 +17,7 @@
     pub backend: String,
     /// The site of the backend.
     pub site: String,
-    /// The path of the request, without its query.
+    /// The path of the request, without the query; execution limits are set by path.
     pub path: String,
     /// The idempotency key of the request; `None` without one.
     pub key: Option<String>,
@@ -43,7 +43,7 @@
         /// The name of the backend.
         #[serde(rename = "by")]
         backend: String,
-        /// The id of the request.
+        /// The id of the request that arrived.
         #[serde(rename = "id")]
         request_id: String,
         /// The time from the publication to the arrival.
@@ -56,7 +56,7 @@
         /// The name of the backend.
         #[serde(rename = "by")]
         backend: String,
-        /// When it crashed, since the start of the environment.
+        /// The time of the crash, since the start of the environment.
         at: Duration,
     },
 }
@@ -64,11 +64,11 @@
 /// The number of requests that backends have executed, rejected and deduplicated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExecutionCounts {
-    /// Executions, of which a request may have several.
+    /// The number of executions, of which a request may have several.
     pub executions: usize,
-    /// Requests that were rejected without execution.
+    /// The number of requests that were rejected without execution.
     pub rejected: u64,
-    /// Requests that were not executed because their idempotency keys were known.
+    /// The number of requests that were not executed because their idempotency keys were known.
     pub deduplicated: u64,
 }
 
@@ -103,11 +103,11 @@
 /// How often a request may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionLimit {
-    /// Any number of times.
+    /// The request may be executed any number of times.
     Unlimited,
-    /// Once per idempotency key. Only backends of one site share the keys that they know.
+    /// The request may be executed once per idempotency key. Only backends of one site share their keys.
     OncePerKey,
-    /// At most once.
+    /// The request may be executed at most once.
     Once,
 }
 
@@ -121,7 +121,7 @@
     /// The id of the request; empty if the violation is not about a request.
     #[serde(rename = "id")]
     pub request_id: String,
-    /// A description for people.
+    /// A description of the violation for people.
     #[serde(rename = "what")]
     pub description: String,
 }
@@ -185,7 +185,7 @@
         self.lock().observations.clone()
     }
 
-    /// The counts so far.
+    /// The counts since the start of the environment.
     pub fn counts(&self) -> ExecutionCounts {
         let entries = self.lock();
         ExecutionCounts {
--- a/crates/test-servers/src/fault_schedule.rs
+++ b/crates/test-servers/src/fault_schedule.rs
@@ -6,7 +6,7 @@
 
 struct ScheduledRule {
     rule: FaultRule,
-    /// The number of requests to which it was applied.
+    /// The number of requests to which the rule was applied.
     applied: u64,
 }
 
--- a/crates/test-servers/src/http1.rs
+++ b/crates/test-servers/src/http1.rs
@@ -12,7 +12,7 @@
 /// A request whose body was read and dropped.
 #[derive(Debug, Default)]
 pub struct Request {
-    /// The HTTP method.
+    /// The HTTP method, as it was received.
     pub method: String,
     /// The request target: path and query.
     pub target: String,
@@ -22,12 +22,12 @@
 }
 
 impl Request {
-    /// The first value of a header, by its name in lower case.
+    /// The first value of a header, by its name in lower case; `None` without it.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// The target without its query.
+    /// The path: the target without its query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
--- a/crates/test-servers/src/request_handler.rs
+++ b/crates/test-servers/src/request_handler.rs
@@ -51,7 +51,7 @@
     /// The queued requests, each with the channel that receives its completion time when it starts.
     queued: HashMap<RequestToken, oneshot::Sender<Duration>>,
     last_token: RequestToken,
-    /// The number of requests received.
+    /// The number of requests received, by which fault rules with `every` select.
     requests: u64,
     /// When discovery published that the backend drains or is removed.
     drain_published_at: Option<Duration>,
@@ -72,7 +72,6 @@
     Queued { started: oneshot::Receiver<Duration> },
 }
 
-/// The result of processing a request.
 enum ProcessingEnd {
     Completed,
     Rejected,
@@ -130,7 +129,7 @@
         lock(&self.state).model.set_slowdown(factor);
     }
 
-    /// Calls a function with the model.
+    /// Calls a function with the model, under the lock of the backend's state.
     pub(crate) fn inspect_model<T>(&self, read: impl FnOnce(&BackendModel) -> T) -> T {
         read(&lock(&self.state).model)
     }
--- a/crates/test-servers/src/script.rs
+++ b/crates/test-servers/src/script.rs
@@ -10,9 +10,9 @@
 /// The description of an environment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Script {
-    /// The seed of all random draws.
+    /// The seed from which the seeds of the backends are derived.
     pub seed: u64,
-    /// The backends.
+    /// The backends; events and faults refer to them by index.
     pub backends: Vec<ScriptedBackend>,
     /// The events, sorted by time.
     pub events: Vec<Event>,
@@ -23,28 +23,28 @@
 /// A backend of an environment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScriptedBackend {
-    /// The unique name.
+    /// The name, unique in the script.
     pub name: String,
     /// The site, which discovery publishes as its zone. Backends of one site share idempotency keys.
     pub site: String,
     /// The machine type that discovery publishes; may be empty.
     pub machine_type: String,
-    /// Whether it is unlisted and down until an event starts it.
+    /// Whether the backend is unlisted and down until an event starts it.
     pub starts_later: bool,
-    /// The interval at which the load report in its responses is refreshed; `None` for responses without one.
+    /// The interval at which the load report in responses is refreshed; `None` for responses without one.
     pub load_report_interval: Option<Duration>,
-    /// The properties of its model.
+    /// The properties of the backend's model, such as its cores and service times.
     pub spec: BackendSpec,
 }
 
 /// A scheduled change of a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// When it happens, since the start of the environment.
+    /// The time of the change, since the start of the environment.
     pub at: Duration,
-    /// The backend's index in the script.
+    /// The index in the script of the backend that changes.
     pub backend: usize,
-    /// The change.
+    /// The change that is made at that time.
     pub kind: EventKind,
 }
 
@@ -65,7 +65,7 @@
 /// A kind of failure of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Refuses connections.
+    /// Refuses connections, as a backend that is down.
     RefuseConnections,
     /// Resets the connection without executing the request.
     ResetBeforeRequest,
@@ -89,17 +89,17 @@
 /// A fault with the conditions under which it applies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultRule {
-    /// The backend's index in the script.
+    /// The index in the script of the backend that fails.
     pub backend: usize,
-    /// The kind of fault.
+    /// The failure that is injected.
     pub fault: Fault,
-    /// The start of the time in which it applies, since the start of the environment.
+    /// The start of the time in which the rule applies, since the start of the environment.
     pub from: Duration,
     /// The end of that time, exclusive.
     pub until: Duration,
-    /// It applies to requests whose number at the backend is a multiple of this; 1 for all.
+    /// The rule applies to requests whose number at the backend is a multiple of this; 1 for all.
     pub every: u64,
-    /// The maximum number of requests to which it applies.
+    /// The maximum number of requests to which the rule applies.
     pub limit: u64,
 }
 
@@ -125,7 +125,7 @@
         UnknownBackend(name: String) {
             display("box {name}: no box has this name")
         }
-        /// There are no backends, or more than [`MAX_BACKENDS`].
+        /// The script has no backends, or more than `MAX_BACKENDS`.
         BackendCount(count: usize) {
             display("{count} boxes: the number must be 1 to {MAX_BACKENDS}")
         }
