--- a/crates/test-peers/src/closed_port.rs
+++ b/crates/test-peers/src/closed_port.rs
@@ -14,12 +14,12 @@
 }
 
 impl ClosedPort {
-    /// Binds a free port.
+    /// Binds a free port of loopback without listening at it.
     pub fn new() -> Self {
         ClosedPort(bound_socket())
     }
 
-    /// The address of the port.
+    /// The loopback address of the port, at which connects are refused.
     pub fn address(&self) -> SocketAddrV4 {
         self.0.local_addr().expect("bound").as_socket_ipv4().expect("IPv4")
     }
--- a/crates/test-peers/src/listener.rs
+++ b/crates/test-peers/src/listener.rs
@@ -23,7 +23,7 @@
 }
 
 impl Listener {
-    /// Listens at a free port of loopback.
+    /// Listens at a free port of loopback, with the default backlog.
     pub fn new() -> Self {
         Listener(TcpListener::bind("127.0.0.1:0").expect("a port"))
     }
@@ -41,7 +41,7 @@
         (listener, full)
     }
 
-    /// The address that it listens at.
+    /// The address of the listening socket.
     pub fn address(&self) -> SocketAddr {
         self.0.local_addr().expect("an address")
     }
@@ -75,8 +75,8 @@
         Peer::new(self.0.accept().expect("a connection").0)
     }
 
-    /// Accepts a connection at any of these listeners within [`PEER_TIMEOUT`]. Returns the index of its
-    /// listener, too.
+    /// Accepts a connection at any of these listeners within [`PEER_TIMEOUT`]. Returns it with the index of its
+    /// listener.
     pub fn accept_any(listeners: &[&Listener]) -> (usize, Peer) {
         let start = Instant::now();
         listeners.iter().for_each(|listener| listener.0.set_nonblocking(true).expect("a socket"));
@@ -106,7 +106,7 @@
         peer
     }
 
-    /// Like [`Listener::next_request`], and returns the request, too.
+    /// Like [`Listener::next_request`], and returns the request with its connection.
     pub fn next_message(&self, peers: &mut Vec<Peer>) -> (Message, Peer) {
         let start = Instant::now();
         self.0.set_nonblocking(true).expect("a socket");
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Whether no connection is pending.
+    /// Whether no connection is pending. A pending one is accepted and closed.
     pub fn is_untouched(&self) -> bool {
         self.0.set_nonblocking(true).expect("a socket");
         self.0.accept().is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
--- a/crates/test-peers/src/message.rs
+++ b/crates/test-peers/src/message.rs
@@ -1,13 +1,13 @@
 //! An HTTP message as a peer reads it.
 
-/// An HTTP message.
+/// An HTTP request or response.
 #[derive(Debug)]
 pub struct Message {
-    /// The start line.
+    /// The request line or status line, without its line break.
     pub first: String,
     /// The header fields as `name: value`, the names in lower case.
     pub headers: Vec<String>,
-    /// The body, without chunked framing.
+    /// The body, without chunked framing; empty without one.
     pub body: Vec<u8>,
 }
 
@@ -17,7 +17,7 @@
         self.headers.iter().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
 
-    /// The status code of a response.
+    /// The status code of a response. Panics if the start line has none, as that of a request.
     pub fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status")
     }
--- a/crates/test-peers/src/peer.rs
+++ b/crates/test-peers/src/peer.rs
@@ -5,19 +5,19 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// One end of a connection.
+/// One end of a TCP connection, whose reads and writes fail after [`PEER_TIMEOUT`].
 pub struct Peer {
-    /// The stream of the connection.
+    /// The stream of the connection, in blocking mode.
     pub stream: TcpStream,
 }
 
 impl Peer {
-    /// Connects to an address.
+    /// Connects to an address. Panics if the connect is refused.
     pub fn connect(address: SocketAddr) -> Self {
         Peer::new(TcpStream::connect(address).expect("it accepts"))
     }
 
-    /// Whether received bytes are waiting to be read.
+    /// Whether received bytes are waiting to be read. Does not wait for any.
     pub fn has_more(&self) -> bool {
         self.stream.set_nonblocking(true).expect("a socket");
         let more = self.stream.peek(&mut [0]).is_ok_and(|count| count > 0);
@@ -31,7 +31,7 @@
         Peer { stream }
     }
 
-    /// Writes bytes as they are.
+    /// Writes bytes as they are, also those that are not valid HTTP.
     pub fn write(&mut self, text: impl AsRef<[u8]>) {
         self.stream.write_all(text.as_ref()).expect("written");
     }
@@ -74,7 +74,7 @@
         self.write(format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len()));
     }
 
-    /// Reads a message with its body.
+    /// Reads a message with its body. Panics if the connection ends before the end of its head.
     pub fn read(&mut self) -> Message {
         self.try_read().expect("a message")
     }
@@ -151,12 +151,12 @@
         }
     }
 
-    /// Sends the head of the response to a watch request.
+    /// Sends the head of the response to a watch request, whose lines follow as chunks.
     pub fn begin_watch(&mut self) {
         self.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     }
 
-    /// Sends a line of a watch response, as one chunk.
+    /// Sends a line of a watch response with its line break, as one chunk.
     pub fn line(&mut self, line: &str) {
         self.write(format!("{:x}\r\n{line}\n\r\n", line.len() + 1));
     }
