--- a/crates/fault-injection/src/checkers/attempts.rs
+++ b/crates/fault-injection/src/checkers/attempts.rs
@@ -22,21 +22,21 @@
     pub id: String,
     /// The id of the request, which is that of its first attempt.
     pub request: String,
-    /// The node that it was sent to.
+    /// The name of the node that the attempt was sent to.
     pub node: String,
     /// Whether its request may be executed more than once.
     pub idempotency: Idempotency,
     /// The time at which the client sent it, µs since the start of the run.
     pub sent_us: u64,
-    /// How long its client waits for a response, µs.
+    /// How long the client waits for a response, µs.
     pub timeout_us: u64,
-    /// When it ended for its client, µs, and how; `None` if the history does not have its end.
+    /// The time, µs, and the kind of the end for the client; `None` if the history does not have the end.
     pub end: Option<(u64, AttemptEnd)>,
-    /// The index of the entry that records bytes after its final response, if any arrived.
+    /// The index of the entry that records bytes after the final response; `None` if none arrived.
     pub unexpected_data: Option<usize>,
-    /// Its executions at backends, by time.
+    /// The executions at backends, by time; empty if no backend received the attempt.
     pub executions: Vec<Execution>,
-    /// The indexes of the entries that record its sending, executions and end, by time.
+    /// The indexes of the entries that record the sending, the executions and the end, by time.
     pub entries: Vec<usize>,
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl Attempts {
-    /// Indexes a history.
+    /// Indexes a history. Faults and downtimes that are not over last until the last entry.
     pub fn of(history: &History) -> Self {
         let mut reader = AttemptReader::default();
         for (index, entry) in history.entries.iter().enumerate() {
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -50,7 +50,7 @@
     /// The trial asked the process to shut down with SIGTERM.
     #[serde(rename = "told")]
     Terminating,
-    /// It exited, with its exit code or the negative number of the signal that ended it.
+    /// The process exited, with its exit code or the negative number of the signal that ended it.
     #[serde(rename = "ended")]
     Exited(i32),
 }
--- a/crates/fleet-demo/src/node_settings.rs
+++ b/crates/fleet-demo/src/node_settings.rs
@@ -15,13 +15,13 @@
 /// How a coordinator without stored data starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClusterStart {
-    /// It forms a new core with the others.
+    /// The coordinator forms a new core with the others.
     Bootstrap,
-    /// It joins an existing core.
+    /// The coordinator joins an existing core.
     Join,
 }
 
-/// The settings of a coordinator, as JSON.
+/// The settings of a coordinator, as JSON, which the role reads as YAML.
 pub fn coordinator_settings(
     topology: &Topology,
     number: usize,
--- a/crates/marlwinch/src/command/checks.rs
+++ b/crates/marlwinch/src/command/checks.rs
@@ -16,12 +16,12 @@
     /// Why a policy file is rejected.
     #[derive(Debug)]
     pub enum PolicyFileError {
-        /// The file can't be read.
+        /// The file can't be read. Holds its path and the system's error.
         Read(path: PathBuf, error: std::io::Error) {
             display("{}: {error}", path.display())
             source(error)
         }
-        /// The text is not a valid policy. Holds the first error.
+        /// The text is not a valid policy. Holds the path and the first error.
         Invalid(path: PathBuf, error: PolicyError) {
             display("{}: {error}", path.display())
             source(error)
@@ -66,7 +66,7 @@
     }
 }
 
-/// Reads a policy file.
+/// Reads and validates a policy file.
 ///
 /// # Errors
 ///
--- a/crates/marlwinch/src/command/cli.rs
+++ b/crates/marlwinch/src/command/cli.rs
@@ -120,17 +120,17 @@
     /// Why an argument is not a header field.
     #[derive(Debug)]
     enum HeaderArgumentError {
-        /// There is no colon.
+        /// The argument has no colon between a name and a value.
         MissingColon {
             display("expected `Name: value`")
         }
-        /// The field name is invalid.
+        /// The text before the colon is not a field name.
         Name(error: InvalidHeaderName) {
             from()
             display("{error}")
             source(error)
         }
-        /// The field value is invalid.
+        /// The text after the colon is not a field value.
         Value(error: InvalidHeaderValue) {
             from()
             display("{error}")
--- a/crates/marlwinch/src/command/demo/background.rs
+++ b/crates/marlwinch/src/command/demo/background.rs
@@ -13,7 +13,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::LocalSet;
 
-/// The time limit for the start of a component.
+/// How long a component may take to report that it has started.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// The exit code of a process that a signal ended is this plus the signal's number, as shells report it.
 const SIGNAL_EXIT_BASE: i32 = 128;
@@ -58,7 +58,7 @@
     })
 }
 
-/// Starts the backends and discovery.
+/// Starts the backends and discovery on a thread of their own, which runs until the process ends.
 pub fn start_backends(script: Script) -> Result<Arc<Environment>, DemoError> {
     start_thread("backends", move |reporter| {
         let result = new_runtime().and_then(|runtime| {
--- a/crates/marlwinch/src/command/demo/configuration.rs
+++ b/crates/marlwinch/src/command/demo/configuration.rs
@@ -8,7 +8,7 @@
         "Group": "zone", "Window": 600.0, "Credit": credit})
 }
 
-/// The configuration in JSON of a node for these backends.
+/// The configuration, in JSON, of a node that forwards to the backends of this environment.
 pub fn node_configuration(environment: &Environment) -> String {
     let settings = serde_json::json!({
         "NInstances": 1, "Ordinal": 0, "Zone": 0, "Quantum": 1.0, "RegistryMode": "push",
--- a/crates/marlwinch/src/command/demo/error.rs
+++ b/crates/marlwinch/src/command/demo/error.rs
@@ -13,19 +13,19 @@
     /// Why the demonstration could not run.
     #[derive(Debug)]
     pub enum DemoError {
-        /// The script of the backends is invalid.
+        /// The built-in script of the backends is invalid.
         Script(error: ScriptError) {
             from()
             display("{error}")
             source(error)
         }
-        /// The load plan is invalid.
+        /// The built-in load plan is invalid.
         Plan(error: PlanError) {
             from()
             display("{error}")
             source(error)
         }
-        /// A thread can't be started.
+        /// The system can't start the thread of a component.
         Thread(error: io::Error) {
             display("cannot start a thread: {error}")
             source(error)
@@ -34,7 +34,7 @@
         StartTimeout(thread: &'static str, limit: Duration) {
             display("thread `{thread}` did not start within {limit:?}")
         }
-        /// The runtime of a thread can't be created.
+        /// The async runtime of a component's thread can't be created.
         Runtime(error: io::Error) {
             display("cannot create a tokio runtime: {error}")
             source(error)
@@ -49,7 +49,7 @@
             display("cannot start the backends or discovery: {error}")
             source(error)
         }
-        /// The node rejects its configuration.
+        /// The node rejects the configuration that the demonstration composes for it.
         NodeConfiguration(error: ContentError) {
             from()
             display("{error}")
@@ -61,12 +61,12 @@
             display("{error}")
             source(error)
         }
-        /// The load can't be sent.
+        /// The load generator can't create its threads, or one of them has panicked.
         Load(error: io::Error) {
             display("cannot send the load: {error}")
             source(error)
         }
-        /// The page of the report can't be written.
+        /// The page of the report can't be written. Holds its path.
         WritePage(path: PathBuf, error: io::Error) {
             display("cannot write {}: {error}", path.display())
             source(error)
--- a/crates/marlwinch/src/command/demo/progress.rs
+++ b/crates/marlwinch/src/command/demo/progress.rs
@@ -9,7 +9,7 @@
 /// The loads of all backends are printed after this number of polls: every 5 s.
 const POLLS_BETWEEN_LOADS: u64 = 20;
 
-/// The state of a backend. A change of it is printed.
+/// The health of a backend, of which each change is printed.
 #[derive(Clone, Copy, PartialEq)]
 struct BackendHealth {
     overloaded: bool,
--- a/crates/marlwinch/src/command/demo/rules.rs
+++ b/crates/marlwinch/src/command/demo/rules.rs
@@ -10,7 +10,7 @@
 /// How long after a drain was published a node may still send requests to the backend: the `DrainGrace` of
 /// the configuration, 2 s, and 50 ms for delays of sockets and threads.
 const DRAIN_GRACE: Duration = Duration::from_millis(2050);
-/// At most this number of violations of a rule is printed.
+/// The number of violations of a rule that are printed; further ones are only counted.
 const MAX_PRINTED: usize = 5;
 /// The rules by their number, which starts at 1.
 const RULES: [&str; 4] = [
--- a/crates/marlwinch/src/command/demo_fleet.rs
+++ b/crates/marlwinch/src/command/demo_fleet.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use units::DurationError;
 
-/// The exit code if a rule was broken.
+/// The exit code if a run has ended and a rule was broken.
 const RULE_BROKEN: u8 = 4;
 /// The exit code of a process that a signal ended is this plus the signal's number, as shells report it.
 const SIGNAL_EXIT_BASE: u8 = 128;
--- a/crates/marlwinch/src/command/load/error.rs
+++ b/crates/marlwinch/src/command/load/error.rs
@@ -11,21 +11,21 @@
     /// Why `load` failed.
     #[derive(Debug)]
     pub enum LoadError {
-        /// A file that the command line names can't be read.
+        /// A file that the command line names can't be read. Holds its path.
         ReadFile(path: PathBuf, error: io::Error) {
             display("{}: {error}", path.display())
             source(error)
         }
-        /// A file to compare is not a report.
+        /// A file to compare is not a report, or has another version of the format.
         InvalidReport(path: PathBuf, error: ReportError) {
             display("{}: {error}", path.display())
             source(error)
         }
-        /// The target is not an IP address with a port.
+        /// The target is not an IP address with a port; host names are not resolved.
         InvalidTarget(target: String) {
             display("{target}: not an IP address with a port")
         }
-        /// The target is not a loopback address.
+        /// The target is not a loopback address, the only ones that load is sent to.
         RemoteTarget(target: String) {
             display("{target}: not a loopback address; load is sent to this machine only")
         }
@@ -33,12 +33,12 @@
         MissingTarget {
             display("a plan needs a target: marlwinch load PLAN.toml 127.0.0.1:8080")
         }
-        /// The plan's file is not UTF-8.
+        /// The plan's file is not UTF-8. Holds its path.
         NotText(path: String, error: std::string::FromUtf8Error) {
             display("{path}: {error}")
             source(error)
         }
-        /// The plan in the file is invalid.
+        /// The plan in the file is invalid. Holds its path and the first error.
         InvalidPlanFile(path: String, error: PlanError) {
             display("{path}: {}", error.to_string().trim_end())
             source(error)
@@ -49,12 +49,12 @@
             display("{}", error.to_string().trim_end())
             source(error)
         }
-        /// The load can't be sent.
+        /// The load generator can't create its threads, or one of them has panicked.
         Run(error: io::Error) {
             display("cannot send the load: {error}")
             source(error)
         }
-        /// A report can't be written.
+        /// The JSON or the page of a report can't be written. Holds its path.
         WriteFile(path: PathBuf, error: io::Error) {
             display("cannot write {}: {error}", path.display())
             source(error)
--- a/crates/marlwinch/src/command/load/mod.rs
+++ b/crates/marlwinch/src/command/load/mod.rs
@@ -88,7 +88,7 @@
     /// Why an argument is not a duration.
     #[derive(Debug)]
     enum DurationArgumentError {
-        /// The text is not a number with a unit.
+        /// The argument is not a number with a unit.
         Malformed(error: DurationError) {
             from()
             display("expected a number and a unit, such as 30s")
--- a/crates/marlwinch/src/command/overload/arguments.rs
+++ b/crates/marlwinch/src/command/overload/arguments.rs
@@ -44,14 +44,14 @@
     RetryAtOnce,
 }
 
-/// A part of the offered requests.
+/// A part of the offered requests, from an item of `--mix` or as the default mix.
 #[derive(Clone, Debug)]
 pub struct MixPart {
-    /// The class of the requests.
+    /// The name of the class of the requests.
     pub class: String,
-    /// Their tenant. If absent, the part is divided evenly among all tenants.
+    /// The tenant of the requests. If absent, the part is divided evenly among all tenants.
     pub tenant: Option<String>,
-    /// Its share, relative to the sum of all weights; above 0.
+    /// The weight of the part, relative to the sum of all weights; above 0.
     pub weight: f64,
 }
 
@@ -60,7 +60,7 @@
 pub struct ServiceTime {
     /// The class of the requests. If absent, the time applies to all classes without a time of their own.
     pub class: Option<String>,
-    /// The time, above 0.
+    /// The mean of the exponentially distributed service times, above 0.
     pub time: Duration,
 }
 
--- a/crates/marlwinch/src/command/overload/error.rs
+++ b/crates/marlwinch/src/command/overload/error.rs
@@ -6,7 +6,7 @@
     /// Why a surge can't be simulated.
     #[derive(Debug)]
     pub enum SurgeError {
-        /// The rate is missing.
+        /// The command line has `--overload` but no `--rate`.
         MissingRate {
             display("--overload needs --rate, such as --rate 2000/s")
         }
--- a/crates/marlwinch/src/command/overload/mix.rs
+++ b/crates/marlwinch/src/command/overload/mix.rs
@@ -4,7 +4,7 @@
 use super::error::SurgeError;
 use route_config::Plan;
 
-/// The classes of a plan, sorted.
+/// The names of the classes of a plan's routes, sorted and each once.
 fn known_classes(plan: &Plan) -> Vec<&str> {
     let mut classes: Vec<_> = plan.routes.iter().map(|route| route.class_name.as_str()).collect();
     classes.sort_unstable();
--- a/crates/marlwinch/src/command/overload/streams.rs
+++ b/crates/marlwinch/src/command/overload/streams.rs
@@ -5,18 +5,18 @@
 use route_config::Plan;
 use std::time::Duration;
 
-/// The duration of a surge.
+/// The simulated duration of a surge, in seconds.
 pub const SIMULATED_SECONDS: u32 = 30;
 /// The service time of a class without one in the arguments.
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// A stream with the names that the table shows.
+/// A stream with the names of its class and tenant, which the table shows.
 pub struct NamedStream {
-    /// The name of its class.
+    /// The name of the class of the requests.
     pub class: String,
-    /// The name of its tenant; empty if it has none.
+    /// The name of the tenant; empty if the plan has no tenants.
     pub tenant: String,
-    /// Its requests.
+    /// The rate, times and retries of the requests, as the simulation takes them.
     pub stream: Stream,
 }
 
--- a/crates/marlwinch/src/command/overload/table.rs
+++ b/crates/marlwinch/src/command/overload/table.rs
@@ -11,15 +11,15 @@
 pub struct ClusterLoad<'a> {
     /// The name of the cluster.
     pub name: &'a str,
-    /// The number of its backends.
+    /// The number of the cluster's ready backends.
     pub backends: usize,
-    /// The number of requests that all its backends together execute concurrently.
+    /// The number of requests that these backends together execute concurrently.
     pub cores: f64,
     /// The offered load: arrival rate times mean service time, comparable to `cores`.
     pub offered: f64,
 }
 
-/// Appends the table of a cluster.
+/// Appends the table of a cluster: a line for each stream, between a line of totals and one of limits.
 pub fn write_table(out: &mut String, load: &ClusterLoad, streams: &[NamedStream], tally: &Tally) {
     let ClusterLoad { name, backends, cores, offered } = load;
     let class_width = streams.iter().map(|stream| stream.class.len()).max().unwrap_or(0).max(5);
--- a/crates/marlwinch/src/command/status_client.rs
+++ b/crates/marlwinch/src/command/status_client.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, SocketAddrV4, TcpStream};
 use std::time::Duration;
 
-/// The time limit of each step of the exchange.
+/// The time limit of the connect, and of each read and write.
 const STEP_TIMEOUT: Duration = Duration::from_secs(3);
 /// The largest response that is read, in bytes.
 const MAX_RESPONSE_BYTES: u64 = 8 << 20;
@@ -17,7 +17,7 @@
     /// Why the status could not be fetched.
     #[derive(Debug)]
     pub enum StatusError {
-        /// A step of the exchange failed or timed out.
+        /// A step of the exchange failed or timed out. Holds the step as a verb phrase.
         Io(step: &'static str, peer: SocketAddrV4, error: std::io::Error) {
             display("{step} {peer}: {error}")
             source(error)
@@ -30,7 +30,7 @@
         UnexpectedStatus(peer: SocketAddrV4, status_line: String) {
             display("response of {peer}: {status_line}")
         }
-        /// The body is not a valid status of a coordinator.
+        /// The body of the response is not the JSON of a coordinator's status.
         InvalidBody(peer: SocketAddrV4, error: serde_json::Error) {
             display("response of {peer}: invalid status: {error}")
             source(error)
--- a/crates/marlwinch/src/command/trial/error.rs
+++ b/crates/marlwinch/src/command/trial/error.rs
@@ -23,12 +23,12 @@
         InvalidPlan(diagnostics: String) {
             display("{diagnostics}")
         }
-        /// The path of this program is unknown.
+        /// The path of this program, which supervises the nodes, is unknown.
         OwnPath(error: io::Error) {
             display("cannot find the path of this program: {error}")
             source(error)
         }
-        /// The path of the nodes' program can't be resolved.
+        /// The path of the nodes' program can't be resolved. Holds the path of `--program`.
         NodeProgram(path: PathBuf, error: io::Error) {
             display("{}: {error}", path.display())
             source(error)
@@ -39,12 +39,12 @@
             display("{error}")
             source(error)
         }
-        /// The file of a history can't be opened.
+        /// The file of a history can't be opened. Holds its path.
         OpenHistory(path: PathBuf, error: io::Error) {
             display("{}: {error}", path.display())
             source(error)
         }
-        /// The file is not a history.
+        /// The file is not a history. Holds its path and the error of its first invalid line.
         InvalidHistory(path: PathBuf, error: HistoryError) {
             display("{}: {error}", path.display())
             source(error)
--- a/crates/marlwinch/src/command/trial/mod.rs
+++ b/crates/marlwinch/src/command/trial/mod.rs
@@ -87,7 +87,7 @@
     service: ServiceSummary,
 }
 
-/// Runs a command of `trial`.
+/// Runs a command of `trial`, and returns the exit code of the program. Errors are printed.
 pub fn main(command: TrialCommand) -> ExitCode {
     let code = match command {
         TrialCommand::List => list(),
--- a/crates/marlwinch/src/command/trial/output.rs
+++ b/crates/marlwinch/src/command/trial/output.rs
@@ -13,7 +13,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// At most this number of violations of a run is printed.
+/// The number of violations of a run that are printed; further ones are only counted.
 const MAX_PRINTED: usize = 5;
 
 /// Prints the verdict of a run, with the first violations.
--- a/crates/test-peers/src/listener.rs
+++ b/crates/test-peers/src/listener.rs
@@ -23,7 +23,7 @@
 }
 
 impl Listener {
-    /// Listens at a free port of loopback, with the default backlog.
+    /// Listens at a free port of loopback, with the backlog of the standard library.
     pub fn new() -> Self {
         Listener(TcpListener::bind("127.0.0.1:0").expect("a port"))
     }
@@ -75,8 +75,8 @@
         Peer::new(self.0.accept().expect("a connection").0)
     }
 
-    /// Accepts a connection at any of these listeners within [`PEER_TIMEOUT`]. Returns it with the index of its
-    /// listener.
+    /// Accepts a connection at any of these listeners within [`PEER_TIMEOUT`]. Returns it with the index of
+    /// its listener.
     pub fn accept_any(listeners: &[&Listener]) -> (usize, Peer) {
         let start = Instant::now();
         listeners.iter().for_each(|listener| listener.0.set_nonblocking(true).expect("a socket"));
