--- a/crates/fault-injection/src/checkers/attempts.rs
+++ b/crates/fault-injection/src/checkers/attempts.rs
@@ -15,7 +15,7 @@
     pub entry: usize,
 }
 
-/// An attempt of a request.
+/// An attempt of a request, with everything that the history has about it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
     /// The id of the attempt, unique in the run.
@@ -26,7 +26,7 @@
     pub node: String,
     /// Whether its request may be executed more than once.
     pub idempotency: Idempotency,
-    /// The time at which the client sent it, µs since the start of the run.
+    /// The time at which the client sent the attempt, µs since the start of the run.
     pub sent_us: u64,
     /// How long the client waits for a response, µs.
     pub timeout_us: u64,
@@ -49,7 +49,7 @@
     TimedOut,
     /// The connection ended without a complete response.
     ConnectionLost,
-    /// No connection could be opened.
+    /// No connection could be opened: the node has not received the attempt.
     ConnectFailed,
 }
 
@@ -71,7 +71,7 @@
 /// All attempts of a history, and its downtimes and faults.
 #[derive(Clone, Debug, Default)]
 pub struct Attempts {
-    /// The attempts, by id.
+    /// The attempts that clients have sent, by id.
     pub by_id: BTreeMap<String, Attempt>,
     /// The spans in which a node was paused, not running, starting or shutting down, by node.
     downtimes: HashMap<String, Vec<TimeSpan>>,
--- a/crates/fault-injection/src/checkers/mod.rs
+++ b/crates/fault-injection/src/checkers/mod.rs
@@ -39,7 +39,7 @@
 
 // Verdicts are written as JSON: `rename` keeps the keys stable.
 
-/// The verdict on a run.
+/// The verdict on a run, from which the exit code of the program follows.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "verdict")]
 pub enum Verdict {
--- a/crates/fault-injection/src/checkers/violation.rs
+++ b/crates/fault-injection/src/checkers/violation.rs
@@ -7,7 +7,7 @@
 /// A violation of a rule. Verdicts are written as JSON: `rename` keeps the keys stable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The name of the checker.
+    /// The name of the checker, from [`Checker::name`].
     pub checker: &'static str,
     /// A description of the violation for reports, in one line.
     #[serde(rename = "what")]
@@ -15,7 +15,7 @@
     /// The time of the violation, µs since the start of the run.
     #[serde(rename = "t")]
     pub at_us: u64,
-    /// The indexes of the entries of the history that show it, as few as possible.
+    /// The indexes of the history's entries that show the violation, as few as possible.
     #[serde(rename = "story")]
     pub evidence: Vec<usize>,
 }
--- a/crates/fault-injection/src/client_load.rs
+++ b/crates/fault-injection/src/client_load.rs
@@ -164,10 +164,9 @@
     pub recorder: Recorder,
 }
 
-/// One attempt of a request.
 struct Attempt<'a> {
     id: &'a str,
-    /// The id of the first attempt.
+    /// The id of the request, which is that of its first attempt.
     request: &'a str,
     /// The index of the node in the pool.
     node: usize,
--- a/crates/fault-injection/src/fleet.rs
+++ b/crates/fault-injection/src/fleet.rs
@@ -132,7 +132,7 @@
         &self.nodes
     }
 
-    /// The recorder of the run.
+    /// The recorder of the run, which all parts of the fleet record to.
     pub fn recorder(&self) -> &Recorder {
         &self.recorder
     }
--- a/crates/fault-injection/src/history.rs
+++ b/crates/fault-injection/src/history.rs
@@ -14,7 +14,7 @@
 pub enum Idempotency {
     /// They may be executed any number of times.
     Safe,
-    /// Only at backends that recognize its idempotency key as seen.
+    /// Clients may retry them under the same idempotency key, which backends remember for a time.
     Keyed,
     /// They may be executed at most once, also when the response is lost.
     Unsafe,
@@ -200,7 +200,7 @@
         /// The name of the node that opened the connection.
         node: String,
     },
-    /// A fault begins.
+    /// A fault of the plan begins, recorded by the trial itself.
     #[serde(rename = "fault")]
     FaultStarted {
         /// The index of the fault in the plan.
@@ -209,7 +209,7 @@
         /// A description of the fault for reports.
         text: String,
     },
-    /// A fault ends.
+    /// A fault of the plan ends: its effect is undone.
     #[serde(rename = "healed")]
     FaultEnded {
         /// The index of the fault in the plan.
--- a/crates/fault-injection/src/node_files.rs
+++ b/crates/fault-injection/src/node_files.rs
@@ -19,7 +19,7 @@
     Draining,
 }
 
-/// A backend as one node reaches it.
+/// A backend as one node reaches it: through a relay of that node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendLink {
     /// The name of the backend, unique in the fleet.
@@ -50,7 +50,7 @@
 pub struct NodeCommand {
     /// The name of the configuration file that the node reads.
     pub file: &'static str,
-    /// The command line arguments.
+    /// The command line arguments; empty for a node whose environment names the file.
     pub arguments: &'static [&'static str],
 }
 
--- a/crates/fault-injection/src/plan.rs
+++ b/crates/fault-injection/src/plan.rs
@@ -17,7 +17,7 @@
     Platform,
 }
 
-/// The backends of a fleet.
+/// The backends of a fleet, which all have the same properties except their names and sites.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendGroup {
     /// The number of backends. Their names are `box-1`, `box-2` and so on.
@@ -26,7 +26,7 @@
     pub sites: Vec<String>,
     /// The number of requests that a backend executes concurrently.
     pub cores: u32,
-    /// The execution time of a request.
+    /// The distribution of the execution times of requests.
     pub service_time: ServiceTime,
     /// How they warm up after a start; `None` if they have full capacity at once.
     pub cold_start: Option<ColdStart>,
@@ -66,7 +66,7 @@
 }
 
 impl DurationRange {
-    /// A fixed duration.
+    /// A range that has only this duration.
     pub const fn fixed(duration: Duration) -> Self {
         DurationRange { min: duration, max: duration }
     }
@@ -76,7 +76,7 @@
     }
 }
 
-/// What begins a fault.
+/// The condition on which a fault begins.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultTrigger {
     /// A time after the start of traffic.
@@ -108,7 +108,7 @@
     AnyBackend,
     /// All clients. Only the links from them to nodes can be disturbed.
     Clients,
-    /// The discovery service.
+    /// The discovery server of the node at the other end of the link.
     Discovery,
 }
 
@@ -140,14 +140,14 @@
     }
 }
 
-/// A fault of a link.
+/// A fault of a link, injected by the relay between its ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
     /// Bytes are held back until the fault ends, then delivered. Connections stay open.
     Stall(Directions),
     /// Bytes are dropped. Connections are reset when the fault ends.
     Drop(Directions),
-    /// Bytes are delayed.
+    /// Bytes are delivered after a delay that differs from chunk to chunk.
     Delay {
         /// The shortest delay of a chunk of bytes.
         min: Duration,
@@ -167,7 +167,7 @@
     CutAfter(u64),
 }
 
-/// What a fault does.
+/// The change that a fault makes, and what its end restores.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
     /// Kills a node (SIGKILL). With a duration, the node is restarted from its files after it.
@@ -190,7 +190,7 @@
     StopBackend,
 }
 
-/// A fault of a plan.
+/// A fault of a plan: its start, its effect, its targets and its duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
     /// The condition on which the fault starts.
--- a/crates/fault-injection/src/relay/pump.rs
+++ b/crates/fault-injection/src/relay/pump.rs
@@ -22,7 +22,7 @@
 pub(super) enum PumpEnd {
     /// The sender has closed its side, and the close was forwarded.
     Complete,
-    /// An error or a fault of the link ended it.
+    /// An error or a fault of the link ended the direction.
     Broken,
 }
 
--- a/crates/fault-injection/src/report.rs
+++ b/crates/fault-injection/src/report.rs
@@ -73,7 +73,7 @@
     share.map_or("–".into(), |share| format!("{:.1}%", 100.0 * share))
 }
 
-/// A service summary in one line.
+/// A service summary in one line of text, with shares in percent.
 pub fn summary_text(summary: &ServiceSummary) -> String {
     let recovery = match summary.recovered_after_ms {
         Some(ms) => format!("recovered after {ms} ms"),
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -24,7 +24,7 @@
 /// How long tasks that still run at the end may take to finish.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The result of a run.
+/// The result of a run, not judged yet.
 pub struct RunOutput {
     /// All observations of the run, sorted by time.
     pub history: History,
