--- a/crates/fleet-demo/src/backend.rs
+++ b/crates/fleet-demo/src/backend.rs
@@ -41,7 +41,7 @@
 /// How long a request without a deadline header waits for a slot.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
 
-/// A running backend.
+/// A running test backend, which serves until [`Backend::stop`].
 pub struct Backend {
     /// The instance id, under which the platform's list has the backend.
     pub instance: String,
--- a/crates/fleet-demo/src/observations.rs
+++ b/crates/fleet-demo/src/observations.rs
@@ -4,7 +4,7 @@
 use crate::request_kind::RequestKind;
 use std::time::Duration;
 
-/// A request that reached a backend.
+/// A request that reached a backend, whether or not it was executed.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// The id of the request.
@@ -106,7 +106,7 @@
 /// The configuration that a coordinator returned at the end of the run.
 #[derive(Clone, Debug)]
 pub struct ReadBack {
-    /// The name of the coordinator.
+    /// The name of the coordinator that was asked.
     pub coordinator: String,
     /// The document that the coordinator returned, or why it returned none.
     pub document: ReadDocument,
@@ -146,7 +146,7 @@
 /// A cached prompt block that a backend evicted without reporting it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LostBlock {
-    /// The time of the eviction.
+    /// The time at which the backend evicted the block.
     pub at: Duration,
     /// The instance id of the backend.
     pub instance: String,
--- a/crates/fleet-demo/src/outgoing_request.rs
+++ b/crates/fleet-demo/src/outgoing_request.rs
@@ -9,7 +9,7 @@
 /// The number of tokens per event of a stream, from which the declared token usage is computed.
 const TOKENS_PER_EVENT: u32 = 6;
 
-/// A request of a client.
+/// A request of a client, before it is sent to a frontend.
 pub struct OutgoingRequest {
     /// The id of the request, sent as `x-request-id`.
     pub id: String,
--- a/crates/fleet-demo/src/rules.rs
+++ b/crates/fleet-demo/src/rules.rs
@@ -34,7 +34,7 @@
 /// deadline.
 const EARLY_FAILURE_FRACTION: f64 = 0.9;
 
-/// A rule, and its violations.
+/// A rule with the violations that were found in a run; without any the rule was kept.
 #[derive(Clone, Debug)]
 pub struct RuleResult {
     /// The rule, in one line.
--- a/crates/fleet-demo/src/run.rs
+++ b/crates/fleet-demo/src/run.rs
@@ -25,7 +25,7 @@
 /// The poll interval of conditions that are waited for.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The options of a run.
+/// The options of a run, as the command line has them.
 #[derive(Clone, Debug)]
 pub struct DemoOptions {
     /// The path of the program whose subcommands are the roles of the fleet.
