--- a/crates/load-generator/src/engine.rs
+++ b/crates/load-generator/src/engine.rs
@@ -22,7 +22,7 @@
 /// The delay between starting the threads and the begin of the run, so that all threads are ready.
 const START_DELAY: Duration = Duration::from_millis(20);
 
-/// The results of a run.
+/// The results of a run, from which a report is made.
 #[derive(Clone, Debug)]
 pub struct RunOutput {
     /// The merged record of all threads.
--- a/crates/load-generator/src/mix.rs
+++ b/crates/load-generator/src/mix.rs
@@ -6,7 +6,7 @@
 use rand_distr::{Distribution, Zipf};
 use rand_pcg::Pcg64Mcg;
 
-/// A class of requests.
+/// A class of requests, which share the method, the path pattern, the body size and the time-out.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// The name of the class in reports.
--- a/crates/load-generator/src/report.rs
+++ b/crates/load-generator/src/report.rs
@@ -44,7 +44,7 @@
     /// The number of attempts, including retries.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// The figures of all requests.
+    /// The figures of all requests together, under the name `all`.
     pub all: RequestFigures,
     /// The figures by class, in the order of the plan.
     pub classes: Vec<RequestFigures>,
@@ -210,7 +210,7 @@
         Ok(report)
     }
 
-    /// The report as JSON, in one line.
+    /// The report as JSON, in one line, in the form that [`Report::read`] accepts.
     pub fn to_json(&self) -> String {
         // Serializing these types to a string can't fail.
         serde_json::to_string(self).unwrap_or_default()
--- a/crates/load-generator/src/schedule.rs
+++ b/crates/load-generator/src/schedule.rs
@@ -31,7 +31,7 @@
         /// The rate within the step, in requests per second.
         rate: f64,
     },
-    /// A sine wave around a mean.
+    /// A sine wave around a mean, which starts at the mean and rises.
     Sine {
         /// The mean rate, in requests per second, which is also the rate at the start of the run.
         mean: f64,
@@ -82,7 +82,7 @@
     Poisson,
 }
 
-/// The schedule of a run.
+/// The schedule of a run: the rate over time, and how requests are placed by it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
     /// The shapes whose sum is the rate.
--- a/crates/load-generator/src/trace.rs
+++ b/crates/load-generator/src/trace.rs
@@ -30,7 +30,7 @@
     /// Whether the request had an idempotency key.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub key: bool,
-    /// The size of the body, in bytes.
+    /// The size of the body, in bytes; 0 for none.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub body: usize,
 }
--- a/crates/load-generator/src/validity.rs
+++ b/crates/load-generator/src/validity.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Compares a run with the limits.
+/// Compares a run with the limits; each that is exceeded gives a reason.
 pub fn judge(record: &Record, measured: &Measurements) -> Verdict {
     let mut reasons = Vec::new();
     let seconds = measured.length.as_secs_f64().max(1e-9);
