--- a/crates/test-servers/src/backend_server.rs
+++ b/crates/test-servers/src/backend_server.rs
@@ -74,7 +74,7 @@
         self.backend.mark_drain_published();
     }
 
-    /// Rejects new requests from now on.
+    /// Rejects new requests from now on, until a restart.
     pub fn start_draining(&self) {
         self.backend.start_draining();
     }
--- a/crates/test-servers/src/execution_log.rs
+++ b/crates/test-servers/src/execution_log.rs
@@ -111,7 +111,7 @@
     Once,
 }
 
-/// A violation of an execution rule.
+/// A violation of an execution rule, by a request or a backend.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RuleViolation {
     /// The number of the rule. 1: each request gets a complete response, and is executed if it is served. 2:
--- a/crates/test-servers/src/http1.rs
+++ b/crates/test-servers/src/http1.rs
@@ -17,7 +17,7 @@
     /// The request target: path and query.
     pub target: String,
     headers: Vec<(String, String)>,
-    /// The length of the body, in bytes.
+    /// The length of the body, in bytes; 0 without one.
     pub body_length: usize,
 }
 
