--- a/crates/fault-injection/src/checkers/attempts.rs
+++ b/crates/fault-injection/src/checkers/attempts.rs
@@ -7,58 +7,58 @@
 /// The start of an attempt's execution at a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Execution {
-    /// When it started, µs.
+    /// The time of the start, µs since the start of the run.
     pub at_us: u64,
-    /// The backend.
+    /// The name of the backend that executes the attempt.
     pub backend: String,
-    /// The index of the entry that records it.
+    /// The index of the history's entry that records the start.
     pub entry: usize,
 }
 
-/// An attempt of a request.
+/// An attempt of a request, with everything that the history has about it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// Its id.
+    /// The id of the attempt, unique in the run.
     pub id: String,
     /// The id of the request, which is that of its first attempt.
     pub request: String,
-    /// The node that it was sent to.
+    /// The name of the node that the attempt was sent to.
     pub node: String,
     /// Whether its request may be executed more than once.
     pub idempotency: Idempotency,
-    /// When it was sent, µs.
+    /// The time at which the client sent the attempt, µs since the start of the run.
     pub sent_us: u64,
-    /// How long its client waits for a response, µs.
+    /// How long the client waits for a response, µs.
     pub timeout_us: u64,
-    /// When it ended for its client, µs, and how; `None` if the history does not have its end.
+    /// The time, µs, and the kind of the end for the client; `None` if the history does not have the end.
     pub end: Option<(u64, AttemptEnd)>,
-    /// The index of the entry that records bytes after its final response, if any arrived.
+    /// The index of the entry that records bytes after the final response; `None` if none arrived.
     pub unexpected_data: Option<usize>,
-    /// Its executions at backends, by time.
+    /// The executions at backends, by time; empty if no backend received the attempt.
     pub executions: Vec<Execution>,
-    /// The indexes of the entries that record its sending, executions and end, by time.
+    /// The indexes of the entries that record the sending, the executions and the end, by time.
     pub entries: Vec<usize>,
 }
 
 /// How an attempt ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// With a response.
+    /// The client received a complete response of this kind.
     Response(ResponseKind),
     /// The client timed out and closed the connection.
     TimedOut,
     /// The connection ended without a complete response.
     ConnectionLost,
-    /// No connection could be opened.
+    /// No connection could be opened: the node has not received the attempt.
     ConnectFailed,
 }
 
 /// A span of time, both ends included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimeSpan {
-    /// Its start, µs.
+    /// The start, µs since the start of the run.
     pub from_us: u64,
-    /// Its end, µs.
+    /// The end, µs since the start of the run.
     pub to_us: u64,
 }
 
@@ -71,7 +71,7 @@
 /// All attempts of a history, and its downtimes and faults.
 #[derive(Clone, Debug, Default)]
 pub struct Attempts {
-    /// The attempts, by id.
+    /// The attempts that clients have sent, by id.
     pub by_id: BTreeMap<String, Attempt>,
     /// The spans in which a node was paused, not running, starting or shutting down, by node.
     downtimes: HashMap<String, Vec<TimeSpan>>,
@@ -83,7 +83,7 @@
 }
 
 impl Attempts {
-    /// Indexes a history.
+    /// Indexes a history. Faults and downtimes that are not over last until the last entry.
     pub fn of(history: &History) -> Self {
         let mut reader = AttemptReader::default();
         for (index, entry) in history.entries.iter().enumerate() {
--- a/crates/fault-injection/src/checkers/mod.rs
+++ b/crates/fault-injection/src/checkers/mod.rs
@@ -24,7 +24,7 @@
 use crate::history::{Event, History};
 use serde::Serialize;
 
-/// All checkers.
+/// All checkers, one per rule, in the order in which they are run.
 pub fn all() -> Vec<Box<dyn Checker>> {
     vec![
         Box::new(ResponseChecker),
@@ -39,7 +39,7 @@
 
 // Verdicts are written as JSON: `rename` keeps the keys stable.
 
-/// The verdict on a run.
+/// The verdict on a run, from which the exit code of the program follows.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "verdict")]
 pub enum Verdict {
@@ -53,9 +53,9 @@
     /// The trial's own timers were later than the plan allows, so the history does not show whether a rule
     /// was broken.
     NoVerdict {
-        /// The maximum lateness, ms.
+        /// The maximum lateness of the trial's timers, ms.
         late_ms: u64,
-        /// The maximum that the plan allows, ms.
+        /// The maximum lateness that the plan allows, ms.
         #[serde(rename = "bears_ms")]
         max_lateness_ms: u64,
     },
--- a/crates/fault-injection/src/checkers/violation.rs
+++ b/crates/fault-injection/src/checkers/violation.rs
@@ -7,27 +7,27 @@
 /// A violation of a rule. Verdicts are written as JSON: `rename` keeps the keys stable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// The name of the checker.
+    /// The name of the checker, from [`Checker::name`].
     pub checker: &'static str,
-    /// What happened, in one line.
+    /// A description of the violation for reports, in one line.
     #[serde(rename = "what")]
     pub description: String,
-    /// When, µs since the start of the run.
+    /// The time of the violation, µs since the start of the run.
     #[serde(rename = "t")]
     pub at_us: u64,
-    /// The indexes of the entries of the history that show it, as few as possible.
+    /// The indexes of the history's entries that show the violation, as few as possible.
     #[serde(rename = "story")]
     pub evidence: Vec<usize>,
 }
 
 /// Checks a history against one rule.
 pub trait Checker {
-    /// Its name, which is a key in verdicts and reports.
+    /// The name of the checker, which is a key in verdicts and reports.
     fn name(&self) -> &'static str;
 
-    /// Its rule, in one line.
+    /// The rule that the history must satisfy, in one line for reports.
     fn rule(&self) -> &'static str;
 
-    /// The violations of its rule.
+    /// Returns the violations of the rule; empty if the history satisfies it.
     fn check(&self, history: &History, attempts: &Attempts) -> Vec<Violation>;
 }
--- a/crates/fleet-demo/src/run.rs
+++ b/crates/fleet-demo/src/run.rs
@@ -25,7 +25,7 @@
 /// The poll interval of conditions that are waited for.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The options of a run.
+/// The options of a run, as the command line has them.
 #[derive(Clone, Debug)]
 pub struct DemoOptions {
     /// The path of the program whose subcommands are the roles of the fleet.
@@ -43,9 +43,9 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DemoOutcome {
-    /// No rule was broken.
+    /// All rules were kept.
     RulesKept,
-    /// A rule was broken.
+    /// At least one rule was broken; the results show which.
     RuleBroken,
     /// SIGINT or SIGTERM, by number, ended the run.
     Interrupted(i32),
