--- a/crates/join-up-to/src/interface/actions.rs
+++ b/crates/join-up-to/src/interface/actions.rs
@@ -8,28 +8,28 @@
 pub enum Action {
     /// Start an attempt.
     Send {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The server that it is sent to.
+        /// The server that the attempt is sent to.
         server: ServerId,
-        /// The attempt times out after this time.
+        /// The time from now after which the node ends the attempt as timed out.
         timeout: Duration,
     },
     /// Send the final response: the request is rejected, and a retry by the client is safe.
     Refuse {
-        /// The request.
+        /// The request to reject.
         id: RequestId,
         /// How long the client should wait before it retries; `None` to give no hint.
         retry_after: Option<Duration>,
     },
     /// Send the final response: the request has failed and may have been executed.
     Fail {
-        /// The request.
+        /// The request that has failed.
         id: RequestId,
     },
     /// Cancel an attempt.
     Cancel {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
         /// The number of the attempt, in the order of sending, from 0.
         attempt: u32,
@@ -38,17 +38,17 @@
     SetTimer {
         /// The time until the event, from now.
         after: Duration,
-        /// Returned in the event.
+        /// An opaque number that is returned in the event.
         token: u64,
     },
     /// Request a load report of a server.
     Probe {
-        /// The server.
+        /// The server to probe; the result arrives as [`Event::Probed`](super::Event::Probed).
         server: ServerId,
     },
     /// Close idle connections to a server.
     CloseIdle {
-        /// The server.
+        /// The server whose connections without a request in flight are closed.
         server: ServerId,
     },
     /// Start or end the subscription to changes of the server list.
@@ -62,7 +62,7 @@
     Tell {
         /// The number of the receiving node; `None` for all nodes.
         to: Option<u32>,
-        /// The content, at most 256 bytes.
+        /// The content of the message, at most 256 bytes.
         data: Vec<u8>,
     },
     /// Write to the operators' log.
--- a/crates/join-up-to/src/interface/class.rs
+++ b/crates/join-up-to/src/interface/class.rs
@@ -3,7 +3,7 @@
 use super::outcome::Outcome;
 use std::time::Duration;
 
-/// A class of requests.
+/// Requests with the same value, deadline and attempt policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// A response within this time has its full value.
@@ -52,7 +52,7 @@
     pub never_ran: bool,
     /// The server responded with an error.
     pub error: bool,
-    /// The connection was lost.
+    /// The connection was lost, so the request may have been executed.
     pub reset: bool,
     /// The attempt timed out.
     pub timed_out: bool,
@@ -87,7 +87,7 @@
 pub struct Backoff {
     /// The wait before the second attempt; doubled before each further one.
     pub initial: Duration,
-    /// The maximum wait.
+    /// The upper bound of the wait, before jitter is applied.
     pub max: Duration,
     /// The maximum random reduction of the wait, as a fraction of it from 0 to 1.
     pub jitter: f64,
@@ -107,7 +107,7 @@
     /// Decided by the balancer, if [`Limits`](super::Limits) permit two attempts at once.
     #[default]
     Automatic,
-    /// No hedged attempts.
+    /// Attempts follow each other: no second attempt while one is in flight.
     Never,
     /// A fixed time after the previous attempt, if that is still in flight.
     After {
@@ -141,17 +141,17 @@
         /// How long they remember a key, from the start of the first attempt that may have been executed.
         window: Duration,
     },
-    /// It must never be executed twice.
+    /// The request must never be executed twice.
     Unsafe,
 }
 
 /// The group of servers that deduplicates keyed requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// All servers.
+    /// All servers deduplicate each other's requests.
     All,
-    /// The servers of one zone.
+    /// Servers of the same zone deduplicate each other's requests.
     Zone,
-    /// The servers of one cell.
+    /// Servers of the same cell deduplicate each other's requests.
     Cell,
 }
--- a/crates/join-up-to/src/interface/events.rs
+++ b/crates/join-up-to/src/interface/events.rs
@@ -9,7 +9,7 @@
 /// A request as it arrives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewRequest {
-    /// The request.
+    /// Chosen by the node and never reused; actions refer to the request by it.
     pub id: RequestId,
     /// The index of its class in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
@@ -36,15 +36,15 @@
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub id: RequestId,
     /// The number of the attempt, in the order of sending, from 0.
     pub attempt: u32,
-    /// The server.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// Whether the attempt succeeded, and if not, whether it may have been executed.
     pub outcome: Outcome,
-    /// The time from its start to its end.
+    /// The time from the start of the attempt to its end.
     pub elapsed: Duration,
     /// Whether the client has received its final response; otherwise the node still has to send one.
     pub finished: bool,
@@ -55,11 +55,11 @@
 /// How a probe ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProbeEnd {
-    /// The server.
+    /// The server that was probed.
     pub server: ServerId,
-    /// How it ended.
+    /// [`Outcome::Served`] if the server responded with success.
     pub outcome: Outcome,
-    /// The time from its start to its end.
+    /// The time from the start of the probe to its end.
     pub elapsed: Duration,
     /// The server's load report, if the response carried one.
     pub report: Option<LoadReport>,
@@ -85,7 +85,7 @@
         kind: ListKind,
         /// The version of the list, which never decreases. An update older than the current list is ignored.
         version: u32,
-        /// The entries.
+        /// The changed servers, or all servers of the list, depending on `kind`.
         entries: Vec<ServerEntry>,
     },
     /// A client's request has arrived. It must get exactly one final response.
@@ -94,7 +94,7 @@
     /// [`Event::BodyConsumed`] it can't be sent again, as the forwarded bytes are not buffered. Its time
     /// starts when the body is complete.
     Upload {
-        /// The request.
+        /// The request without its body.
         request: NewRequest,
         /// The maximum time until its body is complete.
         within: Duration,
@@ -102,23 +102,23 @@
     /// Bytes of an upload's body that are not buffered were forwarded, so no other attempt can send the body.
     /// Before this event an attempt that was certainly not executed may be followed by another one.
     BodyConsumed {
-        /// The request.
+        /// The request whose body was forwarded in part.
         id: RequestId,
     },
     /// The body of an upload has arrived and was forwarded completely.
     Uploaded {
-        /// The request.
+        /// The request whose body is complete.
         id: RequestId,
         /// How long the client still waits for the response.
         remaining: Duration,
     },
     /// A streamed response has started. No further attempt of the request is made.
     Started {
-        /// The request.
+        /// The request whose response is streamed.
         id: RequestId,
         /// The number of the attempt, in the order of sending, from 0.
         attempt: u32,
-        /// The server.
+        /// The server that sends the response.
         server: ServerId,
     },
     /// An attempt has ended. Each [`Action::Send`](super::Action::Send) is followed by exactly one such
@@ -126,7 +126,7 @@
     AttemptEnded(AttemptEnd),
     /// The client has disconnected; no response is needed.
     ClientGone {
-        /// The request.
+        /// The request of the disconnected client.
         id: RequestId,
     },
     /// The node shuts down: open and new requests must get their final response within this time.
@@ -143,11 +143,11 @@
     Probed(ProbeEnd),
     /// The capacity of a server, for [`CapacitySource::Provided`](super::CapacitySource::Provided).
     Capacity {
-        /// The server.
+        /// The server that the capacity is provided for.
         server: ServerId,
         /// The maximum of this node's attempts in flight there, as long as another server has capacity.
         max_in_flight: u32,
-        /// Its capacity relative to the mean of all servers, which is 1.
+        /// The server's capacity relative to the mean of all servers, which is 1.
         relative: f64,
     },
     /// Replaces the restrictions on additional attempts.
@@ -156,7 +156,7 @@
     Peer {
         /// The number of the sending node.
         from: u32,
-        /// The content, as in [`Action::Tell`](super::Action::Tell).
+        /// The content of the message, as in [`Action::Tell`](super::Action::Tell).
         data: Vec<u8>,
     },
 }
--- a/crates/join-up-to/src/interface/servers.rs
+++ b/crates/join-up-to/src/interface/servers.rs
@@ -6,11 +6,11 @@
 /// The state of a server in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// It accepts requests.
+    /// The server accepts requests.
     Ready,
-    /// It completes its requests in flight and accepts no new ones.
+    /// The server completes its requests in flight and accepts no new ones.
     Draining,
-    /// It has been removed from the list.
+    /// The server has been removed from the list.
     #[default]
     Gone,
 }
@@ -18,7 +18,7 @@
 /// An entry of the server list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerEntry {
-    /// The server.
+    /// The same for this server in every update of the list.
     pub id: ServerId,
     /// The number of its zone; servers of a zone may deduplicate each other's requests.
     pub zone: u8,
@@ -26,7 +26,7 @@
     pub kind: u8,
     /// The number of its cell; servers of a cell may deduplicate each other's requests.
     pub cell: u16,
-    /// Whether it accepts requests.
+    /// Whether the server accepts requests, drains or has been removed.
     pub state: ServerState,
     /// Its configured weight relative to other servers.
     pub weight: f32,
@@ -56,10 +56,10 @@
     pub queue: Option<f32>,
     /// The fraction of its processors in use, from 0 to 1.
     pub utilisation: Option<f32>,
-    /// Its recent service time in milliseconds.
+    /// The recent service time in milliseconds.
     pub latency_ms: Option<f32>,
     /// Requests that it serves per second.
     pub throughput: Option<f32>,
-    /// Its errors per second.
+    /// Errors that the server returns per second.
     pub errors: Option<f32>,
 }
--- a/crates/join-up-to/src/join.rs
+++ b/crates/join-up-to/src/join.rs
@@ -30,9 +30,9 @@
 /// Whether a load report shows a server as idle or busy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerActivity {
-    /// It has no request in flight.
+    /// The server has no request in flight.
     Idle,
-    /// It has requests in flight.
+    /// The server has requests in flight.
     Busy,
 }
 
--- a/crates/join-up-to/src/settings.rs
+++ b/crates/join-up-to/src/settings.rs
@@ -23,11 +23,11 @@
     Depth,
     /// The fraction of its processors in use, from 0 to 1.
     LoadShare,
-    /// Its recent service time in milliseconds.
+    /// The recent service time in milliseconds.
     MeanMs,
     /// Requests that it serves per second.
     Tps,
-    /// Its errors per second.
+    /// Errors that the server returns per second.
     ErrPs,
     /// A column that this version doesn't know.
     #[serde(other)]
@@ -278,7 +278,7 @@
 }
 
 quick_error! {
-    /// Why settings are invalid.
+    /// The reason why the JSON settings of a platform were rejected.
     #[derive(Debug)]
     pub enum SettingsError {
         /// A field is missing or has an invalid value, or the text is not valid JSON.
@@ -293,7 +293,7 @@
             display("bad settings: {}", error)
             source(error)
         }
-        /// The list of classes is empty.
+        /// The list of classes is empty; at least one class is required.
         NoClasses {
             display("bad settings: no classes")
         }
--- a/crates/join-up-to/src/state/classes.rs
+++ b/crates/join-up-to/src/state/classes.rs
@@ -80,7 +80,6 @@
         let budget = slot.class.attempt_policy.retry_budget?;
         Some(slot.retries.refilled(now, budget.per_s, MAX_SAVED_TOKENS + budget.per_s).tokens)
     }
-    /// Deducts a retry from the budget.
     pub fn spend_retry(&mut self, slot: ClassSlot, now: Duration) {
         let left = self.retries_left(slot, now).unwrap_or_default();
         self.slots[slot.0].retries = TokenBucket::new(left - 1.0, now);
@@ -89,7 +88,6 @@
     pub fn hedges_left(&self, slot: ClassSlot) -> f64 {
         self.slots[slot.0].hedges.tokens
     }
-    /// Deducts a hedged attempt from the budget.
     pub fn spend_hedge(&mut self, slot: ClassSlot) {
         self.slots[slot.0].hedges.tokens -= 1.0;
     }
--- a/crates/join-up-to/src/state/request.rs
+++ b/crates/join-up-to/src/state/request.rs
@@ -4,7 +4,6 @@
 use crate::interface::{Outcome, ServerEntry};
 use std::time::Duration;
 
-/// An attempt of a request.
 pub struct Attempt {
     /// The list entry of its server at the time of the send.
     pub server: ServerEntry,
@@ -16,7 +15,7 @@
 }
 
 impl Attempt {
-    /// Whether it may have been executed.
+    /// Whether the attempt may have been executed; true while it is in flight.
     pub fn may_have_run(&self) -> bool {
         !self.outcome.is_some_and(Outcome::never_ran)
     }
@@ -33,7 +32,6 @@
     /// The time by which it must have its final response.
     pub deadline: Duration,
     pub attempts: Vec<Attempt>,
-    /// The number of probe rounds made for it.
     pub probe_rounds: u32,
     /// Whether its response is being streamed to the client.
     pub is_streaming: bool,
@@ -56,7 +54,6 @@
     pub fn is_dispatchable(&self) -> bool {
         !self.is_closed && !self.is_streaming && (self.may_hedge || !self.is_in_flight())
     }
-    /// Whether an attempt is in flight.
     pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.outcome.is_none())
     }
--- a/crates/join-up-to/src/state/server.rs
+++ b/crates/join-up-to/src/state/server.rs
@@ -35,7 +35,6 @@
     pub log_deviation: f64,
 }
 
-/// The load that a server reported.
 #[derive(Clone, Copy)]
 pub struct ReportedLoad {
     /// Requests in flight or queued at the server, plus this node's sends since the report.
