--- a/crates/route-config/src/admission.rs
+++ b/crates/route-config/src/admission.rs
@@ -22,7 +22,7 @@
     pub retry_after: Duration,
 }
 
-/// Why a request is rejected.
+/// The limit that a rejected request exceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
     /// The tenant exceeds its rate limit.
@@ -39,14 +39,14 @@
     /// The request is queued until [`Admission::finish`] or [`Admission::replace`] returns its ID.
     /// [`Admission::finish`] must be called when it ends, also if it was never admitted.
     Queue {
-        /// The time at which the caller must reject it.
+        /// The time at which the caller must reject the request if it is still queued.
         deadline: Duration,
-        /// The `Retry-After` of that rejection.
+        /// The `Retry-After` of the rejection at the deadline.
         retry_after: Duration,
     },
     /// The request is rejected. [`Admission::finish`] must not be called for it.
     Reject {
-        /// Why it is rejected.
+        /// The limit that the request exceeds.
         reason: RejectionReason,
         /// The `Retry-After` of the rejection.
         retry_after: Duration,
--- a/crates/route-config/src/diagnostic.rs
+++ b/crates/route-config/src/diagnostic.rs
@@ -128,7 +128,7 @@
 /// An error of a configuration file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Diagnostic {
-    /// The kind of the error.
+    /// The kind of the error, for tools that match on it.
     pub code: Code,
     /// What is wrong, in one line.
     pub message: String,
@@ -136,7 +136,7 @@
     pub span: Range<usize>,
     /// Related positions, each with a label.
     pub related: Vec<(Range<usize>, String)>,
-    /// What to write instead.
+    /// What the operator should write instead.
     pub help: String,
 }
 
@@ -158,7 +158,7 @@
 pub struct Report {
     found: Vec<Diagnostic>,
     seen: HashSet<(Code, usize, String)>,
-    /// The number of errors that were only counted.
+    /// The number of errors beyond [`Report::MAX_DIAGNOSTICS`], which were only counted.
     pub omitted: usize,
 }
 
--- a/crates/route-config/src/explain.rs
+++ b/crates/route-config/src/explain.rs
@@ -20,21 +20,21 @@
     /// would get.
     #[derive(Clone, Debug, PartialEq, Eq)]
     pub enum ExplainError {
-        /// The path is invalid: 400.
+        /// The path is invalid; a client would get status 400.
         Path(error: PathError) {
             from()
             display("answered 400: {}", error)
             source(error)
         }
-        /// The host is invalid: 400.
+        /// The host, kept as it was sent, is invalid; a client would get status 400.
         Host(host: String) {
             display("answered 400: {:?} is no host", host)
         }
-        /// Routes for this path require another method: 405. These are the methods.
+        /// Routes for this path allow only these methods; a client would get status 405.
         MethodNotAllowed(methods: Vec<Method>) {
             display("answered 405: this path takes {}", method_list(methods))
         }
-        /// No route matches: 404.
+        /// No route matches; a client would get status 404.
         NotFound {
             display("answered 404: no route has this path")
         }
@@ -45,13 +45,13 @@
     methods.iter().map(Method::as_str).collect::<Vec<_>>().join(", ")
 }
 
-/// The request to explain.
+/// The request to explain; it is not sent anywhere.
 pub struct ExampleRequest<'a> {
-    /// Its method.
+    /// The method, as routes match it.
     pub method: &'a Method,
-    /// Its path and query, as sent by a client.
+    /// The path and query, as sent by a client.
     pub target: &'a str,
-    /// Its headers, `Host` among them.
+    /// The headers, `Host` among them.
     pub headers: &'a HeaderMap,
 }
 
--- a/crates/route-config/src/model.rs
+++ b/crates/route-config/src/model.rs
@@ -10,15 +10,15 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// A range of bytes of the file's text.
+/// A range of bytes of the file's text, for the positions in error messages.
 pub type Span = Range<usize>;
 
 /// A value and its position in the text.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Located<T> {
-    /// The value.
+    /// The value as parsed, not yet checked against other values.
     pub value: T,
-    /// Its bytes in the text.
+    /// The bytes of the text that the value was parsed from.
     pub span: Span,
 }
 
@@ -29,12 +29,12 @@
     }
 }
 
-/// A parsed file.
+/// A parsed file; missing tables are empty or have their defaults.
 #[derive(Clone, Debug, Default)]
 pub struct File {
-    /// `[node]`.
+    /// `[node]`: settings of the node itself.
     pub node: Node,
-    /// `[forwarding]`.
+    /// `[forwarding]`: the header fields that inform backends about the client.
     pub forwarding: ForwardingRule,
     /// `[log]`: the format of the log, and the fraction of exchanges that is logged.
     pub log: Log,
@@ -42,17 +42,17 @@
     pub admin: Option<Located<SocketAddr>>,
     /// `[trace]`: where accepted requests are recorded; `None` to record none.
     pub trace: Option<Trace>,
-    /// `[[listener]]`.
+    /// `[[listener]]`: the addresses where clients connect.
     pub listeners: Vec<Listener>,
     /// `[defaults]`: settings that classes and routes inherit.
     pub defaults: RequestSettings,
-    /// `[[cluster]]`.
+    /// `[[cluster]]`: the groups of interchangeable backends.
     pub clusters: Vec<Cluster>,
-    /// `[[class]]`.
+    /// `[[class]]`: the classes that routes refer to by name.
     pub classes: Vec<Class>,
-    /// `[[tenant]]`.
+    /// `[[tenant]]`: the tenants, for shares and guaranteed rates; empty if there are none.
     pub tenants: Vec<Tenant>,
-    /// `[[route]]`.
+    /// `[[route]]`: the routes; their order in the file does not matter.
     pub routes: Vec<Route>,
 }
 
@@ -72,7 +72,7 @@
     pub zone: Option<Located<String>>,
     /// The number of nodes that share the requests, this one included.
     pub nodes: Option<Located<u32>>,
-    /// The index of this node among them, from 0.
+    /// The index of this node among the `nodes`, from 0.
     pub number: Option<Located<u32>>,
     /// The seed of the random number generator; a different one at each start if it is not set.
     pub seed: Option<Located<u64>>,
@@ -107,18 +107,18 @@
 /// A header field, or a group of them, that informs backends about the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ForwardedField {
-    /// `X-Forwarded-For`, `-Host` and `-Proto`.
+    /// The fields `X-Forwarded-For`, `X-Forwarded-Host` and `X-Forwarded-Proto`.
     XForwarded,
-    /// `Forwarded`.
+    /// The field `Forwarded` of RFC 7239.
     Forwarded,
-    /// `Via`.
+    /// The field `Via`, with the name of this node.
     Via,
 }
 
-/// `[log]`.
+/// `[log]`: the format of the log, and the fraction of exchanges that is logged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Log {
-    /// The format. A change takes effect at the next start.
+    /// Plain text or JSON. A change takes effect at the next start.
     pub format: LogFormat,
     /// The fraction of exchanges that are logged, from 0 to 1.
     pub exchanges: f64,
@@ -134,7 +134,7 @@
     }
 }
 
-/// The format of the log.
+/// How entries of the log are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
     /// Plain text, one entry per line.
@@ -154,23 +154,23 @@
     pub max_size: u64,
 }
 
-/// `[[listener]]`.
+/// `[[listener]]`: an address where clients connect.
 #[derive(Clone, Debug)]
 pub struct Listener {
-    /// The address where clients connect.
+    /// The IP address and port to listen on.
     pub address: Located<SocketAddr>,
 }
 
 /// `[[cluster]]`: a group of interchangeable backends.
 #[derive(Clone, Debug)]
 pub struct Cluster {
-    /// The name by which routes refer to it.
+    /// The name by which routes refer to the cluster.
     pub name: Located<String>,
     /// The time after which a backend closes an idle connection.
     pub idle_close: Option<Located<Duration>>,
-    /// `load-reports`: whether its backends report their load in responses.
+    /// `load-reports`: whether backends report their load in responses.
     pub reports: Option<Located<LoadReports>>,
-    /// `cold`: the capacity of its backends after their start.
+    /// `cold`: the capacity of backends after their start.
     pub warm_up: Option<Located<WarmUp>>,
     /// The limit of requests in flight at a backend; `None` inside for no limit.
     pub limit: Option<Located<Option<LimitRule>>>,
@@ -187,11 +187,11 @@
 pub enum LimitRule {
     /// The limit adapts to the backend's responses, within bounds.
     Adaptive {
-        /// The initial limit.
+        /// The limit at which adaptation starts.
         initial: f64,
-        /// The minimum.
+        /// The lower bound of the limit.
         min: f64,
-        /// The maximum.
+        /// The upper bound of the limit.
         max: f64,
     },
     /// A fixed limit, for all nodes together.
@@ -203,7 +203,7 @@
 pub struct BrownoutRule {
     /// `at`: the fraction of rejected cost at which the rule becomes active.
     pub threshold: Located<f64>,
-    /// `back`: the fraction of rejected cost below which it ends.
+    /// `back`: the fraction of rejected cost below which the rule ends.
     pub release_threshold: Located<f64>,
     /// `after`: how long the fraction must stay beyond a threshold.
     pub hold_time: Duration,
@@ -216,13 +216,13 @@
 /// What a brownout rule switches off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrownoutRuleAction {
-    /// Hedged requests.
+    /// Hedged requests are not sent.
     DisableHedging,
-    /// Retries after an attempt that may have been executed.
+    /// No retries after an attempt that may have been executed.
     DisableRetries,
-    /// Requests of the listed classes.
+    /// Requests of the listed classes are rejected.
     ShedClasses,
-    /// Rejections on routes that have a fallback: the fallback is served instead.
+    /// On routes that have a fallback, it is served in place of a rejection.
     ServeFallback,
 }
 
@@ -232,9 +232,9 @@
 pub struct Fallback {
     /// The status code, from 200 to 599.
     pub status: u16,
-    /// The media type.
+    /// The value of the `Content-Type` header.
     pub media_type: HeaderValue,
-    /// The body.
+    /// The body of the response, sent as it is written in the file.
     pub body: String,
 }
 
@@ -250,9 +250,9 @@
 /// `cold`: the capacity of a backend after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
-    /// The minimum fraction of its capacity that it has at its start.
+    /// The fraction of its full capacity that a backend has at least when it starts.
     pub initial_capacity: f64,
-    /// The time after which it has its full capacity.
+    /// The time after its start when a backend has its full capacity.
     pub duration: Duration,
     /// The backend collapses if it receives more than this multiple of its current capacity for
     /// `overload_time`.
@@ -264,64 +264,64 @@
 /// `[[cluster.box]]`: a backend.
 #[derive(Clone, Debug)]
 pub struct Backend {
-    /// Its name, which identifies it even if its address changes.
+    /// The name, which identifies the backend even if its address changes.
     pub name: Located<String>,
-    /// The address where it listens.
+    /// The IP address and port where the backend listens.
     pub address: Located<SocketAddr>,
-    /// Its zone; backends without one form a zone of their own.
+    /// The zone; backends without one form a zone of their own.
     pub zone: Option<Located<String>>,
-    /// Its machine type.
+    /// The machine type; backends of one type have similar capacity.
     pub kind: Option<Located<String>>,
-    /// Its cell; 0 if it is not set.
+    /// The number of the cell; 0 if it is not set.
     pub cell: Option<Located<u16>>,
-    /// Its weight relative to other backends; 1 if it is not set.
+    /// The weight relative to other backends; 1 if it is not set.
     pub weight: Option<Located<f64>>,
-    /// Whether it is in service or draining; in service if it is not set.
+    /// Whether the backend is in service or draining; in service if it is not set.
     pub state: Option<Located<ServerState>>,
 }
 
-/// `[[tenant]]`.
+/// `[[tenant]]`: a tenant, which requests name in the tenant header.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Its name, which is the value of the tenant header.
+    /// The name, which is the value of the tenant header.
     pub name: Located<String>,
-    /// Its share of the service, from 0 to 1.
+    /// The tenant's share of the service, from 0 to 1.
     pub share: Option<Located<f64>>,
-    /// Its guaranteed rate in requests per second, over all nodes.
+    /// The guaranteed rate in requests per second, over all nodes.
     pub allowance: Option<Located<f64>>,
 }
 
-/// `[[class]]`.
+/// `[[class]]`: requests that may be repeated in the same way and share their settings.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name.
+    /// The name by which routes refer to the class.
     pub name: Located<String>,
-    /// Whether and where its requests may be repeated.
+    /// Whether requests may be repeated, and at which backends.
     pub repeat: Located<Repeat>,
     /// The header with the idempotency key of a keyed class.
     pub key_header: Option<Located<HeaderName>>,
-    /// The settings that it sets itself.
+    /// The settings of the class; those that are `None` come from `[defaults]`.
     pub settings: RequestSettings,
 }
 
-/// `[[route]]`.
+/// `[[route]]`: the requests that match some conditions, their class and their cluster.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// The position of its `[[route]]` header.
+    /// The position of the `[[route]]` header.
     pub span: Span,
-    /// Its name for logs and limits; one is made of its conditions if it is not set.
+    /// The name for logs and limits; one is made of the conditions if it is not set.
     pub name: Option<Located<String>>,
-    /// The host that it matches: exact, or `*.` and a suffix.
+    /// The host to match: exact, or `*.` and a suffix.
     pub host: Option<Located<String>>,
-    /// The methods that it matches; all that its class allows if none are set.
+    /// The methods to match; all that the class allows if none are set.
     pub methods: Option<Located<Vec<Method>>>,
-    /// The path that it matches.
+    /// The path to match, exactly, as a prefix or as a template.
     pub path: Option<Located<PathRule>>,
     /// Headers that must be present, with their values; `None` for any value.
     pub headers: Vec<Located<(HeaderName, Option<HeaderValue>)>>,
-    /// The name of the class of its requests.
+    /// The name of the class of the matching requests.
     pub class: Located<String>,
-    /// The name of the cluster that serves them.
+    /// The name of the cluster that serves the matching requests.
     pub cluster: Located<String>,
     /// The path that is forwarded, with captures in braces; the requested path if it is not set.
     pub rewrite: Option<Located<String>>,
@@ -329,7 +329,7 @@
     pub key: Option<Located<String>>,
     /// The capture that identifies the resource that the request concerns.
     pub subject: Option<Located<String>>,
-    /// The settings that it sets itself.
+    /// The settings of the route; those that are `None` come from the class.
     pub settings: RequestSettings,
 }
 
@@ -360,7 +360,7 @@
     pub delay: Duration,
     /// `most`: the maximum number of hedged requests for one request.
     pub max_per_request: u32,
-    /// `share`: the maximum number as a fraction of all requests.
+    /// `share`: the maximum number of hedged requests as a fraction of all requests.
     pub max_fraction: f64,
 }
 
--- a/crates/route-config/src/plan/mod.rs
+++ b/crates/route-config/src/plan/mod.rs
@@ -20,10 +20,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A valid file, compiled.
+/// A valid file, compiled. Routes refer to clusters, classes and limits by index.
 #[derive(Debug)]
 pub struct Plan {
-    /// The node's name.
+    /// The name of the node in logs; `marlwinch` if the file does not set it.
     pub name: String,
     /// The seed of the random number generator; `None` for a different one at each start.
     pub seed: Option<u64>,
@@ -51,9 +51,9 @@
     pub admin: Option<SocketAddr>,
     /// Where accepted requests are recorded; `None` to record none.
     pub trace: Option<Trace>,
-    /// The addresses to listen on.
+    /// The addresses where clients connect.
     pub listeners: Vec<SocketAddr>,
-    /// The clusters.
+    /// The clusters, by [`RoutePlan::cluster`].
     pub clusters: Vec<ClusterPlan>,
     /// The routing table. Its routes have the same indices as `routes`.
     pub table: RouteTable,
@@ -63,16 +63,16 @@
     pub limits: Vec<Limit>,
 }
 
-/// A compiled cluster.
+/// A cluster with the classes of its routes, for its balancer and its admission gate.
 #[derive(Debug)]
 pub struct ClusterPlan {
-    /// Its name.
+    /// The name in the file, unique among clusters.
     pub name: String,
-    /// The settings of its balancer.
+    /// The settings of the cluster's balancer.
     pub settings: Settings,
-    /// The settings of its admission gate.
+    /// The settings of the cluster's admission gate.
     pub gate: admission_control::GateSettings,
-    /// Its backends.
+    /// The backends of the cluster, in the order of the file.
     pub backends: Vec<BackendPlan>,
     /// The time after which a backend closes an idle connection.
     pub idle_close: Duration,
@@ -83,11 +83,11 @@
 /// A backend as the balancer sees it, and its address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendPlan {
-    /// Its name.
+    /// The name in the file, which the id in `entry` is the hash of.
     pub name: String,
-    /// Its entry in the balancer's list of servers.
+    /// The backend's entry in the balancer's list of servers.
     pub entry: ServerEntry,
-    /// The address where it listens.
+    /// The IP address and port where the backend listens.
     pub address: SocketAddr,
 }
 
@@ -109,20 +109,20 @@
     Capture(usize),
 }
 
-/// A compiled route.
+/// A route with its settings after inheritance, and the indices of what it refers to.
 #[derive(Debug)]
 pub struct RoutePlan {
     /// Its name, or one that is made of its conditions if the file does not set it.
     pub name: String,
-    /// The name of its class.
+    /// The name of the class in the file.
     pub class_name: String,
-    /// The index of its cluster.
+    /// The index in [`Plan::clusters`].
     pub cluster: usize,
     /// The index of the class of its requests in the cluster's settings.
     pub class: usize,
-    /// Whether and where its requests may be repeated.
+    /// Whether requests may be repeated, and at which backends.
     pub repeat: Repeat,
-    /// The index of its limits.
+    /// The index in [`Plan::limits`].
     pub limit: usize,
     /// Where the idempotency key of its requests is found; `None` if they are not keyed.
     pub key: Option<KeySource>,
@@ -132,9 +132,9 @@
     pub rewrite: Option<Vec<PathPiece>>,
     /// The settings of its requests, after inheritance.
     pub settings: ResolvedSettings,
-    /// Its index in the file.
+    /// The index in [`File::routes`](crate::model::File::routes).
     pub route_in_file: usize,
-    /// The index of its class in the file.
+    /// The index in [`File::classes`](crate::model::File::classes).
     pub class_in_file: usize,
 }
 
--- a/crates/route-config/src/resolve.rs
+++ b/crates/route-config/src/resolve.rs
@@ -11,11 +11,11 @@
 pub enum Level {
     /// Nowhere in the file: the value is the built-in default.
     BuiltIn,
-    /// In `[defaults]`.
+    /// In the table `[defaults]` of the file.
     Defaults,
-    /// In the class.
+    /// In the class of the route.
     Class,
-    /// In the route.
+    /// In the route itself, which overrides every other level.
     Route,
 }
 
@@ -33,9 +33,9 @@
 /// A value after inheritance, and where it is set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedValue<T> {
-    /// The value.
+    /// The value of the level that overrides all others.
     pub value: T,
-    /// The level that sets it.
+    /// The greatest level that sets the value.
     pub level: Level,
     /// The position of the value; `None` for a built-in default.
     pub span: Option<Span>,
@@ -76,7 +76,7 @@
     use super::*;
     use crate::model::LimitRule;
 
-    /// The timeout of a request.
+    /// The timeout of a request at this node, all attempts included.
     pub const TIMEOUT: Duration = Duration::from_secs(5);
     /// The maximum number of attempts of a request.
     pub const ATTEMPTS: u32 = 3;
--- a/crates/route-config/src/route.rs
+++ b/crates/route-config/src/route.rs
@@ -16,9 +16,9 @@
 /// A segment of a route's path.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Segment {
-    /// Exactly this text.
+    /// A segment that matches exactly this text.
     Literal(String),
-    /// Any single non-empty segment, captured under this name.
+    /// A segment that matches any single non-empty one, captured under this name.
     Capture(String),
 }
 
@@ -27,7 +27,7 @@
 pub struct Pattern {
     /// The segments from the left. A path that ends in a slash ends in an empty literal.
     pub segments: Vec<Segment>,
-    /// Whether all paths below it match as well.
+    /// Whether all paths below the pattern match as well.
     pub is_prefix: bool,
 }
 
@@ -35,15 +35,15 @@
     /// Why a path is not a valid pattern.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum PatternError {
-        /// More segments than [`MAX_SEGMENTS`].
+        /// The path has more segments than [`MAX_SEGMENTS`].
         TooDeep {
             display("it has more than {} segments", MAX_SEGMENTS)
         }
-        /// A brace outside of a capture. A capture is a whole segment, `{name}`.
+        /// The path has a brace outside of a capture. A capture is a whole segment, `{name}`.
         InvalidBraces {
             display("a capture must be a whole segment, such as `/{{station}}/`")
         }
-        /// Two captures with the same name.
+        /// Two captures of the path have the same name.
         DuplicateCapture {
             display("two of its captures have the same name")
         }
@@ -64,7 +64,7 @@
         Pattern { segments, is_prefix: true }.validated()
     }
 
-    /// A pattern with captures in braces.
+    /// A pattern in which a segment in braces, such as `{id}`, is a capture.
     pub fn template(path: &str) -> Result<Self, PatternError> {
         let read = |s: &str| match s.strip_prefix('{').and_then(|s| s.strip_suffix('}')) {
             Some(name) if is_capture_name(name) => Ok(Segment::Capture(name.into())),
@@ -124,13 +124,13 @@
 /// The conditions that a request must meet to match a route.
 #[derive(Clone, Debug)]
 pub struct Condition {
-    /// The hosts that match.
+    /// The hosts that match; by default all of them.
     pub host: HostRule,
-    /// The paths that match.
+    /// The normalized paths that match.
     pub pattern: Pattern,
-    /// The request's method must be one of these.
+    /// The methods that match; with none, no request matches.
     pub methods: Vec<Method>,
-    /// The request must have all of these headers.
+    /// The headers that a request must have; a route with more of them is preferred.
     pub headers: Vec<HeaderRule>,
 }
 
@@ -182,10 +182,10 @@
     Route {
         /// The index of the route in the list that the table was built from.
         number: usize,
-        /// The captures of the request's path.
+        /// The parts of the request's path that the route's captures match.
         captures: Captures,
     },
-    /// Routes for this path require another method; these are the methods, sorted.
+    /// Routes for this path require one of these methods, which are sorted.
     MethodNotAllowed(Vec<Method>),
     /// No route matches, and no route for this path requires another method.
     NotFound,
--- a/crates/route-config/src/target.rs
+++ b/crates/route-config/src/target.rs
@@ -7,14 +7,14 @@
 use std::borrow::Cow;
 
 quick_error! {
-    /// Why a path is rejected.
+    /// Why a path is rejected before a route is searched.
     #[derive(Clone, Copy, Debug, PartialEq, Eq)]
     pub enum PathError {
-        /// The path does not begin with a slash.
+        /// The path is empty or begins with another character than a slash.
         MissingSlash {
             display("the path does not begin with a slash")
         }
-        /// A `%` without two hexadecimal digits.
+        /// A `%` is not followed by two hexadecimal digits.
         InvalidEscape {
             display("the path has a % without two hexadecimal digits")
         }
@@ -27,7 +27,7 @@
         EncodedSlash {
             display("the path has an encoded slash")
         }
-        /// The dot segments lead above the root.
+        /// The path has more `..` segments than segments before them.
         AboveRoot {
             display("the path climbs above the root")
         }
@@ -41,9 +41,9 @@
 /// How a slash that is written as `%2F` in a path is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EncodedSlash {
-    /// It is kept as `%2F` within its segment.
+    /// The slash is kept as `%2F` within its segment.
     Keep,
-    /// The path is rejected.
+    /// A path with an encoded slash is rejected.
     Reject,
 }
 
