--- a/crates/route-config/src/route.rs
+++ b/crates/route-config/src/route.rs
@@ -130,7 +130,7 @@
     pub pattern: Pattern,
     /// The methods that match; with none, no request matches.
     pub methods: Vec<Method>,
-    /// The headers that a request must have; a route with more of them is preferred.
+    /// The headers that a request must have; a required value makes a route more specific than presence.
     pub headers: Vec<HeaderRule>,
 }
 
