--- a/crates/admission-control/src/backends/mod.rs
+++ b/crates/admission-control/src/backends/mod.rs
@@ -27,7 +27,7 @@
 /// The maximum of [`Capacity::max_in_flight`], so that the sum over thousands of backends does not overflow.
 const MAX_CAPACITY: u32 = u32::MAX / 4096;
 
-/// The backends of a cluster with their limits and capacities.
+/// The backends of a cluster, with the limits and capacities that are learned for them.
 #[derive(Debug)]
 pub struct Backends {
     settings: LimitSettings,
--- a/crates/admission-control/src/backends/state.rs
+++ b/crates/admission-control/src/backends/state.rs
@@ -15,26 +15,26 @@
 /// A backend's entry in the list of its cluster.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The backend.
+    /// The id under which attempts and capacities of the backend are reported.
     pub id: ServerId,
-    /// Its configured weight relative to the others, which may stand for its speed or its concurrency.
+    /// The configured weight relative to the others, which may stand for speed or for concurrency.
     pub weight: f64,
-    /// Its machine kind: a new backend is assumed to be as fast as others of its kind.
+    /// The machine kind: a new backend is assumed to be as fast as others of its kind.
     pub kind: u8,
-    /// Whether it accepts requests.
+    /// Whether the backend accepts requests.
     pub ready: bool,
-    /// When it was added, for the slow start; `None` if it is not new.
+    /// When the backend was added, for the slow start; `None` if it is not new.
     pub added_at: Option<Duration>,
 }
 
 /// The capacity of a backend that is passed to the balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// The backend.
+    /// The id of the backend in the list of endpoints.
     pub backend: ServerId,
-    /// The maximum number of this node's requests in flight there, at least 1.
+    /// The maximum number of this node's requests in flight at the backend, at least 1.
     pub max_in_flight: u32,
-    /// Its capacity relative to the mean of its cluster; positive and finite.
+    /// The capacity relative to the mean of the cluster; positive and finite.
     pub relative: f64,
 }
 
@@ -43,9 +43,9 @@
 pub struct BackendStatus {
     /// The capacity that was published last.
     pub capacity: Capacity,
-    /// The number of attempts in flight at it.
+    /// The number of this node's attempts in flight at the backend.
     pub in_flight: u32,
-    /// The latest changes of its limit, oldest first.
+    /// The latest changes of the backend's limit, oldest first.
     pub recent_changes: Vec<LimitChange>,
 }
 
@@ -54,7 +54,7 @@
 pub(super) struct SaturatedRate {
     /// Responses per second.
     pub(super) per_s: f64,
-    /// The number of windows in which it was measured.
+    /// The number of windows in which the rate was measured.
     pub(super) windows: f64,
 }
 
@@ -66,7 +66,6 @@
     }
 }
 
-/// A backend of the cluster.
 #[derive(Debug)]
 pub(super) struct BackendState {
     pub(super) endpoint: Endpoint,
@@ -76,7 +75,7 @@
     pub(super) saturated_rate: SaturatedRate,
     /// The capacity that was published last.
     pub(super) published: Option<Capacity>,
-    /// The number of changes of its limit.
+    /// The number of changes of the limit.
     pub(super) change_count: usize,
 }
 
--- a/crates/admission-control/src/brownout.rs
+++ b/crates/admission-control/src/brownout.rs
@@ -7,9 +7,9 @@
 /// The effect of a brownout step while it is active.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BrownoutAction {
-    /// No hedged requests.
+    /// The balancer sends no hedged requests.
     DisableHedging,
-    /// No retries once an attempt may have been executed.
+    /// The balancer makes no retries once an attempt may have been executed.
     DisableRetries,
     /// Requests of these classes, by index, are rejected at once unless they are within a guaranteed rate.
     ShedClasses(Vec<usize>),
@@ -17,7 +17,7 @@
     ServeFallback,
 }
 
-/// A brownout step.
+/// A feature that is disabled under overload, and the loads at which that begins and ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BrownoutStep {
     /// The step is activated when the share of work that exceeds the capacity, from 0 to 1, is at least this
--- a/crates/admission-control/src/client_retries.rs
+++ b/crates/admission-control/src/client_retries.rs
@@ -66,7 +66,7 @@
         self.rejected.remove(&fingerprint);
     }
 
-    /// The number of stored fingerprints.
+    /// The number of stored fingerprints, which may include expired ones.
     pub fn len(&self) -> usize {
         self.rejected.len()
     }
--- a/crates/admission-control/src/fair_queue.rs
+++ b/crates/admission-control/src/fair_queue.rs
@@ -38,20 +38,20 @@
     }
 }
 
-/// A request in the queue.
+/// A waiting request with the values that decide when it is served.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueuedRequest {
-    /// Its unique id.
+    /// The id by which the request is removed or returned; unique in the queue.
     pub id: RequestId,
-    /// The slot of its tenant.
+    /// The slot of the tenant, which stays the same when settings are replaced.
     pub tenant: usize,
-    /// Its expected backend time in seconds.
+    /// The expected backend time in seconds.
     pub cost: f64,
-    /// Its value relative to other requests.
+    /// The value relative to other requests; within a tenant, the highest value per cost is served first.
     pub priority_weight: f64,
     /// The time at which it is rejected if it has not been served.
     pub deadline: Duration,
-    /// Whether it is within its tenant's guaranteed rate: served before all others, and never displaced.
+    /// Whether it is within the tenant's guaranteed rate: served before all others, and never displaced.
     pub guaranteed: bool,
 }
 
@@ -80,7 +80,7 @@
     cost: f64,
 }
 
-/// The queue of a cluster.
+/// The queue of a cluster, which divides backend time among tenants by their shares.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     tenants: Vec<TenantQueue>,
--- a/crates/admission-control/src/gate/decision.rs
+++ b/crates/admission-control/src/gate/decision.rs
@@ -4,16 +4,16 @@
 use join_up_to::RequestId;
 use std::time::Duration;
 
-/// A request that has arrived.
+/// A request at its arrival, before the gate has decided on it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// Its unique id.
+    /// The id that later decisions and calls refer to; unique at this node.
     pub id: RequestId,
-    /// The index of its class in the settings.
+    /// The index in [`GateSettings::classes`](super::GateSettings::classes).
     pub class: usize,
-    /// The index of its tenant in the settings; 0 if there are no tenants.
+    /// The index in [`GateSettings::tenants`](super::GateSettings::tenants); 0 if there are no tenants.
     pub tenant: usize,
-    /// The time until its deadline.
+    /// The time until the deadline of the request.
     pub remaining: Duration,
     /// Identifies the request when its client retries; `None` if that is not possible.
     pub fingerprint: Option<RequestFingerprint>,
@@ -27,11 +27,11 @@
     /// Displaced from the queue by a request of a tenant that uses less of its share, or of a higher priority
     /// weight.
     Displaced,
-    /// It was queued for its maximum time.
+    /// The request was queued for its maximum time.
     QueueTimeout,
     /// A request with the same fingerprint is in the queue.
     Duplicate,
-    /// Its class is shed at the current brownout level.
+    /// The class of the request is shed at the current brownout level.
     Shed,
 }
 
@@ -49,20 +49,21 @@
 /// The decision on a request at its arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
-    /// It is forwarded now. The caller must call [`Gate::request_finished`](super::Gate::request_finished)
-    /// later.
+    /// The request is forwarded now. The caller must call
+    /// [`Gate::request_finished`](super::Gate::request_finished) later.
     Admit,
-    /// It is queued, until [`Gate::take_decisions`](super::Gate::take_decisions) returns it or
+    /// The request is queued, until [`Gate::take_decisions`](super::Gate::take_decisions) returns it or
     /// [`Gate::request_finished`](super::Gate::request_finished) removes it.
     Queue,
-    /// It is rejected. The caller must not call [`Gate::request_finished`](super::Gate::request_finished).
+    /// The request is rejected. The caller must not call
+    /// [`Gate::request_finished`](super::Gate::request_finished).
     Reject(Rejection),
 }
 
 /// The decision on a request that was queued.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueueDecision {
-    /// The request.
+    /// The id from the [`Arrival`] of the request.
     pub id: RequestId,
     /// The rejection; `None` if the request is admitted.
     pub rejection: Option<Rejection>,
--- a/crates/admission-control/src/gate/mod.rs
+++ b/crates/admission-control/src/gate/mod.rs
@@ -46,7 +46,7 @@
     fingerprint: Option<RequestFingerprint>,
     is_queued: bool,
     cost: f64,
-    /// Whether it is new work, as opposed to a client's retry after a rejection.
+    /// Whether the request is new work, as opposed to a client's retry after a rejection.
     is_first: bool,
 }
 
@@ -367,7 +367,7 @@
         }
     }
 
-    /// The current state, for diagnostics.
+    /// The current load and brownout level, for diagnostics.
     pub fn status(&self) -> GateStatus {
         GateStatus {
             in_flight: self.in_flight,
@@ -382,7 +382,7 @@
         self.counts
     }
 
-    /// The backends, for diagnostics.
+    /// The backends with their limits and learned capacities, for diagnostics.
     pub fn backends(&self) -> &Backends {
         &self.backends
     }
--- a/crates/admission-control/src/gate/settings.rs
+++ b/crates/admission-control/src/gate/settings.rs
@@ -4,10 +4,10 @@
 use crate::brownout::BrownoutStep;
 use std::time::Duration;
 
-/// A class of requests.
+/// The weight of a class in the queue, and the waits of its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Its name, under which its measured cost is kept when settings are replaced.
+    /// The name under which the measured cost of the class is kept when settings are replaced.
     pub name: String,
     /// The value of a request relative to other classes; queued requests are served by weight per cost.
     pub priority_weight: f64,
@@ -17,19 +17,19 @@
     pub max_queue_time: Option<Duration>,
 }
 
-/// A tenant.
+/// The backend time that a tenant is entitled to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// Its name, which identifies it when settings are replaced.
+    /// The name that identifies the tenant when settings are replaced.
     pub name: String,
-    /// Its share of the backend time, from 0 to 1; `None` for an equal part of what the configured shares
+    /// The share of the backend time, from 0 to 1; `None` for an equal part of what the configured shares
     /// leave.
     pub share: Option<f64>,
     /// The rate of requests per second at this node that are served before all others.
     pub guaranteed_rate: f64,
 }
 
-/// The settings of a gate.
+/// The settings of a gate, which [`Gate::reconfigure`](super::Gate::reconfigure) replaces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GateSettings {
     /// The concurrency limits and slow start of the backends.
--- a/crates/admission-control/src/limit/mod.rs
+++ b/crates/admission-control/src/limit/mod.rs
@@ -40,11 +40,11 @@
 /// The bounds of a concurrency limit, in requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitBounds {
-    /// The limit at the start.
+    /// The limit at the start, and the only one if it is not adapted.
     pub initial: f64,
-    /// The lowest limit.
+    /// The limit is never lowered below this value.
     pub min: f64,
-    /// The highest limit.
+    /// The limit is never raised above this value.
     pub max: f64,
     /// Whether the limit is adapted; it is fixed otherwise.
     pub is_adaptive: bool,
@@ -61,9 +61,9 @@
     Served,
     /// The backend rejected the request without executing it, which it does when overloaded.
     Rejected,
-    /// There was no response in time.
+    /// The backend did not respond in time.
     TimedOut,
-    /// The connection failed or was reset.
+    /// The connection could not be established or was reset.
     ConnectionFailed,
     /// Nothing: the latency of an error is not that of the work.
     Neutral,
@@ -78,9 +78,9 @@
     Room,
     /// Too many requests were queued at the backend, or a trial lowers the limit.
     Waiting,
-    /// The backend rejected requests.
+    /// The backend rejected requests without executing them.
     Refused,
-    /// Attempts timed out.
+    /// Attempts ended without a response in time.
     Late,
     /// Connections failed or were reset.
     Failed,
@@ -91,13 +91,13 @@
 /// A change of a limit, with the measurements that caused it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitChange {
-    /// The time of the change.
+    /// The time of the change, on the clock that callers pass as `now`.
     pub at: Duration,
     /// The limit before, in requests in flight.
     pub from: f64,
     /// The limit after, in requests in flight.
     pub to: f64,
-    /// The cause, by the last window.
+    /// The reason for the change, as shown by the last window.
     pub cause: Cause,
     /// The latency in that window as a multiple of the baseline latency.
     pub latency_ratio: f64,
--- a/crates/admission-control/src/limit/window.rs
+++ b/crates/admission-control/src/limit/window.rs
@@ -4,9 +4,8 @@
 
 /// The effective number of responses that a window needs; with fewer the result is noise.
 const MIN_SAMPLES: f64 = 32.0;
-/// The minimum length of a window.
 const MIN_LENGTH: Duration = Duration::from_millis(100);
-/// The maximum length of a window in which any attempt has ended.
+/// A window in which any attempt has ended is complete at this age.
 const MAX_LENGTH: Duration = Duration::from_secs(1);
 /// A window without a response ends after this number of failed connections.
 const MIN_FAILURES: u32 = 4;
--- a/crates/admission-control/src/retry_storm.rs
+++ b/crates/admission-control/src/retry_storm.rs
@@ -21,12 +21,12 @@
     pub per_s: f64,
 }
 
-/// The kind of an attempt.
+/// Whether an attempt counts against the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptKind {
-    /// The first attempt of a request.
+    /// The first attempt of a request, which raises the budget by a share.
     First,
-    /// A retry or a hedged request.
+    /// A retry or a hedged request, which uses the budget.
     Additional,
 }
 
