--- a/crates/engine-simulation/src/baseline.rs
+++ b/crates/engine-simulation/src/baseline.rs
@@ -13,19 +13,19 @@
 /// The retry-after time if no backend is left.
 const RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// A simple selection policy.
+/// A simple selection policy, for comparison with the package `routing`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BaselinePolicy {
-    /// A random backend.
+    /// Selects a random backend.
     Random,
-    /// A backend with the fewest attempts of this node in flight.
+    /// Selects a backend with the fewest attempts of this node in flight.
     LeastOutstanding,
-    /// A backend by the Join-Up-To(m) algorithm, whose estimates come from load reports.
+    /// Selects by the Join-Up-To(m) algorithm, whose estimates come from load reports.
     JoinUpTo,
-    /// The backend that rendezvous hashing of the last shared block selects.
+    /// Selects by rendezvous hashing of the last shared block.
     Affinity,
-    /// The backend that would complete the prefill first. This requires the present state of all backends,
-    /// which no node knows: the simulation selects the backend instead of the selector.
+    /// Selects the backend that would complete the prefill first. This requires the present state of all
+    /// backends, which no node knows: the simulation selects the backend instead of the selector.
     Omniscient,
 }
 
--- a/crates/engine-simulation/src/engine.rs
+++ b/crates/engine-simulation/src/engine.rs
@@ -10,7 +10,7 @@
     pub slots: usize,
     /// The maximum number of queued requests.
     pub max_queued: usize,
-    /// The capacity of its KV memory, in tokens.
+    /// The capacity of the KV memory, in tokens.
     pub kv_capacity_tokens: u64,
     /// The base time of a decode step, in ms.
     pub step_ms: f64,
@@ -33,11 +33,11 @@
 /// A request to an engine.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The id, chosen by the caller.
+    /// Chosen by the caller, to match the outputs with the request.
     pub id: u64,
     /// The urgency; 0 is served first.
     pub urgency: u8,
-    /// The prompt.
+    /// The blocks of the prompt, in order; a cached prefix of them is not prefilled again.
     pub prompt: Vec<PrefixBlock>,
     /// The number of events of the response.
     pub events: u32,
@@ -60,16 +60,16 @@
     Event {
         /// The id of the request.
         id: u64,
-        /// Whether it is the first of its stream.
+        /// Whether the event is the first of its stream.
         first: bool,
-        /// Whether it is the last of its stream.
+        /// Whether the event is the last of its stream.
         last: bool,
     },
     /// A request was admitted, and its prefill begins.
     Admitted {
         /// The id of the request.
         id: u64,
-        /// The number of cached tokens of its prompt.
+        /// The number of prompt tokens that are cached and need no prefill.
         cached_tokens: u64,
     },
     /// A chunk of a prompt was prefilled.
@@ -93,9 +93,9 @@
 /// The prompt tokens that an engine would prefill before the first token of another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefillBacklog {
-    /// Uncached tokens of the requests that are served before it.
+    /// Uncached tokens of the requests that are served before the other one.
     pub ahead_tokens: u64,
-    /// Uncached tokens of its own prompt.
+    /// Uncached tokens of the other request's prompt.
     pub own_tokens: u64,
 }
 
@@ -195,7 +195,7 @@
         PrefillBacklog { ahead_tokens: queued_tokens + prefilling_tokens, own_tokens: uncached(prompt) }
     }
 
-    /// Whether it has no requests.
+    /// Whether the engine has no requests, so that a step would do nothing.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.prefilling.is_empty() && self.running.is_empty()
     }
--- a/crates/engine-simulation/src/event_queue.rs
+++ b/crates/engine-simulation/src/event_queue.rs
@@ -7,9 +7,9 @@
 /// Whether a scheduled fault begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultPhase {
-    /// The fault begins.
+    /// The fault takes effect.
     Start,
-    /// The fault ends.
+    /// The effect of the fault ends.
     End,
 }
 
@@ -18,78 +18,78 @@
 pub enum Event {
     /// A client sends a request for the first time.
     Arrival {
-        /// The request.
+        /// The index of the request that arrives.
         request: usize,
     },
     /// A client retries a rejected request, possibly at another node.
     Retry {
-        /// The request.
+        /// The index of the request that was rejected.
         request: usize,
-        /// The node.
+        /// The index of the node that receives the retry.
         node: usize,
     },
     /// An attempt reaches its backend.
     AttemptArrival {
-        /// The request.
+        /// The index of the request; its state names the backend.
         request: usize,
     },
     /// An attempt has failed to connect.
     ConnectFailure {
-        /// The request.
+        /// The index of the request; its node may try another backend.
         request: usize,
     },
     /// An engine completes a step.
     StepEnd {
-        /// The engine.
+        /// The index of the engine, also if it has crashed since.
         engine: usize,
-        /// Its incarnation at the start of the step.
+        /// The engine's incarnation at the start of the step; a step of an earlier one is ignored.
         incarnation: u64,
     },
     /// A plain backend completes a call.
     PlainCallEnd {
-        /// The request.
+        /// The index of the request that the call serves.
         request: usize,
-        /// The plain backend.
+        /// The index of the plain backend whose slot becomes free.
         backend: usize,
     },
     /// The deadline of a request expires.
     Deadline {
-        /// The request.
+        /// The index of the request; ignored if it has ended.
         request: usize,
     },
     /// A client gives up a request, unless a newer timer was started for it.
     SilenceTimeout {
-        /// The request.
+        /// The index of the request that the client waits for.
         request: usize,
         /// The number of the timer among those of the request.
         timer: u64,
     },
     /// A fault begins or ends.
     Fault {
-        /// The fault.
+        /// The index in [`Site::faults`](crate::site::Site::faults).
         fault: usize,
-        /// Whether it begins or ends.
+        /// Whether the fault begins or ends.
         phase: FaultPhase,
     },
     /// An engine is replaced by a new one.
     Replacement {
-        /// The engine.
+        /// The index of the engine that is replaced.
         engine: usize,
     },
     /// The nodes receive a new list of engines.
     ListUpdate(Vec<BackendEntry>),
     /// A node requests load reports that are due.
     ReportPoll {
-        /// The node.
+        /// The index of the node that polls.
         node: usize,
     },
     /// A node receives a load report, or learns that there is none.
     ReportArrival {
-        /// The node.
+        /// The index of the node that requested the report.
         node: usize,
         /// The listed id of the engine.
         id: BackendId,
-        /// The engine.
+        /// The index of the engine that the report was requested from.
         engine: usize,
         /// The time of the request for the report, in ms.
         requested_at_ms: f64,
--- a/crates/engine-simulation/src/fault.rs
+++ b/crates/engine-simulation/src/fault.rs
@@ -3,9 +3,9 @@
 /// How a crashed engine's machine treats connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashMode {
-    /// It refuses new connections and resets open ones.
+    /// The machine refuses new connections and resets open ones.
     Refusing,
-    /// It does not reply, so that connects time out.
+    /// The machine does not reply, so that connects time out.
     Unresponsive,
 }
 
@@ -14,28 +14,28 @@
 pub enum Fault {
     /// The rate of a class is higher than normal.
     Burst {
-        /// The index of the class.
+        /// The index of the class in the site's list.
         class: usize,
         /// The rate as a multiple of the normal rate.
         factor: f64,
     },
     /// Some requests of a class share the same last shared block.
     HotKey {
-        /// The index of the class.
+        /// The index of the class in the site's list.
         class: usize,
-        /// The share of the requests, 0 to 1.
+        /// The share of the class's requests, 0 to 1.
         share: f64,
     },
     /// Some engines crash, and are replaced at the end of the fault.
     Crash {
-        /// The share of the engines, 0 to 1.
+        /// The share of the engines that crash, 0 to 1; at least one does.
         share: f64,
-        /// How their machines treat connections.
+        /// How the machines of crashed engines treat connections.
         mode: CrashMode,
     },
     /// Some engines are slower.
     Slow {
-        /// The share of the engines, 0 to 1.
+        /// The share of the engines that are slow, 0 to 1; at least one is.
         share: f64,
         /// The time of a step as a multiple of the normal time.
         factor: f64,
@@ -64,12 +64,12 @@
     }
 }
 
-/// A fault with its time in seconds, from the start of the simulation.
+/// A fault with its start and its duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// The start.
+    /// The start, in seconds since the start of the simulation.
     pub start_s: f64,
-    /// The duration.
+    /// The duration in seconds; the replacements of a release are spread over it.
     pub duration_s: f64,
     /// The fault.
     pub fault: Fault,
--- a/crates/engine-simulation/src/plain_backend.rs
+++ b/crates/engine-simulation/src/plain_backend.rs
@@ -2,14 +2,14 @@
 
 use std::collections::VecDeque;
 
-/// What a backend does with a call on its arrival.
+/// The result of offering a call to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlainAdmission {
-    /// It runs at once.
+    /// A slot is free, and the call runs at once.
     Running,
-    /// It waits for a slot.
+    /// The call waits until [`PlainBackend::finish`] frees a slot.
     Queued,
-    /// It is rejected, because the queue is full.
+    /// The call is rejected, because the queue is full.
     Rejected,
 }
 
--- a/crates/engine-simulation/src/random_site.rs
+++ b/crates/engine-simulation/src/random_site.rs
@@ -8,9 +8,9 @@
 /// Whether a random site has faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RandomFaults {
-    /// No faults.
+    /// The site runs undisturbed.
     None,
-    /// Two faults.
+    /// Two faults of random kinds are scheduled.
     Two,
 }
 
--- a/crates/engine-simulation/src/request_stream.rs
+++ b/crates/engine-simulation/src/request_stream.rs
@@ -29,11 +29,11 @@
 /// A request that a client sends.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// When it is sent, in ms since the start.
+    /// When the client first sends the request, in ms since the start.
     pub at_ms: f64,
-    /// The index of its class.
+    /// The index in [`Site::classes`].
     pub class: usize,
-    /// The index of the node that receives it.
+    /// The index of the node that receives the request.
     pub node: usize,
     /// The properties by which nodes select a backend.
     pub shape: RequestShape,
--- a/crates/engine-simulation/src/selection.rs
+++ b/crates/engine-simulation/src/selection.rs
@@ -7,10 +7,10 @@
 };
 use std::time::Duration;
 
-/// A selection policy.
+/// The policy that all nodes of a simulation use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SelectionPolicy {
-    /// A baseline.
+    /// A simple policy, for comparison with the package `routing`.
     Baseline(BaselinePolicy),
     /// The package `routing` with this policy.
     Routing(RoutingPolicy),
@@ -18,9 +18,9 @@
 
 /// The selector of one node.
 pub enum Selector {
-    /// A baseline.
+    /// A selector with a simple policy, for comparison.
     Baseline(Box<BaselineSelector>),
-    /// The package `routing`.
+    /// The selector of the package `routing`, with its policy.
     Routing(Box<Service>),
 }
 
--- a/crates/engine-simulation/src/simulation/clients.rs
+++ b/crates/engine-simulation/src/simulation/clients.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Handles the deadline of a request.
+    /// Gives up a request that has not ended by its deadline.
     pub fn deadline_reached(&mut self, request: usize) {
         if !self.states[request].is_done {
             self.give_up(request);
@@ -195,7 +195,6 @@
         self.nodes[node].selector(kind).attempt_ended(now, attempt, outcome, load);
     }
 
-    /// Handles a failure to connect.
     pub fn connect_failed(&mut self, request: usize) {
         self.attempt_failed(request, Outcome::NotConnected, None);
     }
--- a/crates/engine-simulation/src/simulation/state.rs
+++ b/crates/engine-simulation/src/simulation/state.rs
@@ -20,17 +20,17 @@
 /// The kind of backends that serve a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServiceKind {
-    /// Engines.
+    /// Engines, which serve requests with prompts.
     Engine,
-    /// Plain backends.
+    /// Plain backends, which serve calls without prompts.
     Plain,
 }
 
 /// A node with a selector for each kind of backends.
 pub struct Node {
-    /// Selects engines.
+    /// The selector among engines.
     pub engines: Selector,
-    /// Selects plain backends.
+    /// The selector among plain backends.
     pub plain: Selector,
 }
 
@@ -47,32 +47,32 @@
 /// The health of an engine's machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineHealth {
-    /// It serves requests.
+    /// The machine serves requests.
     Up,
-    /// It refuses connections.
+    /// The machine refuses connections.
     Refusing,
-    /// It does not reply, so that connects time out.
+    /// The machine does not reply, so that connects time out.
     Unresponsive,
-    /// It has crashed and been replaced.
+    /// The machine has crashed and been replaced.
     Gone,
 }
 
 /// The load of an engine at the end of a step.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadSample {
-    /// The time, in ms.
+    /// The end of the step, in ms since the start.
     pub at_ms: f64,
-    /// The load.
+    /// The load that a report at this time would contain.
     pub load: Load,
 }
 
 /// An engine on its machine.
 pub struct EngineInstance {
-    /// The listed id.
+    /// The id on the platform's list.
     pub id: BackendId,
     /// The model of the engine.
     pub engine: Engine,
-    /// The health of the machine.
+    /// Whether and how the machine reacts to connections.
     pub health: EngineHealth,
     /// The number of crashes. The end of a step of an earlier incarnation is ignored.
     pub incarnation: u64,
@@ -89,7 +89,7 @@
 /// The state of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestState {
-    /// The node to which it was sent last.
+    /// The node to which the client sent the request last.
     pub node: usize,
     /// The backends that the node has tried since the client sent it last.
     pub tried: Vec<BackendId>,
@@ -101,21 +101,21 @@
     pub backend: usize,
     /// The urgency that the selector has assigned.
     pub urgency: u8,
-    /// How often the client has sent it.
+    /// How often the client has sent the request.
     pub sends: u32,
-    /// When the client sent it last, in ms.
+    /// When the client sent the request last, in ms.
     pub sent_at_ms: f64,
-    /// Whether it was rejected early enough that a retry in time earns more than the late value.
+    /// Whether the request was rejected early enough that a retry in time earns more than the late value.
     pub rejected_early: bool,
-    /// When its first event left the engine, in ms.
+    /// When the first event left the engine, in ms; `None` before.
     pub first_event_ms: Option<f64>,
-    /// When it reached its engine or the engine last sent an event, in ms.
+    /// When the request reached its engine or the engine last sent an event, in ms.
     pub last_progress_ms: f64,
     /// Whether a gap between two events was too long.
     pub has_stalled: bool,
     /// The number of silence timers started. Older timers are ignored.
     pub silence_timer: u64,
-    /// Whether it has ended for its client: served, failed or finally rejected.
+    /// Whether the request has ended for its client: served, failed or finally rejected.
     pub is_done: bool,
 }
 
@@ -137,7 +137,7 @@
     pub listed: Vec<usize>,
     /// The plain backends.
     pub plain: Vec<PlainBackend>,
-    /// The nodes.
+    /// The nodes, by the index in [`ClientRequest::node`].
     pub nodes: Vec<Node>,
     /// Pending events.
     pub queue: EventQueue,
--- a/crates/engine-simulation/src/site.rs
+++ b/crates/engine-simulation/src/site.rs
@@ -10,7 +10,7 @@
     pub mean_tokens: f64,
     /// The standard deviation of the logarithm of the number of tokens.
     pub log_spread: f64,
-    /// The number of different blocks.
+    /// The number of different blocks that prompts may have at the position.
     pub count: u64,
     /// The Zipf exponent of their popularity: the n-th block has a weight of n to the power of minus this.
     pub zipf_exponent: f64,
@@ -27,9 +27,9 @@
     pub shared_blocks: Vec<SharedBlocks>,
     /// The mean number of tokens of the last block, which each request has for itself.
     pub mean_own_tokens: f64,
-    /// The standard deviation of the logarithm of the number of its tokens.
+    /// The standard deviation of the logarithm of the number of tokens of the last block.
     pub own_log_spread: f64,
-    /// The maximum number of its tokens.
+    /// The maximum number of tokens of the last block.
     pub max_own_tokens: f64,
     /// The mean number of events of a response; 0 for plain calls.
     pub mean_events: f64,
@@ -54,7 +54,7 @@
 }
 
 impl RequestClass {
-    /// Whether it is served by plain backends.
+    /// Whether requests of the class are served by plain backends, as their responses have no events.
     pub fn is_plain(&self) -> bool {
         self.mean_events == 0.0
     }
@@ -63,7 +63,7 @@
 /// The number and the capacity of the backends for plain calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlainBackends {
-    /// The number of backends.
+    /// The number of backends, which have equal capacity.
     pub count: usize,
     /// The maximum number of running calls at each.
     pub slots: usize,
@@ -76,7 +76,7 @@
 pub struct Site {
     /// The name in reports.
     pub name: String,
-    /// The number of engines.
+    /// The number of engines at the start.
     pub engines: usize,
     /// The speed and the capacity of each engine.
     pub engine: EngineSpec,
@@ -84,11 +84,11 @@
     pub plain: PlainBackends,
     /// The share of all requests, 0 to 1, that each node receives from clients.
     pub node_shares: Vec<f64>,
-    /// The classes of requests.
+    /// The classes; requests, bursts and hot keys refer to them by index.
     pub classes: Vec<RequestClass>,
     /// How long clients send new requests, in seconds.
     pub length_s: f64,
-    /// The scheduled faults.
+    /// The faults to inject, each with its start and duration; empty for none.
     pub faults: Vec<ScheduledFault>,
     /// A shared block counts as reread if it is prefilled again within this time, in seconds.
     pub reread_window_s: f64,
@@ -123,7 +123,6 @@
     }
 }
 
-/// The blocks at one position of the prompts of a class.
 fn blocks(mean_tokens: f64, log_spread: f64, count: u64, zipf_exponent: f64) -> SharedBlocks {
     SharedBlocks { mean_tokens, log_spread, count, zipf_exponent }
 }
@@ -170,7 +169,7 @@
     }
 }
 
-/// Plain calls.
+/// Calls without prompts, for plain backends.
 fn plain_class(load: f64) -> RequestClass {
     RequestClass {
         name: "plain",
