--- a/crates/fleet-simulation/src/backend.rs
+++ b/crates/fleet-simulation/src/backend.rs
@@ -14,7 +14,7 @@
     pub node: u32,
     /// The id of the request at that node.
     pub request: u64,
-    /// The number of the attempt, from 0.
+    /// The number of the attempt, in the order of sending, from 0.
     pub attempt: u32,
 }
 
@@ -37,11 +37,11 @@
 pub struct Backend {
     pub spec: BackendSpec,
     pub open_connections: u32,
-    /// The factor by which a fault slows it down; 1 without a fault.
+    /// The factor by which a fault slows the backend down; 1 without a fault.
     pub fault_slowdown: f64,
-    /// Whether a fault makes it respond with errors.
+    /// Whether a fault makes the backend respond with errors.
     pub returns_errors: bool,
-    /// Whether a fault makes it neither respond nor run jobs.
+    /// Whether a fault makes the backend neither respond nor run jobs.
     pub is_unresponsive: bool,
     /// The number of restarts so far. Jobs of an earlier incarnation never finish.
     pub incarnation: u32,
@@ -52,7 +52,7 @@
     mean_load: f64,
     mean_utilization: f64,
     updated_at: f64,
-    /// When the present degradation began; `None` if it is not degraded.
+    /// When the present degradation began; `None` without one.
     overloaded_since: Option<f64>,
     was_overloaded: bool,
     /// The last load samples, newest last.
@@ -84,12 +84,12 @@
         self.running as usize + self.queue.len()
     }
 
-    /// Whether it is degraded by overload.
+    /// Whether the backend is degraded by overload.
     pub fn is_overloaded(&self) -> bool {
         self.overloaded_since.is_some()
     }
 
-    /// Whether it has ever been degraded by overload.
+    /// Whether the backend has ever been degraded by overload.
     pub fn was_overloaded(&self) -> bool {
         self.was_overloaded
     }
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Adds a load sample.
+    /// Samples the present load; the oldest sample beyond the maximum is dropped.
     pub fn sample(&mut self, at: f64) {
         let (in_flight, queued) = (self.in_flight() as f32, self.queue.len() as f32);
         self.samples.push_back(LoadSample { at, in_flight, queued });
--- a/crates/fleet-simulation/src/node.rs
+++ b/crates/fleet-simulation/src/node.rs
@@ -5,7 +5,7 @@
 use join_up_to::{Balancer, Outcome, ServerId};
 use rustc_hash::FxHashMap;
 
-/// A request at a node.
+/// A request without a final response, or with attempts in flight.
 pub struct OpenRequest {
     /// The index of the client that sent it.
     pub client: usize,
@@ -14,7 +14,6 @@
     pub attempts: Vec<SentAttempt>,
 }
 
-/// An attempt that a node has sent.
 pub struct SentAttempt {
     pub server: ServerId,
     /// The time of sending, in seconds.
--- a/crates/fleet-simulation/src/scenario.rs
+++ b/crates/fleet-simulation/src/scenario.rs
@@ -9,25 +9,25 @@
 /// The number of zones of a generated fleet.
 const ZONES: u8 = 4;
 
-/// The properties of a node.
+/// A node's zone and its part of the traffic.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeSpec {
-    /// The zone.
+    /// The number of the zone; backends of other zones have a higher latency.
     pub zone: u8,
-    /// The relative amount of traffic that it receives.
+    /// The amount of traffic that the node receives, relative to other nodes.
     pub share: f64,
 }
 
-/// The properties of a backend.
+/// A backend's place, its speed and the limits beyond which it rejects requests or connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendSpec {
-    /// The zone.
+    /// The number of the zone, which is also that of the cell.
     pub zone: u8,
     /// The number of the machine kind in the list of backends.
     pub kind: u8,
     /// The number of cores, each of which runs one request at a time.
     pub cores: u32,
-    /// The speed of its cores, in seconds of work per second.
+    /// The speed of each core, in seconds of work per second.
     pub speed: f64,
     /// The maximum number of queued requests; more are rejected.
     pub queue: u32,
@@ -38,18 +38,18 @@
 /// The degradation of a backend under overload. Durations are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OverloadCurve {
-    /// It degrades when its mean number of jobs exceeds the number of cores by this multiple of their square
-    /// root.
+    /// A backend degrades when its mean number of jobs exceeds the number of cores by this multiple of their
+    /// square root.
     pub threshold: f64,
     /// The window of that mean; its time constant is half of this.
     pub load_window: f64,
-    /// The factor by which work takes longer while it is degraded.
+    /// The factor by which work takes longer during a degradation.
     pub slowdown: f64,
-    /// The minimum duration of a degradation, and the window of the mean utilization of its cores.
+    /// The minimum duration of a degradation, and the window of the mean utilization of the cores.
     pub recovery_window: f64,
-    /// The mean utilization, as a fraction, below which it recovers.
+    /// The mean utilization, as a fraction, below which the backend recovers.
     pub recovery_utilization: f64,
-    /// The maximum duration of a degradation, after which it recovers in any case.
+    /// The maximum duration of a degradation, after which the backend recovers in any case.
     pub max_duration: f64,
 }
 
@@ -65,9 +65,9 @@
 /// A temporary increase of traffic. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Burst {
-    /// The start.
+    /// The time at which the rate begins to rise.
     pub from: f64,
-    /// The end.
+    /// The time at which the rate returns to normal at once.
     pub to: f64,
     /// The rate after the ramp, as a multiple of the normal rate.
     pub factor: f64,
@@ -75,10 +75,10 @@
     pub ramp: f64,
 }
 
-/// What clients do after a rejection or a failure.
+/// The retries of clients after a rejection or a failure.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClientBehavior {
-    /// The maximum number of retries.
+    /// The maximum number of retries of a request.
     pub retries: u32,
     /// The delay before a retry, in seconds.
     pub wait: f64,
@@ -93,11 +93,11 @@
     pub first: usize,
     /// The number of affected backends, which are consecutive.
     pub backends: usize,
-    /// The start, in seconds.
+    /// The time at which the fault takes effect, in seconds.
     pub from: f64,
-    /// The end, in seconds.
+    /// The time at which the fault ends, in seconds.
     pub to: f64,
-    /// The kind of fault.
+    /// The effect on each of the affected backends.
     pub kind: FaultKind,
 }
 
@@ -106,9 +106,9 @@
 pub enum FaultKind {
     /// Work takes longer by this factor.
     Slow(f64),
-    /// It responds to each attempt with an immediate error.
+    /// The backend responds to each attempt with an immediate error.
     Errors,
-    /// It neither responds nor accepts connections, and restarts at the end.
+    /// The backend neither responds nor accepts connections, and restarts at the end.
     Unresponsive,
 }
 
@@ -117,15 +117,15 @@
 pub struct Scenario {
     /// The seed of all random draws.
     pub seed: u64,
-    /// How long new clients arrive.
+    /// How long new clients arrive, in seconds.
     pub length: f64,
     /// The normal rate of requests per second over all nodes, without client retries.
     pub rate: f64,
     /// A burst of requests; `None` for a constant rate.
     pub burst: Option<Burst>,
-    /// The nodes.
+    /// The nodes; each client's request goes to one of them at random, by their shares.
     pub nodes: Vec<NodeSpec>,
-    /// The backends.
+    /// The backends; faults refer to them by index.
     pub backends: Vec<BackendSpec>,
     /// The degradation of backends under overload; `None` for none.
     pub overload: Option<OverloadCurve>,
@@ -137,15 +137,15 @@
     pub handshake: f64,
     /// The one-way latency between zones.
     pub cross_zone_latency: f64,
-    /// The load reports of backends.
+    /// How often backends sample their load, and how late they report it.
     pub reporting: LoadReporting,
-    /// What clients do after a rejection or a failure.
+    /// The retries of clients after a rejection or a failure.
     pub clients: ClientBehavior,
-    /// The faults.
+    /// The temporary faults of backends; empty for none.
     pub faults: Vec<Fault>,
     /// The settings of the nodes' balancers; each node sets its own number and zone.
     pub settings: Settings,
-    /// The relative frequency of each class.
+    /// The relative frequency of each class, in the order of the settings.
     pub class_mix: Vec<f64>,
 }
 
--- a/crates/fleet-simulation/src/simulation/clients.rs
+++ b/crates/fleet-simulation/src/simulation/clients.rs
@@ -11,7 +11,7 @@
 pub(super) struct Client {
     class: usize,
     first_sent_at: f64,
-    /// How often it has sent the request.
+    /// How often the client has sent the request.
     sends: u32,
     /// The work of the request, in seconds on a core of speed 1.
     pub(super) work: f64,
--- a/crates/fleet-simulation/src/simulation/mod.rs
+++ b/crates/fleet-simulation/src/simulation/mod.rs
@@ -29,7 +29,6 @@
     Reused,
 }
 
-/// The kinds of events.
 enum SimulationEvent {
     /// The next client sends its request.
     Arrival,
--- a/crates/fleet-simulation/src/simulation/nodes.rs
+++ b/crates/fleet-simulation/src/simulation/nodes.rs
@@ -83,7 +83,6 @@
         self.schedule(timeout.as_secs_f64(), SimulationEvent::AttemptTimeout { key });
     }
 
-    /// Whether an attempt is in flight.
     pub(super) fn is_in_flight(&self, key: AttemptKey) -> bool {
         let request = self.nodes[key.node as usize].open_requests.get(&key.request);
         let attempt = request.and_then(|request| request.attempts.get(key.attempt as usize));
--- a/crates/fleet-simulation/src/tally.rs
+++ b/crates/fleet-simulation/src/tally.rs
@@ -1,17 +1,17 @@
 //! The results of a simulation.
 
-/// The results of one second of a simulation.
+/// Counts for one second of a simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SecondTally {
     /// Requests that clients sent for the first time in this second.
     pub offered: u32,
-    /// Those of them that were served within the latency target, counted from the first send.
+    /// Requests among `offered` that were served within the latency target, counted from the first send.
     pub in_time: u32,
     /// Requests, including client retries, that were rejected in this second without an attempt.
     pub rejected_unsent: u32,
-    /// Attempts that were sent.
+    /// Attempts that nodes sent in this second.
     pub attempts: u32,
-    /// Connections that were opened.
+    /// Connections that nodes began to open in this second, including refused ones.
     pub connections_opened: u32,
     /// The mean number of attempts in flight per backend at the end of the second.
     pub mean_in_flight: f64,
@@ -35,7 +35,7 @@
     pub offered: u64,
     /// Requests that were served within the latency target.
     pub in_time: u64,
-    /// Requests that were served later.
+    /// Requests that were served after the latency target.
     pub late: u64,
     /// Requests whose last retry was rejected.
     pub rejected: u64,
@@ -45,11 +45,11 @@
     pub value_in_time: f64,
     /// The total value of all requests.
     pub value_offered: f64,
-    /// The results by class.
+    /// The results by class, in the order of the settings.
     pub by_class: Vec<ClassTally>,
-    /// Attempts that were sent.
+    /// Attempts that all nodes sent.
     pub attempts: u64,
-    /// Connections that were opened.
+    /// Connections that all nodes began to open, including refused ones.
     pub connections_opened: u64,
     /// The maximum number of simultaneously open connections.
     pub max_open_connections: u64,
@@ -57,7 +57,7 @@
     pub refused_connections: u64,
     /// Backends that were degraded by overload at some time.
     pub overloaded: u64,
-    /// The results by second.
+    /// The results by second since the start.
     pub seconds: Vec<SecondTally>,
 }
 
