--- a/crates/overload-simulation/src/backend.rs
+++ b/crates/overload-simulation/src/backend.rs
@@ -38,18 +38,18 @@
     }
 }
 
-/// The properties of a backend.
+/// The speed and the queue of a backend, and how a long queue slows it down.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackendSpec {
     /// The number of cores, each of which runs one request at a time.
     pub cores: u32,
-    /// The speed of its cores; [`ServiceTime`] refers to a speed of 1.
+    /// The speed of each core; [`ServiceTime`] refers to a speed of 1.
     pub speed: f64,
     /// The maximum number of queued requests; more are rejected.
     pub queue: u32,
-    /// The number of queued requests per core above which it is degraded.
+    /// The number of queued requests per core above which the backend is degraded.
     pub degraded_above: f64,
-    /// The factor by which requests that start while it is degraded take longer; 1 for no degradation.
+    /// The factor by which requests that start in a degraded state take longer; 1 for no degradation.
     pub degradation: f64,
 }
 
@@ -63,39 +63,39 @@
 /// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptKey {
-    /// The request.
+    /// The request, which is unique over all nodes.
     pub request: RequestId,
-    /// The number of the attempt, from 0.
+    /// The number of the attempt, in the order of sending, from 0.
     pub attempt: u32,
 }
 
 /// The result of the arrival of an attempt.
 pub enum ArrivalResult {
-    /// It runs for this time.
+    /// The attempt runs for this time.
     Started(Duration),
-    /// It waits for a core.
+    /// The attempt waits for a core.
     Queued,
-    /// It is rejected, because the queue is full.
+    /// The attempt is rejected, because the queue is full.
     Rejected,
 }
 
-/// The state of a backend.
+/// A backend with its running and queued attempts.
 #[derive(Debug)]
 pub struct Backend {
     spec: BackendSpec,
     running: u32,
     queue: VecDeque<(AttemptKey, ServiceTime)>,
-    /// The factor by which a fault slows it down; 1 without a fault.
+    /// The factor by which a fault slows the backend down; 1 without a fault.
     pub fault_slowdown: f64,
-    /// Whether it accepts connections.
+    /// Whether the backend accepts connections; false from a crash to its recovery.
     pub is_up: bool,
-    /// Whether a fault makes it respond to each attempt with an immediate error.
+    /// Whether a fault makes the backend respond to each attempt with an immediate error.
     pub returns_errors: bool,
     /// The number of crashes so far. Attempts of an earlier incarnation never finish.
     pub incarnation: u64,
     /// The maximum of [`in_flight`](Self::in_flight) so far.
     pub max_in_flight: u32,
-    /// The number of attempts that it has started.
+    /// The number of attempts that have run or are running.
     pub started: u64,
 }
 
@@ -130,7 +130,7 @@
         Duration::from_secs_f64((service_time.draw(random) * factor / self.spec.speed).clamp(min, max))
     }
 
-    /// Starts, queues or rejects an attempt.
+    /// Runs an attempt on a free core, queues it, or rejects it if the queue is full.
     pub fn arrive(
         &mut self,
         attempt: AttemptKey,
--- a/crates/overload-simulation/src/simulation/clients.rs
+++ b/crates/overload-simulation/src/simulation/clients.rs
@@ -11,7 +11,6 @@
 /// The time after the deadline within which a response is not late: timers have a limited precision.
 const LATE_TOLERANCE: Duration = Duration::from_millis(5);
 
-/// An attempt that a node has sent.
 pub(super) struct SentAttempt {
     pub(super) server: ServerId,
     pub(super) sent: Duration,
@@ -20,7 +19,7 @@
 }
 
 impl SentAttempt {
-    /// Whether the attempt may have been executed.
+    /// Whether the attempt may have been executed; true while it is in flight.
     pub(super) fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.never_ran())
     }
@@ -37,9 +36,10 @@
     pub(super) deadline: Duration,
     pub(super) attempts: Vec<SentAttempt>,
     pub(super) has_response: bool,
-    /// Whether the balancer rejected or failed it. Attempts that are cancelled afterwards count as timed out.
+    /// Whether the balancer rejected or failed the request. Attempts that are cancelled afterwards count as
+    /// timed out.
     pub(super) ended_by_balancer: bool,
-    /// How often the client has sent it, including this time.
+    /// How often the client has sent the request, including this time.
     sends: u32,
 }
 
--- a/crates/overload-simulation/src/simulation/mod.rs
+++ b/crates/overload-simulation/src/simulation/mod.rs
@@ -24,7 +24,6 @@
 /// The time of the start of a simulation on the clock of gates and balancers.
 const START: Duration = Duration::from_secs(1_000);
 
-/// The kinds of events.
 enum SimulationEvent {
     /// The next client of a stream sends its request.
     Arrival { stream: usize },
@@ -34,7 +33,7 @@
     JobEnd { backend: usize, incarnation: u64, key: AttemptKey },
     /// A node learns that an attempt has failed.
     AttemptFailure { key: AttemptKey, outcome: Outcome },
-    /// An attempt times out.
+    /// The time-out of an attempt expires, which is ignored if the attempt has ended.
     AttemptTimeout { key: AttemptKey },
     /// A timer of a balancer expires.
     Timer { node: usize, token: u64 },
--- a/crates/overload-simulation/src/surge.rs
+++ b/crates/overload-simulation/src/surge.rs
@@ -9,11 +9,11 @@
 /// Whether and when clients retry after a rejection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientRetry {
-    /// Never.
+    /// Clients do not retry: a rejection is their last response.
     Never,
-    /// After the retry-after time of the rejection, at most this number of times.
+    /// Clients retry after the retry-after time of the rejection, at most this number of times.
     WhenAllowed(u32),
-    /// After 10 ms, at most this number of times.
+    /// Clients retry after 10 ms, at most this number of times.
     AtOnce(u32),
 }
 
@@ -22,47 +22,47 @@
 pub struct Stream {
     /// The index of the class in the balancer's settings.
     pub class: usize,
-    /// The index of the tenant.
+    /// The index of the tenant in the balancer's settings.
     pub tenant: usize,
     /// The index of the node that receives the requests.
     pub node: usize,
     /// The rate of the Poisson process of arrivals, in requests per second.
     pub rate: f64,
-    /// The start of the stream.
+    /// The start of the stream, in seconds since the start of the surge.
     pub from: f64,
-    /// The end of the stream, which the end of the surge may precede.
+    /// The end of the stream in seconds, which the end of the surge may precede.
     pub to: f64,
     /// How long a client waits for a response.
     pub timeout: Duration,
-    /// The distribution of service times.
+    /// The distribution of the time that a request takes on a core of speed 1.
     pub service_time: ServiceTime,
-    /// What clients do after a rejection.
+    /// Whether and when clients retry after a rejection.
     pub retry: ClientRetry,
 }
 
 /// A change of a backend at the start or the end of a fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultEvent {
-    /// Its attempts in flight are lost, and connections to it fail from now on.
+    /// The backend's attempts in flight are lost, and connections to it fail from now on.
     Crash,
-    /// It accepts connections again after a crash.
+    /// The backend accepts connections again after a crash.
     Recover,
-    /// It slows down by this factor, independently of its load; 1 restores its speed.
+    /// The backend slows down by this factor, independently of its load; 1 restores its speed.
     Slow(f64),
-    /// It responds to each attempt with an immediate error from now on.
+    /// The backend responds to each attempt with an immediate error from now on.
     StartErrors,
-    /// It processes attempts again after [`StartErrors`](Self::StartErrors).
+    /// The backend processes attempts again after [`StartErrors`](Self::StartErrors).
     EndErrors,
 }
 
 /// A scheduled change of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InjectedFault {
-    /// The time of the change.
+    /// The time of the change, in seconds since the start of the surge.
     pub at: f64,
-    /// The index of the backend.
+    /// The index in [`Surge::backends`].
     pub backend: usize,
-    /// The change.
+    /// The change, which lasts until a later one ends it.
     pub event: FaultEvent,
 }
 
@@ -71,13 +71,13 @@
 pub struct ListedBackend {
     /// The model of the backend.
     pub spec: BackendSpec,
-    /// The weight in the list.
+    /// The weight in the list, relative to other backends.
     pub weight: f64,
-    /// The number of the machine kind.
+    /// The number of the machine kind; backends of a kind have similar capacity.
     pub kind: u8,
 }
 
-/// The input of a simulation.
+/// The nodes, backends, clients and faults of a simulation.
 #[derive(Clone, Debug)]
 pub struct Surge {
     /// The settings of the nodes' balancers, which include the number of nodes.
@@ -86,9 +86,9 @@
     pub gate: Option<GateSettings>,
     /// The backends, in the order of the list.
     pub backends: Vec<ListedBackend>,
-    /// The streams of requests.
+    /// The streams of requests, which add up to the load.
     pub streams: Vec<Stream>,
-    /// The scheduled faults of backends.
+    /// The changes of backends during the surge; empty for none.
     pub faults: Vec<InjectedFault>,
     /// How long clients send requests, in seconds.
     pub seconds: u32,
--- a/crates/overload-simulation/src/tally.rs
+++ b/crates/overload-simulation/src/tally.rs
@@ -7,10 +7,10 @@
 /// The largest latency that histograms distinguish, in microseconds: ten minutes.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// The results of a stream of requests.
+/// Counts and latencies of the requests of a stream.
 #[derive(Clone, Debug)]
 pub struct StreamTally {
-    /// The number of requests, without retries.
+    /// The number of requests, without client retries.
     pub arrived: u64,
     /// The number of requests that were served.
     pub served: u64,
@@ -20,7 +20,7 @@
     pub slowest_rejection: Duration,
     /// The number of requests whose last response was a rejection.
     pub rejected: u64,
-    /// The number of requests that failed.
+    /// The number of requests whose last response was a failure.
     pub failed: u64,
     /// The sum of the mean service times of served requests, in seconds on a core of speed 1.
     pub work: f64,
@@ -50,10 +50,10 @@
     Histogram::new(3).unwrap_or_else(|e| unreachable!("three digits are valid: {e}"))
 }
 
-/// The results of a backend.
+/// The work that a backend got over the whole simulation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BackendTally {
-    /// The number of attempts that it started.
+    /// The number of attempts that the backend started to run.
     pub started: u64,
     /// The maximum number of running and queued attempts.
     pub max_in_flight: u32,
@@ -62,22 +62,22 @@
 /// A change of a node's concurrency limit for a backend.
 #[derive(Clone, Debug)]
 pub struct NodeLimitChange {
-    /// The index of the node.
+    /// The index of the node whose gate changed its limit.
     pub node: usize,
-    /// The index of the backend.
+    /// The index in [`Surge::backends`](crate::surge::Surge::backends).
     pub backend: u64,
-    /// The change with its reason.
+    /// The limits before and after, with the reason.
     pub change: LimitChange,
 }
 
 /// The results of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// The results by stream.
+    /// The results by stream, in the order of the surge.
     pub streams: Vec<StreamTally>,
     /// The number of served requests by second.
     pub served_by_second: Vec<u64>,
-    /// The results by backend.
+    /// The results by backend, in the order of the surge.
     pub backends: Vec<BackendTally>,
     /// The number of attempts, including the first of each request.
     pub attempts: u64,
@@ -90,7 +90,7 @@
     pub brownout_level: usize,
     /// The number of changes of the nodes' brownout levels.
     pub brownout_changes: u64,
-    /// All changes of limits.
+    /// All changes of limits, as returned by the gates.
     pub limit_changes: Vec<NodeLimitChange>,
     /// The number of changes of limits that the gates have counted.
     pub limit_change_count: usize,
