--- a/crates/join-up-to/src/interface/actions.rs
+++ b/crates/join-up-to/src/interface/actions.rs
@@ -6,7 +6,7 @@
 /// An action for the node to execute, in the order in which actions are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt.
+    /// Start an attempt; its end is reported by [`Event::AttemptEnded`](super::Event::AttemptEnded).
     Send {
         /// The request that the attempt belongs to.
         id: RequestId,
@@ -27,7 +27,7 @@
         /// The request that has failed.
         id: RequestId,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt in flight; its end is reported as for any other attempt.
     Cancel {
         /// The request that the attempt belongs to.
         id: RequestId,
@@ -65,9 +65,9 @@
         /// The content of the message, at most 256 bytes.
         data: Vec<u8>,
     },
-    /// Write to the operators' log.
+    /// Write an entry to the operators' log.
     Log {
-        /// The text of the entry.
+        /// The text of the log entry.
         text: String,
     },
 }
--- a/crates/join-up-to/src/interface/class.rs
+++ b/crates/join-up-to/src/interface/class.rs
@@ -37,7 +37,7 @@
     pub retry_on: RetryOn,
     /// The wait before a retry; `None` for none.
     pub backoff: Option<Backoff>,
-    /// When a hedged attempt is sent.
+    /// Whether and when another attempt is sent while one is in flight.
     pub hedging: Hedging,
     /// The retry budget; `None` for the one shared by all classes without a budget of their own.
     pub retry_budget: Option<RetryBudget>,
@@ -50,11 +50,11 @@
 pub struct RetryOn {
     /// The request was certainly not executed: [`Outcome::never_ran`].
     pub never_ran: bool,
-    /// The server responded with an error.
+    /// The server responded with an error; the request may have been executed.
     pub error: bool,
     /// The connection was lost, so the request may have been executed.
     pub reset: bool,
-    /// The attempt timed out.
+    /// The attempt timed out; the request may have been executed.
     pub timed_out: bool,
 }
 
@@ -111,7 +111,7 @@
     Never,
     /// A fixed time after the previous attempt, if that is still in flight.
     After {
-        /// The time between the attempts.
+        /// The time from one attempt to the next.
         delay: Duration,
         /// The maximum number of hedged attempts of a request.
         max_per_request: u32,
--- a/crates/join-up-to/src/interface/events.rs
+++ b/crates/join-up-to/src/interface/events.rs
@@ -6,20 +6,20 @@
 use super::settings::MAX_DURATION;
 use std::time::Duration;
 
-/// A request as it arrives.
+/// A client's request with the properties that the balancer decides by.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NewRequest {
     /// Chosen by the node and never reused; actions refer to the request by it.
     pub id: RequestId,
-    /// The index of its class in [`Settings::classes`](super::Settings::classes).
+    /// The index of the request's class in [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// The index of its tenant in [`Settings::tenants`](super::Settings::tenants).
+    /// The index of the request's tenant in [`Settings::tenants`](super::Settings::tenants).
     pub tenant: usize,
     /// The key of the entity that it concerns; 0 for none.
     pub key: u64,
     /// How long the client waits for this request.
     pub remaining: Duration,
-    /// Its expected processing time on a standard core; `None` if unknown.
+    /// The expected processing time on a standard core; `None` if unknown.
     pub cost: Option<Duration>,
     /// Whether the client has marked it as a retry of an earlier request.
     pub client_retry: bool,
@@ -33,7 +33,7 @@
     }
 }
 
-/// How an attempt ended.
+/// The outcome and duration of an attempt, and the load report that came with it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptEnd {
     /// The request that the attempt belongs to.
@@ -46,13 +46,13 @@
     pub outcome: Outcome,
     /// The time from the start of the attempt to its end.
     pub elapsed: Duration,
-    /// Whether the client has received its final response; otherwise the node still has to send one.
+    /// Whether the client has received the final response; otherwise the node still has to send one.
     pub finished: bool,
     /// The server's load report, if the response carried one.
     pub report: Option<LoadReport>,
 }
 
-/// How a probe ended.
+/// The outcome and duration of a probe, and the load report that came with it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProbeEnd {
     /// The server that was probed.
@@ -68,7 +68,7 @@
 /// The kinds of additional attempts that are disabled because servers are overloaded; by default none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AttemptRestrictions {
-    /// No hedged requests.
+    /// No second attempt is sent while one is in flight.
     pub no_hedging: bool,
     /// No retries once an attempt may have been executed.
     pub no_retries_after_execution: bool,
@@ -76,10 +76,10 @@
     pub no_retries: bool,
 }
 
-/// An input of the balancer.
+/// An input of the balancer, for [`Balancer::handle`](crate::Balancer::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// An update of the server list.
+    /// The server list or changes of it, depending on `kind`.
     List {
         /// Whether the entries are changes or the full list.
         kind: ListKind,
@@ -139,7 +139,7 @@
         /// The token of [`Action::SetTimer`](super::Action::SetTimer).
         token: u64,
     },
-    /// A probe has ended.
+    /// A probe that [`Action::Probe`](super::Action::Probe) requested has ended.
     Probed(ProbeEnd),
     /// The capacity of a server, for [`CapacitySource::Provided`](super::CapacitySource::Provided).
     Capacity {
@@ -152,7 +152,7 @@
     },
     /// Replaces the restrictions on additional attempts.
     Restrict(AttemptRestrictions),
-    /// A message from another node.
+    /// A message that another node sent with [`Action::Tell`](super::Action::Tell).
     Peer {
         /// The number of the sending node.
         from: u32,
--- a/crates/join-up-to/src/interface/servers.rs
+++ b/crates/join-up-to/src/interface/servers.rs
@@ -15,29 +15,29 @@
     Gone,
 }
 
-/// An entry of the server list.
+/// A server with its place, kind, state and weight, as the list has it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerEntry {
     /// The same for this server in every update of the list.
     pub id: ServerId,
-    /// The number of its zone; servers of a zone may deduplicate each other's requests.
+    /// The number of the zone; servers of a zone may deduplicate each other's requests.
     pub zone: u8,
-    /// The number of its machine kind; servers of a kind have similar capacity.
+    /// The number of the machine kind; servers of a kind have similar capacity.
     pub kind: u8,
-    /// The number of its cell; servers of a cell may deduplicate each other's requests.
+    /// The number of the cell; servers of a cell may deduplicate each other's requests.
     pub cell: u16,
     /// Whether the server accepts requests, drains or has been removed.
     pub state: ServerState,
-    /// Its configured weight relative to other servers.
+    /// The configured weight relative to other servers.
     pub weight: f32,
-    /// When its process last started; `None` if too long ago to matter for slow start.
+    /// When the server's process last started; `None` if too long ago to matter for slow start.
     pub started: Option<Duration>,
 }
 
 /// The kind of an update of the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The entries that have changed.
+    /// Only the entries that have changed; other servers stay as they are.
     Changes,
     /// The full list; servers that are not in it have been removed.
     Full,
@@ -52,9 +52,9 @@
 pub struct LoadReport {
     /// Requests in flight at the server.
     pub in_flight: Option<f32>,
-    /// Requests waiting in its queue.
+    /// Requests waiting in the server's queue.
     pub queue: Option<f32>,
-    /// The fraction of its processors in use, from 0 to 1.
+    /// The fraction of the server's processors in use, from 0 to 1.
     pub utilisation: Option<f32>,
     /// The recent service time in milliseconds.
     pub latency_ms: Option<f32>,
--- a/crates/join-up-to/src/interface/settings.rs
+++ b/crates/join-up-to/src/interface/settings.rs
@@ -10,7 +10,7 @@
 /// Numbers of settings are clamped to this value.
 const MAX_NUMBER: f64 = 1e9;
 
-/// The settings of a node.
+/// The settings of a node: where it is, what it may do, and how results are scored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// The number of nodes that the requests are distributed over, including this one; at least 1.
@@ -27,7 +27,7 @@
     pub over_share_value: f64,
     /// Whether the score weights requests by their cost instead of counting them.
     pub value_by_cost: bool,
-    /// How servers report their load.
+    /// Whether load reports come with responses, with probe results only, or not at all.
     pub reports: ReportSource,
     /// What the site permits its nodes to do.
     pub limits: Limits,
@@ -56,21 +56,21 @@
     Provided,
 }
 
-/// A tenant and its entitlement.
+/// The rate and the share of the service that a tenant is entitled to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests per second within its share, summed over all nodes.
+    /// Requests per second within the tenant's share, summed over all nodes.
     pub allowance_per_s: f64,
-    /// Its fraction of the service, from 0 to 1.
+    /// The tenant's fraction of the service, from 0 to 1.
     pub share: f64,
 }
 
 /// How servers report their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With responses and with probe results.
+    /// Load reports come with responses and with probe results.
     Answers,
-    /// With probe results only.
+    /// Load reports come with probe results only.
     Probes,
     /// Servers do not report their load.
     None,
@@ -83,7 +83,7 @@
     pub max_attempts: u32,
     /// Whether an attempt in flight may be cancelled.
     pub cancel: bool,
-    /// Whether servers may be probed.
+    /// Whether the node may request load reports by probes.
     pub probes: bool,
     /// Whether two attempts of a request may be in flight at once.
     pub parallel_attempts: bool,
--- a/crates/join-up-to/src/settings.rs
+++ b/crates/join-up-to/src/settings.rs
@@ -13,13 +13,13 @@
 use serde::de::value::StrDeserializer;
 use std::time::Duration;
 
-/// A column of load reports.
+/// The value that a column of load reports has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Column {
     /// Requests in flight at the server.
     Concurrent,
-    /// Requests waiting in its queue.
+    /// Requests waiting in the server's queue.
     Depth,
     /// The fraction of its processors in use, from 0 to 1.
     LoadShare,
--- a/crates/join-up-to/src/state/request.rs
+++ b/crates/join-up-to/src/state/request.rs
@@ -25,17 +25,17 @@
 #[derive(Default)]
 pub struct Request {
     pub class: ClassSlot,
-    /// Its expected processing time; `None` if unknown.
+    /// The expected processing time; `None` if unknown.
     pub cost: Option<Duration>,
-    /// Its cost relative to the average; 1 if unknown.
+    /// The cost relative to the average; 1 if unknown.
     pub relative_cost: f64,
-    /// The time by which it must have its final response.
+    /// The time by which the client must have the final response.
     pub deadline: Duration,
     pub attempts: Vec<Attempt>,
     pub probe_rounds: u32,
-    /// Whether its response is being streamed to the client.
+    /// Whether the response is being streamed to the client.
     pub is_streaming: bool,
-    /// The maximum time for its body to arrive; `None` unless the body is forwarded while it arrives.
+    /// The maximum time for the body to arrive; `None` unless the body is forwarded while it arrives.
     pub upload_timeout: Option<Duration>,
     /// Whether bytes of an upload's body that are not buffered were forwarded.
     pub is_body_consumed: bool,
@@ -43,7 +43,7 @@
     pub hedge_at: Option<Duration>,
     pub may_hedge: bool,
     pub hedges: u32,
-    /// The end of the backoff before its next retry.
+    /// The end of the backoff before the next retry.
     pub backoff_until: Option<Duration>,
     /// Whether nothing more is to be sent for it.
     pub is_closed: bool,
--- a/crates/join-up-to/src/state/server.rs
+++ b/crates/join-up-to/src/state/server.rs
@@ -9,7 +9,7 @@
 #[derive(Default)]
 pub struct Server {
     pub entry: ServerEntry,
-    /// Its random rank among the ready servers, kept as long as updates of the list contain the server.
+    /// The random rank among the ready servers, kept as long as updates of the list contain the server.
     pub rank: Option<u32>,
     /// The estimate of Join-Up-To(m): this node's sends since the last idle report.
     pub estimate: Estimate,
@@ -23,11 +23,11 @@
     pub is_probed: bool,
     /// Moving average of failed attempts, from 0 to 1.
     pub failure_rate: f64,
-    /// The end of its ejection. Afterwards it gets one request at a time until one is served.
+    /// The end of the ejection. Afterwards the server gets one request at a time until one is served.
     pub ejected_until: Option<Duration>,
     /// The cost that may still be sent to it in slow start, relative to the average cost of a request.
     pub slow_start_credit: TokenBucket,
-    /// Its capacity, if provided from outside.
+    /// The capacity, if provided from outside.
     pub capacity: Option<Capacity>,
     /// The logarithm of its learned capacity relative to the mean: the sum of the log weight of its machine
     /// kind and of its own deviation from that, `log_deviation`.
