--- a/crates/route-config/src/check/mod.rs
+++ b/crates/route-config/src/check/mod.rs
@@ -20,17 +20,17 @@
 use join_up_to::Repeat;
 use std::collections::HashMap;
 
-/// A valid route.
+/// A route without errors, with what was parsed or looked up for it.
 pub struct CheckedRoute {
-    /// Its index in the file.
+    /// The index of the route in the file.
     pub number: usize,
-    /// The conditions that a request must meet to match it.
+    /// The conditions that a request must meet to match the route.
     pub condition: Condition,
-    /// The index of its class in the file.
+    /// The index of the route's class in the file.
     pub class: usize,
-    /// The index of its cluster in the file.
+    /// The index of the route's cluster in the file.
     pub cluster: usize,
-    /// The settings of its requests, after inheritance.
+    /// The settings of the route's requests, after inheritance.
     pub settings: ResolvedSettings,
 }
 
--- a/crates/route-config/src/diagnostic.rs
+++ b/crates/route-config/src/diagnostic.rs
@@ -130,7 +130,7 @@
 pub struct Diagnostic {
     /// The kind of the error, for tools that match on it.
     pub code: Code,
-    /// What is wrong, in one line.
+    /// The description of the error, in one line.
     pub message: String,
     /// The range of bytes that is wrong; empty if the error concerns the whole file.
     pub span: Range<usize>,
@@ -202,7 +202,7 @@
 /// The position of a byte in the text. Its field names are part of the JSON report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Position {
-    /// The line, from 1.
+    /// The number of the line, from 1.
     pub line: usize,
     /// The column in characters, from 1.
     pub column: usize,
--- a/crates/route-config/src/explain.rs
+++ b/crates/route-config/src/explain.rs
@@ -271,7 +271,6 @@
     let _ = writeln!(out, "  no answer by {}: {end}", format_duration(deadline));
 }
 
-/// Lists the retries.
 fn describe_retries(out: &mut String, settings: &ResolvedSettings, repeat: Repeat) {
     let deadline = settings.deadline();
     let may_have_run = settings.retry_on.value.may_have_run();
--- a/crates/route-config/src/lib.rs
+++ b/crates/route-config/src/lib.rs
@@ -25,7 +25,7 @@
 
 use diagnostic::{Diagnostic, Report};
 
-/// A valid file.
+/// The result of [`load`] for a file without errors.
 #[derive(Debug)]
 pub struct LoadedFile {
     /// The compiled file, ready for use by a node.
@@ -34,7 +34,7 @@
     pub file: model::File,
 }
 
-/// The errors of an invalid file.
+/// The error of [`load`]: what is wrong with the file.
 #[derive(Debug)]
 pub struct InvalidFile {
     /// The errors, sorted by position; at least one.
--- a/crates/route-config/src/model.rs
+++ b/crates/route-config/src/model.rs
@@ -139,14 +139,14 @@
 pub enum LogFormat {
     /// Plain text, one entry per line.
     Text,
-    /// One JSON object per line.
+    /// JSON, with one object per line.
     Json,
 }
 
 /// `[trace]`: the recording of accepted requests, for replay.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// The path of the trace file.
+    /// The path of the file that entries are written to.
     pub file: String,
     /// The maximum number of entries that wait to be written; more are dropped and counted.
     pub queue: usize,
@@ -376,7 +376,7 @@
 /// `upgrade`: the protocol upgrades that are forwarded; after one, bytes are relayed in both directions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpgradeRule {
-    /// The protocols, in lower case.
+    /// The names of the protocols, in lower case.
     pub to: Vec<String>,
     /// The maximum time without a byte in either direction.
     pub idle: Duration,
@@ -417,7 +417,7 @@
     pub backoff: Option<Located<Option<Backoff>>>,
     /// `copies`: hedged requests; `None` inside for none.
     pub hedging: Option<Located<Option<HedgingRule>>>,
-    /// `budget`: the retry budget.
+    /// `budget`: the retries that are allowed, as a share of requests and as a rate.
     pub retry_budget: Option<Located<RetryBudget>>,
     /// `in-hand`: the maximum number of requests in flight; `None` inside for no maximum.
     pub max_in_flight: Option<Located<Option<u32>>>,
--- a/crates/route-config/src/plan/mod.rs
+++ b/crates/route-config/src/plan/mod.rs
@@ -103,7 +103,7 @@
 /// A piece of a rewritten path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PathPiece {
-    /// Literal text.
+    /// Text that is forwarded as it is written in the rewrite.
     Text(String),
     /// The text of the capture with this index.
     Capture(usize),
--- a/crates/route-config/src/plan/routes.rs
+++ b/crates/route-config/src/plan/routes.rs
@@ -12,7 +12,7 @@
 
 /// A class of a cluster: one of the file, or one made for a route that overrides settings.
 pub(super) struct ClusterClass {
-    /// The index of its class in the file.
+    /// The index of the class in the file.
     pub(super) class_in_file: usize,
     /// The class as the balancer sees it.
     pub(super) class: join_up_to::Class,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Compiles a route.
+    /// Compiles a route, and adds its class and its limits to the lists.
     pub(super) fn add(&mut self, checked: CheckedRoute) -> (RoutePlan, Condition) {
         let route = &self.file.routes[checked.number];
         let class = &self.file.classes[checked.class];
--- a/crates/route-config/src/read.rs
+++ b/crates/route-config/src/read.rs
@@ -16,7 +16,7 @@
 /// unknown.
 pub struct Section<'t> {
     table: &'t DeTable<'t>,
-    /// The position of the table.
+    /// The position of the table in the file's text.
     pub span: Span,
     /// The name of the table in messages.
     pub name: String,
@@ -113,7 +113,7 @@
     }
 }
 
-/// Parses a string.
+/// Parses a string; any other type is reported, and `None` is returned.
 pub fn text(value: Value, report: &mut Report) -> Option<Located<String>> {
     match value.get_ref() {
         DeValue::String(text) => Some(Located::new(text.to_string(), value.span())),
--- a/crates/route-config/src/resolve.rs
+++ b/crates/route-config/src/resolve.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Resolves every setting.
+    /// The settings with the value of the most specific level that sets each, or the built-in default.
     pub fn resolve(&self) -> ResolvedSettings {
         let timeout = self.with_default(|s| &s.timeout, built_in::TIMEOUT);
         let attempt_timeout = self.optional(|s| &s.attempt_timeout);
