--- a/crates/admission-control/src/gate/decision.rs
+++ b/crates/admission-control/src/gate/decision.rs
@@ -19,7 +19,7 @@
     pub fingerprint: Option<RequestFingerprint>,
 }
 
-/// Why a request is rejected.
+/// Why a gate rejects a request, at its arrival or from the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
     /// There is no capacity, and the queue is full of requests with precedence over it.
@@ -72,7 +72,7 @@
 /// Counts of requests since the gate was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Requests admitted at arrival.
+    /// Requests admitted at arrival, without being queued.
     pub admitted_at_once: u64,
     /// Requests admitted from the queue.
     pub admitted_from_queue: u64,
--- a/crates/admission-control/src/gate/tenants.rs
+++ b/crates/admission-control/src/gate/tenants.rs
@@ -18,7 +18,7 @@
 }
 
 impl GuaranteedRate {
-    /// A full bucket.
+    /// The rate with a full bucket, so that a first burst is within it.
     fn new(now: Duration, per_s: f64) -> Self {
         GuaranteedRate { per_s, tokens: (per_s * BURST_S).max(1.0), refilled_at: now }
     }
--- a/crates/admission-control/src/limit/trial.rs
+++ b/crates/admission-control/src/limit/trial.rs
@@ -16,7 +16,7 @@
 pub(super) struct MeasurementSize {
     /// The effective number of responses.
     pub(super) samples: f64,
-    /// The time in seconds.
+    /// The total length of the measured windows, in seconds.
     pub(super) seconds: f64,
 }
 
