--- a/crates/engine-simulation/src/engine.rs
+++ b/crates/engine-simulation/src/engine.rs
@@ -30,7 +30,7 @@
     pub tokens_per_event: u32,
 }
 
-/// A request to an engine.
+/// A request to an engine, with its prompt and the length of its response.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Chosen by the caller, to match the outputs with the request.
@@ -53,10 +53,10 @@
     prompt.iter().map(|block| block.tokens).sum()
 }
 
-/// A result of a step.
+/// A result of a step, about one of the engine's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineOutput {
-    /// An event of a stream was sent.
+    /// An event of a stream, made of some generated tokens, was sent.
     Event {
         /// The id of the request.
         id: u64,
@@ -67,14 +67,14 @@
     },
     /// A request was admitted, and its prefill begins.
     Admitted {
-        /// The id of the request.
+        /// The id of the admitted request.
         id: u64,
         /// The number of prompt tokens that are cached and need no prefill.
         cached_tokens: u64,
     },
     /// A chunk of a prompt was prefilled.
     Prefilled {
-        /// The id of the request.
+        /// The id of the request that the prompt belongs to.
         id: u64,
         /// The number of tokens of the chunk.
         tokens: u64,
@@ -84,7 +84,7 @@
 /// The number of requests at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests that generate tokens.
+    /// Requests that generate tokens, after their prefill.
     pub running: u32,
     /// Requests that are queued or prefilled.
     pub waiting: u32,
--- a/crates/engine-simulation/src/event_queue.rs
+++ b/crates/engine-simulation/src/event_queue.rs
@@ -87,7 +87,7 @@
     ReportArrival {
         /// The index of the node that requested the report.
         node: usize,
-        /// The listed id of the engine.
+        /// The id of the engine on the list that the node had.
         id: BackendId,
         /// The index of the engine that the report was requested from.
         engine: usize,
--- a/crates/engine-simulation/src/fault.rs
+++ b/crates/engine-simulation/src/fault.rs
@@ -33,7 +33,7 @@
         /// How the machines of crashed engines treat connections.
         mode: CrashMode,
     },
-    /// Some engines are slower.
+    /// The steps of some engines take longer, until the fault ends.
     Slow {
         /// The share of the engines that are slow, 0 to 1; at least one is.
         share: f64,
@@ -71,7 +71,7 @@
     pub start_s: f64,
     /// The duration in seconds; the replacements of a release are spread over it.
     pub duration_s: f64,
-    /// The fault.
+    /// The kind and the extent of the fault.
     pub fault: Fault,
 }
 
--- a/crates/engine-simulation/src/plain_backend.rs
+++ b/crates/engine-simulation/src/plain_backend.rs
@@ -25,7 +25,7 @@
 }
 
 impl PlainBackend {
-    /// An idle backend.
+    /// An idle backend with this maximum of running and of queued calls.
     pub fn new(slots: usize, max_queued: usize) -> Self {
         PlainBackend { slots, max_queued, ..Self::default() }
     }
--- a/crates/engine-simulation/src/request_stream.rs
+++ b/crates/engine-simulation/src/request_stream.rs
@@ -26,7 +26,7 @@
 /// The number of tokens per event by which nodes estimate the length of responses.
 const TOKENS_PER_EVENT: u32 = 6;
 
-/// A request that a client sends.
+/// A request with its time, its node, its prompt and the length of its response.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     /// When the client first sends the request, in ms since the start.
--- a/crates/engine-simulation/src/selection.rs
+++ b/crates/engine-simulation/src/selection.rs
@@ -16,7 +16,7 @@
     Routing(RoutingPolicy),
 }
 
-/// The selector of one node.
+/// The selector of one node for one kind of backends.
 pub enum Selector {
     /// A selector with a simple policy, for comparison.
     Baseline(Box<BaselineSelector>),
--- a/crates/engine-simulation/src/simulation/state.rs
+++ b/crates/engine-simulation/src/simulation/state.rs
@@ -86,7 +86,7 @@
     pub slowdown: f64,
 }
 
-/// The state of a request.
+/// The progress of a request since its arrival.
 #[derive(Clone, Debug, Default)]
 pub struct RequestState {
     /// The node to which the client sent the request last.
@@ -121,7 +121,6 @@
 
 /// The state of a simulation. The sibling modules handle its events.
 pub struct Simulation<'a> {
-    /// The deployment.
     pub site: &'a Site,
     /// The policy of all nodes.
     pub policy: SelectionPolicy,
--- a/crates/engine-simulation/src/site.rs
+++ b/crates/engine-simulation/src/site.rs
@@ -16,10 +16,10 @@
     pub zipf_exponent: f64,
 }
 
-/// A class of requests.
+/// The rate, the prompts, the responses and the value of a class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// The name in reports.
+    /// The name of the class in reports.
     pub name: &'static str,
     /// The normal rate of requests per second over all nodes.
     pub rate_per_s: f64,
@@ -74,13 +74,13 @@
 /// A deployment with its workload.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// The name in reports.
+    /// The name of the site in reports.
     pub name: String,
     /// The number of engines at the start.
     pub engines: usize,
     /// The speed and the capacity of each engine.
     pub engine: EngineSpec,
-    /// The backends for plain calls.
+    /// The number and the capacity of the backends for plain calls.
     pub plain: PlainBackends,
     /// The share of all requests, 0 to 1, that each node receives from clients.
     pub node_shares: Vec<f64>,
--- a/crates/engine-simulation/src/statistics.rs
+++ b/crates/engine-simulation/src/statistics.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// The results of a simulation.
+/// The results of a simulation over all nodes and its whole length.
 #[derive(Clone, Debug, Default)]
 pub struct Statistics {
     /// The results by class, in the order of the site.
