--- a/crates/fleet-simulation/src/backend.rs
+++ b/crates/fleet-simulation/src/backend.rs
@@ -10,7 +10,7 @@
 /// Identifies an attempt of a request at a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptKey {
-    /// The index of the node.
+    /// The index of the node that sends the attempt.
     pub node: u32,
     /// The id of the request at that node.
     pub request: u64,
--- a/crates/fleet-simulation/src/scenario.rs
+++ b/crates/fleet-simulation/src/scenario.rs
@@ -56,7 +56,7 @@
 /// The load reports of backends. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReporting {
-    /// The interval of load samples.
+    /// The interval at which each backend samples its load.
     pub period: f64,
     /// The time from a sample until responses report it.
     pub delay: f64,
@@ -115,7 +115,7 @@
 /// A fleet with its load and its faults. Times are in seconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// The seed of all random draws.
+    /// The seed of all random draws of a simulation, for reproducible results.
     pub seed: u64,
     /// How long new clients arrive, in seconds.
     pub length: f64,
--- a/crates/fleet-simulation/src/tally.rs
+++ b/crates/fleet-simulation/src/tally.rs
@@ -28,7 +28,7 @@
     pub offered: u64,
 }
 
-/// The results of a simulation.
+/// The results of a simulation, summed over all nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tally {
     /// Requests, without client retries.
--- a/crates/overload-simulation/src/surge.rs
+++ b/crates/overload-simulation/src/surge.rs
@@ -69,7 +69,7 @@
 /// A backend with the properties that its list entry has.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ListedBackend {
-    /// The model of the backend.
+    /// The speed and the queue of the simulated backend.
     pub spec: BackendSpec,
     /// The weight in the list, relative to other backends.
     pub weight: f64,
@@ -92,6 +92,6 @@
     pub faults: Vec<InjectedFault>,
     /// How long clients send requests, in seconds.
     pub seconds: u32,
-    /// The seed of all random draws.
+    /// The seed of all random draws; the same surge and seed give the same results.
     pub seed: u64,
 }
--- a/crates/overload-simulation/src/tally.rs
+++ b/crates/overload-simulation/src/tally.rs
@@ -70,7 +70,7 @@
     pub change: LimitChange,
 }
 
-/// The results of a simulation.
+/// The results of a simulation over all nodes, and the rules that were violated.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     /// The results by stream, in the order of the surge.
