--- a/crates/admission-control/src/fair_queue.rs
+++ b/crates/admission-control/src/fair_queue.rs
@@ -51,7 +51,8 @@
     pub priority_weight: f64,
     /// The time at which it is rejected if it has not been served.
     pub deadline: Duration,
-    /// Whether it is within the tenant's guaranteed rate: served before all others, and never displaced.
+    /// Whether the request is within the tenant's guaranteed rate: served before all others, and never
+    /// displaced.
     pub guaranteed: bool,
 }
 
--- a/crates/admission-control/src/limit/trial.rs
+++ b/crates/admission-control/src/limit/trial.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether it is large enough, by Kish's effective sample size or by its duration.
+    /// Whether the measurement is large enough, by Kish's effective sample size or by its duration.
     pub(super) fn is_sufficient(&self, size: MeasurementSize) -> bool {
         self.work * self.work >= size.samples * self.work_squares.max(1e-18) || self.seconds >= size.seconds
     }
--- a/crates/engine-simulation/src/engine.rs
+++ b/crates/engine-simulation/src/engine.rs
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug)]
 struct QueuedJob {
     job: Job,
-    /// The number of its arrival among all requests.
+    /// The number of the request in the order of arrival, which preemption keeps.
     arrival: u64,
     /// The number of tokens that it had generated when it was preempted; 0 if it was not.
     generated_tokens: u64,
--- a/crates/engine-simulation/src/fault.rs
+++ b/crates/engine-simulation/src/fault.rs
@@ -76,7 +76,7 @@
 }
 
 impl ScheduledFault {
-    /// Whether it is in effect at a time in ms.
+    /// Whether the fault is in effect at a time in ms since the start of the simulation.
     pub(crate) fn is_active_at(&self, at_ms: f64) -> bool {
         at_ms >= self.start_s * 1e3 && at_ms < (self.start_s + self.duration_s) * 1e3
     }
--- a/crates/engine-simulation/src/statistics.rs
+++ b/crates/engine-simulation/src/statistics.rs
@@ -21,7 +21,7 @@
     pub earned_value: f64,
     /// Requests among the tenth with the largest prompts.
     pub largest: u32,
-    /// Those of them that were served.
+    /// Requests among `largest` that were served.
     pub largest_served: u32,
     /// The times to the first event of served requests, in ms.
     pub first_event_ms: Vec<f64>,
--- a/crates/route-config/src/plan/mod.rs
+++ b/crates/route-config/src/plan/mod.rs
@@ -112,25 +112,25 @@
 /// A route with its settings after inheritance, and the indices of what it refers to.
 #[derive(Debug)]
 pub struct RoutePlan {
-    /// Its name, or one that is made of its conditions if the file does not set it.
+    /// The name for logs and limits; one is made of the conditions if the file does not set it.
     pub name: String,
     /// The name of the class in the file.
     pub class_name: String,
     /// The index in [`Plan::clusters`].
     pub cluster: usize,
-    /// The index of the class of its requests in the cluster's settings.
+    /// The index of the requests' class in [`ClusterPlan::settings`].
     pub class: usize,
     /// Whether requests may be repeated, and at which backends.
     pub repeat: Repeat,
     /// The index in [`Plan::limits`].
     pub limit: usize,
-    /// Where the idempotency key of its requests is found; `None` if they are not keyed.
+    /// Where the idempotency key of a request is found; `None` if requests are not keyed.
     pub key: Option<KeySource>,
     /// The index of the capture that identifies the resource that a request concerns.
     pub subject: Option<usize>,
     /// The path that is forwarded; `None` for the requested one.
     pub rewrite: Option<Vec<PathPiece>>,
-    /// The settings of its requests, after inheritance.
+    /// The settings of requests on this route, after inheritance.
     pub settings: ResolvedSettings,
     /// The index in [`File::routes`](crate::model::File::routes).
     pub route_in_file: usize,
--- a/crates/route-config/src/route.rs
+++ b/crates/route-config/src/route.rs
@@ -124,7 +124,7 @@
 /// The conditions that a request must meet to match a route.
 #[derive(Clone, Debug)]
 pub struct Condition {
-    /// The hosts that match; by default all of them.
+    /// The hosts that match; [`HostRule::Any`] also matches requests without a host.
     pub host: HostRule,
     /// The normalized paths that match.
     pub pattern: Pattern,
