--- a/crates/engine-simulation/src/engine.rs
+++ b/crates/engine-simulation/src/engine.rs
@@ -10,7 +10,7 @@
     pub slots: usize,
     /// The maximum number of queued requests.
     pub max_queued: usize,
-    /// The capacity of its KV memory, in tokens.
+    /// The capacity of the KV memory, in tokens.
     pub kv_capacity_tokens: u64,
     /// The base time of a decode step, in ms.
     pub step_ms: f64,
@@ -30,14 +30,14 @@
     pub tokens_per_event: u32,
 }
 
-/// A request to an engine.
+/// A request to an engine, with its prompt and the length of its response.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The id, chosen by the caller.
+    /// Chosen by the caller, to match the outputs with the request.
     pub id: u64,
     /// The urgency; 0 is served first.
     pub urgency: u8,
-    /// The prompt.
+    /// The blocks of the prompt, in order; a cached prefix of them is not prefilled again.
     pub prompt: Vec<PrefixBlock>,
     /// The number of events of the response.
     pub events: u32,
@@ -53,28 +53,28 @@
     prompt.iter().map(|block| block.tokens).sum()
 }
 
-/// A result of a step.
+/// A result of a step, about one of the engine's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineOutput {
-    /// An event of a stream was sent.
+    /// An event of a stream, made of some generated tokens, was sent.
     Event {
         /// The id of the request.
         id: u64,
-        /// Whether it is the first of its stream.
+        /// Whether the event is the first of its stream.
         first: bool,
-        /// Whether it is the last of its stream.
+        /// Whether the event is the last of its stream.
         last: bool,
     },
     /// A request was admitted, and its prefill begins.
     Admitted {
-        /// The id of the request.
+        /// The id of the admitted request.
         id: u64,
-        /// The number of cached tokens of its prompt.
+        /// The number of prompt tokens that are cached and need no prefill.
         cached_tokens: u64,
     },
     /// A chunk of a prompt was prefilled.
     Prefilled {
-        /// The id of the request.
+        /// The id of the request that the prompt belongs to.
         id: u64,
         /// The number of tokens of the chunk.
         tokens: u64,
@@ -84,7 +84,7 @@
 /// The number of requests at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests that generate tokens.
+    /// Requests that generate tokens, after their prefill.
     pub running: u32,
     /// Requests that are queued or prefilled.
     pub waiting: u32,
@@ -93,9 +93,9 @@
 /// The prompt tokens that an engine would prefill before the first token of another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefillBacklog {
-    /// Uncached tokens of the requests that are served before it.
+    /// Uncached tokens of the requests that are served before the other one.
     pub ahead_tokens: u64,
-    /// Uncached tokens of its own prompt.
+    /// Uncached tokens of the other request's prompt.
     pub own_tokens: u64,
 }
 
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug)]
 struct QueuedJob {
     job: Job,
-    /// The number of its arrival among all requests.
+    /// The number of the request in the order of arrival, which preemption keeps.
     arrival: u64,
     /// The number of tokens that it had generated when it was preempted; 0 if it was not.
     generated_tokens: u64,
@@ -195,7 +195,7 @@
         PrefillBacklog { ahead_tokens: queued_tokens + prefilling_tokens, own_tokens: uncached(prompt) }
     }
 
-    /// Whether it has no requests.
+    /// Whether the engine has no requests, so that a step would do nothing.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty() && self.prefilling.is_empty() && self.running.is_empty()
     }
--- a/crates/engine-simulation/src/request_stream.rs
+++ b/crates/engine-simulation/src/request_stream.rs
@@ -26,14 +26,14 @@
 /// The number of tokens per event by which nodes estimate the length of responses.
 const TOKENS_PER_EVENT: u32 = 6;
 
-/// A request that a client sends.
+/// A request with its time, its node, its prompt and the length of its response.
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
-    /// When it is sent, in ms since the start.
+    /// When the client first sends the request, in ms since the start.
     pub at_ms: f64,
-    /// The index of its class.
+    /// The index in [`Site::classes`].
     pub class: usize,
-    /// The index of the node that receives it.
+    /// The index of the node that receives the request.
     pub node: usize,
     /// The properties by which nodes select a backend.
     pub shape: RequestShape,
--- a/crates/join-up-to/src/settings.rs
+++ b/crates/join-up-to/src/settings.rs
@@ -13,21 +13,21 @@
 use serde::de::value::StrDeserializer;
 use std::time::Duration;
 
-/// A column of load reports.
+/// The value that a column of load reports has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Column {
     /// Requests in flight at the server.
     Concurrent,
-    /// Requests waiting in its queue.
+    /// Requests waiting in the server's queue.
     Depth,
     /// The fraction of its processors in use, from 0 to 1.
     LoadShare,
-    /// Its recent service time in milliseconds.
+    /// The recent service time in milliseconds.
     MeanMs,
     /// Requests that it serves per second.
     Tps,
-    /// Its errors per second.
+    /// Errors that the server returns per second.
     ErrPs,
     /// A column that this version doesn't know.
     #[serde(other)]
@@ -278,7 +278,7 @@
 }
 
 quick_error! {
-    /// Why settings are invalid.
+    /// The reason why the JSON settings of a platform were rejected.
     #[derive(Debug)]
     pub enum SettingsError {
         /// A field is missing or has an invalid value, or the text is not valid JSON.
@@ -293,7 +293,7 @@
             display("bad settings: {}", error)
             source(error)
         }
-        /// The list of classes is empty.
+        /// The list of classes is empty; at least one class is required.
         NoClasses {
             display("bad settings: no classes")
         }
--- a/crates/route-config/src/diagnostic.rs
+++ b/crates/route-config/src/diagnostic.rs
@@ -128,15 +128,15 @@
 /// An error of a configuration file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Diagnostic {
-    /// The kind of the error.
+    /// The kind of the error, for tools that match on it.
     pub code: Code,
-    /// What is wrong, in one line.
+    /// The description of the error, in one line.
     pub message: String,
     /// The range of bytes that is wrong; empty if the error concerns the whole file.
     pub span: Range<usize>,
     /// Related positions, each with a label.
     pub related: Vec<(Range<usize>, String)>,
-    /// What to write instead.
+    /// What the operator should write instead.
     pub help: String,
 }
 
@@ -158,7 +158,7 @@
 pub struct Report {
     found: Vec<Diagnostic>,
     seen: HashSet<(Code, usize, String)>,
-    /// The number of errors that were only counted.
+    /// The number of errors beyond [`Report::MAX_DIAGNOSTICS`], which were only counted.
     pub omitted: usize,
 }
 
@@ -202,7 +202,7 @@
 /// The position of a byte in the text. Its field names are part of the JSON report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Position {
-    /// The line, from 1.
+    /// The number of the line, from 1.
     pub line: usize,
     /// The column in characters, from 1.
     pub column: usize,
