--- a/crates/replication/src/disk_health.rs
+++ b/crates/replication/src/disk_health.rs
@@ -1,6 +1,6 @@
 //! The health of a member's disk, as members report it to each other.
 
-/// The health of a disk.
+/// The state of a member's disk, judged by how long its writes take and whether they fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiskHealth {
     Healthy,
--- a/crates/replication/src/durability.rs
+++ b/crates/replication/src/durability.rs
@@ -64,11 +64,10 @@
     last_write_time: Duration,
     /// Whether the disk was slow as of the last completed write.
     is_slow: bool,
-    /// When the last write was completed.
     completed_at: Duration,
     /// The time of the last rejected write, if the disk rejects writes.
     rejecting_since: Option<Duration>,
-    /// The rewrite in progress.
+    /// The rewrite of the log in progress; `None` while records are only appended.
     rewrite: Option<WriteId>,
     appended_bytes: usize,
     rewritten_bytes: usize,
--- a/crates/replication/src/heartbeats.rs
+++ b/crates/replication/src/heartbeats.rs
@@ -9,7 +9,6 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The interval between heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Replica {
--- a/crates/replication/src/identifiers.rs
+++ b/crates/replication/src/identifiers.rs
@@ -12,7 +12,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The bare number.
+            /// Returns the identifier as an untyped number.
             pub const fn get(self) -> u64 {
                 self.0
             }
@@ -26,10 +26,10 @@
         identifier!($(#[$attribute])* #[derive(Default)] $name);
 
         impl $name {
-            /// Zero: before the first number.
+            /// The value 0, which stands for "none": the first real number is 1.
             pub const NONE: Self = Self(0);
 
-            /// The number after this one.
+            /// Returns the number that is higher by one; after [`Self::NONE`] comes 1.
             pub const fn next(self) -> Self {
                 Self(self.0 + 1)
             }
--- a/crates/replication/src/interface.rs
+++ b/crates/replication/src/interface.rs
@@ -45,7 +45,7 @@
 pub enum Output {
     /// Send a message. Delivery is not guaranteed.
     Send {
-        /// The recipient's address.
+        /// Where the recipient accepts connections of the other programs of the fleet.
         to: SocketAddrV4,
         /// The message.
         message: Message,
@@ -55,11 +55,11 @@
     /// Rewrite the log: these records replace all earlier ones. To be reported as stored once the new log has
     /// replaced the old one.
     Rewrite(WriteId, Vec<Record>),
-    /// Respond to a client request.
+    /// Respond to the client request with this id, which is no longer pending afterwards.
     Respond(RequestId, RequestOutcome),
     /// A newer entry is committed. Only the newest one is reported: entries between two reports are skipped.
     Committed(Entry),
-    /// A new view is in force.
+    /// This view is in force at this member: newly adopted, or restored from the log at the start.
     ViewChanged(View),
 }
 
@@ -74,7 +74,7 @@
 pub struct Settings {
     /// The address on which this member accepts connections of the other programs of the fleet.
     pub address: SocketAddrV4,
-    /// The availability zone of this member.
+    /// The availability zone of this member, which it reports to the others in its heartbeats.
     pub zone: String,
     /// Addresses at which members may be found; may contain the address of this member.
     pub seeds: Vec<SocketAddrV4>,
@@ -91,9 +91,9 @@
 /// The status of a replica, for operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The identity of this member.
+    /// The id that was generated when the disk of this member was initialized.
     pub id: MemberId,
-    /// The newest view that this member knows.
+    /// The newest decided view that this member knows; `None` until it learns of one.
     pub view: Option<View>,
     /// The sequence of the newest entry on this member's disk.
     pub stored: Sequence,
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -40,7 +40,7 @@
     Heartbeat(Box<Heartbeat>),
     /// The newest decided view as the last element, preceded by a few earlier ones, the oldest first.
     Decided(Vec<View>),
-    /// Phase 1a of Paxos.
+    /// Phase 1a of Paxos: a proposer requests promises for a slot.
     Prepare {
         slot: ViewNumber,
         #[serde(rename = "ballot")]
@@ -51,7 +51,7 @@
         #[serde(rename = "rescue")]
         forced: bool,
     },
-    /// Phase 1b of Paxos.
+    /// Phase 1b of Paxos: a voter promises to accept no proposal with a lower number.
     Promise {
         slot: ViewNumber,
         #[serde(rename = "ballot")]
@@ -60,12 +60,12 @@
         /// Whether the sender is in the chain of the view in force and synced in it.
         synced: bool,
     },
-    /// Phase 2a of Paxos.
+    /// Phase 2a of Paxos: a proposer requests that the voters accept a view.
     Accept {
         slot: ViewNumber,
         proposal: Proposal,
     },
-    /// Phase 2b of Paxos.
+    /// Phase 2b of Paxos: a voter has accepted the proposal with this number.
     Accepted {
         slot: ViewNumber,
         #[serde(rename = "ballot")]
@@ -154,7 +154,7 @@
     pub(crate) relay: Option<MemberId>,
 }
 
-/// A client request.
+/// A client request as members forward it to the member that serves it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Request {
     Write(Change),
@@ -200,7 +200,7 @@
 }
 
 impl Heartbeat {
-    /// The state of the sender's disk.
+    /// Combines the two disk flags of the heartbeat into one state.
     pub(crate) fn disk_health(&self) -> DiskHealth {
         match (self.disk_unhealthy, self.disk_slow) {
             (false, _) => DiskHealth::Healthy,
--- a/crates/replication/src/model.rs
+++ b/crates/replication/src/model.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// A member of the replication group.
+/// A process that takes part in the replication, as views and heartbeats describe it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The identity of its disk; a machine that loses its disk becomes another member.
@@ -52,7 +52,7 @@
     pub sequence: Sequence,
     /// The number of the view in which the head assigned the position.
     pub view: ViewNumber,
-    /// The change at this position.
+    /// The change as the operator submitted it.
     pub change: Change,
 }
 
@@ -64,7 +64,7 @@
     /// The change is committed: it is on the disk of every member of the chain.
     #[serde(rename = "Taken")]
     Committed {
-        /// The sequence assigned to the change.
+        /// The position of the change in the order of changes; the first change has 1.
         sequence: Sequence,
     },
     /// A generation later than the base is already committed, so the change can never be applied. (A change
@@ -72,18 +72,18 @@
     /// [`RequestOutcome::Unknown`]. After a rejection, another copy of the change that is still in flight
     /// could be accepted.)
     Conflict {
-        /// The newest committed generation.
+        /// The newest committed generation, on which the operator can base another change; 0 for none.
         current: Generation,
     },
     /// The base is current, but the generation of the change is not higher. The change can never be applied.
     NotHigher {
-        /// The newest committed generation.
+        /// The newest committed generation, on which the operator can base another change; 0 for none.
         current: Generation,
     },
     /// The change is as old as entries whose keys were pruned from the history, so it is no longer known
     /// whether it was committed.
     TooOld {
-        /// The newest committed generation.
+        /// The newest committed generation, on which the operator can base another change; 0 for none.
         current: Generation,
     },
     /// The newest committed entry at the time of a linearizable read; `None` if there is none.
@@ -91,7 +91,7 @@
     /// The sequence of the newest committed entry at the time of a linearizable read; 0 if there is none.
     #[serde(rename = "Proven")]
     ReadIndex {
-        /// The sequence of the newest committed entry.
+        /// The position of that entry in the order of changes; 0 if there is none.
         sequence: Sequence,
     },
     /// The outcome is unknown, for example after a time-out: a change may or may not be committed later.
--- a/crates/replication/src/paxos.rs
+++ b/crates/replication/src/paxos.rs
@@ -63,7 +63,7 @@
     pub(crate) phase: Phase,
 }
 
-/// A voter's promise.
+/// What a voter reports when it promises to accept no proposal with a lower number.
 #[derive(Clone, Debug)]
 pub(crate) struct VoterPromise {
     /// The last proposal that the voter has accepted.
@@ -72,7 +72,7 @@
     pub(crate) synced: bool,
 }
 
-/// The phase of an attempt.
+/// The Paxos phase that an attempt is in, with the responses received in it.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
     /// Phase 1: the promises received, by voter.
@@ -83,7 +83,7 @@
 
 /// The result of a promise in phase 1.
 pub(crate) enum PrepareResult {
-    /// No majority yet.
+    /// Fewer than a majority of the voters have promised so far.
     Incomplete,
     /// A majority has promised. This view has the highest number among the proposals that it reports as
     /// accepted: it may have been decided and must be proposed again.
--- a/crates/replication/src/peers.rs
+++ b/crates/replication/src/peers.rs
@@ -39,7 +39,7 @@
     unheard_since: BTreeMap<MemberId, Duration>,
 }
 
-/// The other members.
+/// What this process knows of the other members from their heartbeats.
 #[derive(Clone, Debug)]
 pub(crate) struct Peers {
     known: BTreeMap<MemberId, Peer>,
--- a/crates/replication/src/pending_requests.rs
+++ b/crates/replication/src/pending_requests.rs
@@ -20,13 +20,11 @@
 
 const LARGE_CHANGE_BYTES: usize = 256 << 10;
 
-/// A request without a response.
 #[derive(Clone, Debug)]
 struct PendingRequest {
     request: Request,
     started_at: Duration,
     sent_at: Option<Duration>,
-    /// The number of times that it was sent.
     sends: u32,
 }
 
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -25,7 +25,7 @@
 /// How recent the contact with a majority of the voters must be.
 const QUORUM_CONTACT_WINDOW: Duration = Duration::from_millis(1_000);
 
-/// A member of the replication group.
+/// A member as a state machine without I/O: inputs go in, outputs for the driver come out.
 #[derive(Clone, Debug)]
 pub struct Replica {
     pub(crate) settings: Settings,
@@ -43,7 +43,7 @@
     pub(crate) earlier_views: VecDeque<View>,
     pub(crate) acceptor: Acceptor,
     pub(crate) attempt: Option<Attempt>,
-    /// The current time-out of an attempt.
+    /// Doubles with each attempt that fails, up to a maximum; reset when a view is adopted.
     pub(crate) attempt_timeout: Duration,
     /// The highest round of any known proposal number.
     pub(crate) highest_round: u64,
@@ -184,7 +184,7 @@
         self.is_head() && self.is_active() && !self.shutting_down && self.has_quorum_contact_at(now)
     }
 
-    /// The status for operators.
+    /// A snapshot of what this member knows, which may lag behind other members.
     pub fn status(&self) -> Status {
         Status {
             id: self.id,
--- a/crates/replication/src/view_planning.rs
+++ b/crates/replication/src/view_planning.rs
@@ -7,17 +7,15 @@
 use crate::register::ReplicationProgress;
 use std::collections::VecDeque;
 
-/// What one member knows about a member.
+/// What the planning member knows about one member, possibly itself.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberStatus {
     pub(crate) member: Member,
     /// Whether its heartbeats arrive, here or at a chain member that reports so, and it is not shutting down.
     pub(crate) reachable: bool,
-    /// The health of its disk.
     pub(crate) disk: DiskHealth,
     /// Whether it has all committed entries.
     pub(crate) complete: bool,
-    /// The replication progress that it reports.
     pub(crate) progress: ReplicationProgress,
     /// Whether it has promised not to become synced in the view that it knows.
     pub(crate) gave_up_sync: bool,
@@ -26,7 +24,6 @@
     /// Whether it may be appended to the chain: its heartbeats are stable and it has a recent copy of the
     /// register.
     pub(crate) appendable: bool,
-    /// Whether its process is shutting down.
     pub(crate) shutting_down: bool,
     /// Whether its heartbeats have arrived at no member for a while.
     pub(crate) departed: bool,
--- a/crates/replication/src/write_queue.rs
+++ b/crates/replication/src/write_queue.rs
@@ -20,14 +20,14 @@
 pub(crate) struct QueuedWrite {
     pub(crate) change: Change,
     pub(crate) origins: Vec<RequestOrigin>,
-    /// When it was last received.
+    /// When the change was last submitted or retried.
     received_at: Duration,
 }
 
-/// The decision on a change.
+/// How the head proceeds with a change, given the committed entries.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum WriteDecision {
-    /// Append it as the next entry.
+    /// The change is based on the current generation: append it as the next entry.
     Append,
     /// Respond with a final outcome: no later commit can alter it.
     Respond(RequestOutcome),
@@ -36,7 +36,7 @@
     WaitForBase,
 }
 
-/// The waiting changes at the head.
+/// The changes that the head has received and not yet appended or responded to.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WriteQueue {
     queued: VecDeque<QueuedWrite>,
