--- a/crates/control-protocol/src/agent.rs
+++ b/crates/control-protocol/src/agent.rs
@@ -26,7 +26,7 @@
 pub enum FromAgent {
     /// The first message of a connection.
     Hello {
-        /// The sender's [`crate::VERSION`].
+        /// The sender's protocol version, [`crate::VERSION`].
         version: u16,
         /// The name of the node.
         node: String,
@@ -60,7 +60,7 @@
     /// last list of this coordinator. Keeps the versions of coordinators that cannot reach each other from
     /// falling behind.
     BackendsSeen {
-        /// The version of the newer list.
+        /// The version of the list from the other coordinator.
         version: BackendListVersion,
     },
     /// Requests the complete list of backends. Sent if the agent has no list to compare, or if too many
@@ -72,7 +72,7 @@
     CompareBackends {
         /// The version of the list.
         version: BackendListVersion,
-        /// The range of keys.
+        /// A range of backend keys ([`Backend::key`]).
         range: KeyRange,
     },
     /// Requests the entries of backends that were found to differ.
@@ -88,7 +88,7 @@
     IndexChanges {
         /// Whether this message is the first of those that send the complete index again.
         restart: bool,
-        /// The changes.
+        /// The new states of blocks. A block that is no longer cached has no tokens.
         changes: Vec<IndexChange>,
     },
     /// The node shuts down gracefully: its proxy has ended and admits no more requests. The last message of a
@@ -147,11 +147,11 @@
     Backends(BackendList),
     /// The differences between the previous list and a newer one. Sent on every connection.
     BackendsChanged {
-        /// The version of the previous list.
+        /// The version of the list to which the changes apply.
         base: BackendListVersion,
-        /// The version of the newer list.
+        /// The version of the list that results from the changes.
         version: BackendListVersion,
-        /// The differences.
+        /// The backends to alter in the list of version `base`.
         changes: BackendChanges,
     },
     /// The platform's list was read again and is unchanged.
@@ -171,7 +171,7 @@
     BackendsRange {
         /// The version of the list.
         version: BackendListVersion,
-        /// The range of keys.
+        /// A range of backend keys ([`Backend::key`]).
         range: KeyRange,
         /// The entries of the range, or the digests of its parts.
         content: RangeContent,
@@ -182,9 +182,9 @@
     BackendsRepaired {
         /// The version of the list.
         version: BackendListVersion,
-        /// The requested keys.
+        /// The keys of the request, whether the list has entries for them or not.
         keys: Vec<u64>,
-        /// The entries of the requested backends.
+        /// The entries of those requested backends that are on the list.
         #[serde(with = "crate::backend_table")]
         backends: Vec<Backend>,
     },
--- a/crates/control-protocol/src/backend.rs
+++ b/crates/control-protocol/src/backend.rs
@@ -5,7 +5,7 @@
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddrV4;
 
-/// Whether a backend accepts new requests.
+/// A backend's readiness, as the platform reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendState {
@@ -15,7 +15,7 @@
     Draining,
 }
 
-/// An entry of the list of backends.
+/// A backend's process, as an entry of the platform's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Backend {
     /// The identifier of the backend's process. A restarted process has another one.
@@ -30,7 +30,7 @@
     pub generation: String,
     /// The number of requests that the backend processes concurrently.
     pub slots: u32,
-    /// Whether the backend accepts new requests.
+    /// The backend's readiness at the time when the list was read.
     pub state: BackendState,
     /// The time until the backend has warmed up after its start, in milliseconds. The name is the platform's.
     pub cold_remaining_ms: u64,
--- a/crates/control-protocol/src/backend_list_version.rs
+++ b/crates/control-protocol/src/backend_list_version.rs
@@ -1,4 +1,4 @@
-//! The version of a list of backends.
+//! The version that orders the lists of backends of all coordinators.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -10,10 +10,10 @@
 pub struct BackendListVersion(pub u64);
 
 impl BackendListVersion {
-    /// The version while there is no list.
+    /// Stands for the absence of a list; lower than the version of every read.
     pub const NONE: Self = BackendListVersion(0);
 
-    /// The version as a number; 0 for none.
+    /// Returns the serialized number; 0 stands for no list.
     pub const fn number(self) -> u64 {
         self.0
     }
--- a/crates/control-protocol/src/backend_table.rs
+++ b/crates/control-protocol/src/backend_table.rs
@@ -25,11 +25,11 @@
     String,
     /// The indices of the service, the zone and the generation in the string table.
     [u32; 3],
-    /// The IPv4 address.
+    /// The backend's IPv4 address as a number.
     u32,
     /// The port.
     u16,
-    /// The number of slots.
+    /// The number of requests that the backend processes concurrently.
     u32,
     /// Whether the backend is draining.
     bool,
--- a/crates/control-protocol/src/configuration_sequence.rs
+++ b/crates/control-protocol/src/configuration_sequence.rs
@@ -1,4 +1,4 @@
-//! The sequence number of a configuration.
+//! The number that orders the committed configurations.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/crates/control-protocol/src/proxy.rs
+++ b/crates/control-protocol/src/proxy.rs
@@ -6,12 +6,12 @@
 use crate::quota::{QuotaRequest, QuotaResponse};
 use serde::{Deserialize, Serialize};
 
-/// A message from a proxy to its agent.
+/// A message from a proxy to the agent on its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromProxy {
     /// The first message of a connection.
     Hello {
-        /// The sender's [`crate::VERSION`].
+        /// The sender's protocol version, [`crate::VERSION`].
         version: u16,
         /// The sequence number of the configuration in force; 0 for none.
         in_force: ConfigurationSequence,
@@ -29,7 +29,7 @@
     IndexChanges {
         /// Whether this message is the first of those that send the complete index again.
         restart: bool,
-        /// The changes.
+        /// The new states of blocks. A block that is no longer cached has no tokens.
         changes: Vec<IndexChange>,
     },
     /// Keeps the connection alive while the proxy has nothing else to send.
--- a/crates/control-protocol/src/quota.rs
+++ b/crates/control-protocol/src/quota.rs
@@ -27,7 +27,7 @@
 /// What a node needs of a tenant's limit. All amounts are in the tenant's unit: requests or tokens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaDemand {
-    /// The tenant's name.
+    /// The tenant's name in the operator's configuration.
     pub tenant: String,
     /// The costs of the requests that wait for a grant.
     pub waiting: Vec<f64>,
@@ -45,7 +45,7 @@
     pub rejected_cost: f64,
 }
 
-/// The response to a [`QuotaRequest`].
+/// The quota leader's response to a [`QuotaRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaResponse {
     /// The number of the request ([`QuotaRequest::number`]).
@@ -65,7 +65,7 @@
 /// What a node is granted of a tenant's limit: the response to a [`QuotaDemand`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaGrant {
-    /// The tenant's name.
+    /// The tenant's name in the operator's configuration.
     pub tenant: String,
     /// The prepaid amount, in the tenant's unit.
     pub amount: f64,
