--- a/crates/standalone-proxy/src/decision_loop/admission_gate.rs
+++ b/crates/standalone-proxy/src/decision_loop/admission_gate.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Replaces the settings.
+    /// Applies new settings of the gate, which it uses from this call on.
     pub fn reconfigure(&mut self, now: Duration, settings: GateSettings) {
         self.gate.reconfigure(now, settings);
     }
@@ -120,13 +120,13 @@
         events
     }
 
-    /// Records the start of an attempt.
+    /// Reports an attempt to the gate and to the detection of retry storms.
     pub fn attempt_sent(&mut self, now: Duration, backend: ServerId, kind: AttemptKind) {
         self.gate.attempt_sent(now, backend);
         self.retry_storm.borrow_mut().record_attempt(now, kind);
     }
 
-    /// Records the end of an attempt.
+    /// Reports to the gate how an attempt ended and how long it took.
     pub fn attempt_ended(
         &mut self,
         now: Duration,
--- a/crates/standalone-proxy/src/decision_loop/event.rs
+++ b/crates/standalone-proxy/src/decision_loop/event.rs
@@ -16,7 +16,7 @@
     pub request: NewRequest,
     /// When it had arrived. The time that the client waits counts from then.
     pub arrived_at: Instant,
-    /// What is sent to a backend.
+    /// The forwarded request, which all attempts share.
     pub payload: Rc<BackendRequest>,
     /// How long the body may take to arrive; `None` if it has arrived completely.
     pub upload_timeout: Option<Duration>,
@@ -24,7 +24,7 @@
     pub fingerprint: Option<u64>,
     /// Whether and where it may be sent again, as its class says.
     pub repeat: Repeat,
-    /// Receives its response.
+    /// The channel on which the final response is sent.
     pub response: PendingResponse,
 }
 
@@ -60,7 +60,7 @@
 pub struct ClusterChange {
     /// The settings of the balancer.
     pub settings: Settings,
-    /// The list of backends.
+    /// The list of backends for the balancer.
     pub update: EndpointUpdate,
     /// The settings of the admission gate.
     pub gate: admission_control::GateSettings,
@@ -70,7 +70,7 @@
     pub gate_endpoints: Vec<admission_control::Endpoint>,
 }
 
-/// The response to a request.
+/// What the client of a request is answered once no further attempt follows.
 #[derive(Debug)]
 pub enum FinalResponse {
     /// The response of a backend that served the request.
@@ -114,20 +114,20 @@
     UploadFinished(RequestId),
     /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The request to which the attempt belongs.
         id: RequestId,
         /// The index of the attempt among those of the request.
         attempt: u32,
-        /// How it ended.
+        /// The outcome, and the response and load report if there are any.
         result: AttemptResult,
     },
     /// A health check has ended.
     HealthCheckEnded {
-        /// The backend.
+        /// The backend that was checked.
         backend: ServerId,
-        /// How long it took.
+        /// The time from the start of the health check to its end.
         elapsed: Duration,
-        /// How it ended.
+        /// The outcome, and the response and load report if there are any.
         result: AttemptResult,
     },
 }
--- a/crates/standalone-proxy/src/decision_loop/list_requests.rs
+++ b/crates/standalone-proxy/src/decision_loop/list_requests.rs
@@ -12,7 +12,7 @@
 }
 
 impl ListRequests {
-    /// Requests the list.
+    /// Wakes the task that waits in [`Self::wait_for_request`].
     pub fn request(&self) {
         self.is_requested.set(true);
         self.changed.notify_one();
--- a/crates/standalone-proxy/src/decision_loop/open_requests.rs
+++ b/crates/standalone-proxy/src/decision_loop/open_requests.rs
@@ -16,7 +16,7 @@
 
 /// A request that has no response yet or has attempts in flight.
 pub struct OpenRequest {
-    /// What is sent to backends.
+    /// The forwarded request, which all attempts share.
     pub payload: Rc<BackendRequest>,
     /// `None` once the response is sent or the client has disconnected.
     pub response: Option<PendingResponse>,
--- a/crates/standalone-proxy/src/downstream/request_router.rs
+++ b/crates/standalone-proxy/src/downstream/request_router.rs
@@ -49,7 +49,7 @@
     fn trace_labels(&self, routed: &RoutedRequest) -> TraceLabels;
 }
 
-/// The precision of `Retry-After`.
+/// How the wait in a `Retry-After` header is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAfterPrecision {
     /// Rounded up to whole seconds, the form that HTTP defines.
@@ -61,7 +61,7 @@
 /// A limit and a tenant, by their indices in the operator's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionKey {
-    /// The index of the limit.
+    /// The index of the limit in the operator's file.
     pub limit: usize,
     /// The index of the tenant; `None` if the file has no tenants.
     pub tenant: Option<usize>,
@@ -69,7 +69,7 @@
 
 /// A switch of protocols that a request asks for and that is forwarded.
 pub struct RequestedUpgrade {
-    /// The value of `Upgrade`.
+    /// The requested protocol: the value of the `Upgrade` header.
     pub protocol: HeaderValue,
     /// How long both sides may be silent after the switch.
     pub idle_timeout: Duration,
--- a/crates/standalone-proxy/src/endpoint_update.rs
+++ b/crates/standalone-proxy/src/endpoint_update.rs
@@ -24,7 +24,7 @@
     pub kind: ListKind,
     /// Its version. An update older than the last one applied is ignored.
     pub version: ListVersion,
-    /// The backends that it lists.
+    /// The listed backends; which ones these are depends on `kind`.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A backend on the list.
+/// An entry of an [`EndpointUpdate`].
 #[derive(Clone, Copy, PartialEq)]
 pub struct ListedEndpoint {
     /// What the balancer knows about it.
--- a/crates/standalone-proxy/src/file_node/clusters.rs
+++ b/crates/standalone-proxy/src/file_node/clusters.rs
@@ -36,7 +36,7 @@
     /// The task of a cluster has failed, so that its requests would no longer be answered.
     #[derive(Debug)]
     pub enum ClusterError {
-        /// It panicked.
+        /// The task of this cluster ended with a join error, for example a panic.
         TaskEnded(cluster: String, error: JoinError) {
             display("the task of cluster {cluster} failed: {error}")
             source(error)
--- a/crates/standalone-proxy/src/file_node/run.rs
+++ b/crates/standalone-proxy/src/file_node/run.rs
@@ -38,7 +38,7 @@
 
 /// Why a node did not run or stopped running.
 pub enum RunError {
-    /// The file was rejected.
+    /// The operator's file could not be read or is invalid.
     InvalidFile(InvalidSource),
     /// The node could not start or continue.
     Failed(NodeError),
--- a/crates/standalone-proxy/src/file_node/source.rs
+++ b/crates/standalone-proxy/src/file_node/source.rs
@@ -6,11 +6,11 @@
 use std::io::{self, Read};
 use std::path::Path;
 
-/// A valid file and its text.
+/// The operator's file, read and found to be valid.
 pub struct Source {
-    /// The text of the file.
+    /// The text as read from disk.
     pub text: String,
-    /// The parsed content.
+    /// The content that was parsed from the text.
     pub loaded: LoadedFile,
 }
 
@@ -18,7 +18,7 @@
 pub struct InvalidSource {
     /// The text; empty if it could not be read.
     pub text: String,
-    /// Why it was rejected.
+    /// The faults that were found, as diagnostics for the operator.
     pub error: InvalidFile,
 }
 
--- a/crates/standalone-proxy/src/platform_node/discovery.rs
+++ b/crates/standalone-proxy/src/platform_node/discovery.rs
@@ -53,7 +53,7 @@
     /// Why a watch ended.
     #[derive(Debug)]
     enum WatchEnd {
-        /// It could not be opened.
+        /// The watch could not be opened; no update was received.
         NotOpened(error: OpenError) { display("not opened: {error}") source(error) }
         /// No line arrived in time.
         TimedOut { display("no line received in time") }
@@ -63,7 +63,7 @@
         ConnectionLost(error: hyper::Error) { display("connection lost: {error}") source(error) }
         /// The node no longer reads updates.
         NodeEnded { display("the node no longer reads updates") }
-        /// A line exceeds the maximum.
+        /// A line exceeds [`MAX_LINE_SIZE`].
         LineTooLong { display("a line of more than {MAX_LINE_SIZE} bytes") }
     }
 }
@@ -80,7 +80,7 @@
         InvalidRequest(error: hyper::http::Error) { display("{error}") from() source(error) }
         /// The response has another status than 200.
         Status(status: StatusCode) { display("status {status}") }
-        /// No response arrived in time.
+        /// No response arrived within [`OPEN_TIMEOUT`].
         TimedOut { display("no response within {OPEN_TIMEOUT:?}") }
     }
 }
--- a/crates/standalone-proxy/src/platform_node/settings.rs
+++ b/crates/standalone-proxy/src/platform_node/settings.rs
@@ -10,17 +10,17 @@
 use quick_error::quick_error;
 use serde_json::Value;
 
-/// The settings of a node.
+/// The settings of the balancer and of the node around it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// The settings of the balancer.
+    /// The settings by which the balancer decides.
     pub balancer: Settings,
-    /// The other settings of the node.
+    /// The settings that do not concern the balancer.
     pub host: HostSettings,
 }
 
 quick_error! {
-    /// A setting has an invalid value.
+    /// Why a value in the settings is rejected.
     #[derive(Debug, PartialEq, Eq)]
     pub enum InvalidSetting {
         /// The number at this path of keys is not greater than 0.
--- a/crates/standalone-proxy/src/telemetry/exchanges.rs
+++ b/crates/standalone-proxy/src/telemetry/exchanges.rs
@@ -22,14 +22,14 @@
 /// The label that replaces names beyond that number.
 const OTHER: &str = "other";
 
-/// The labels of an exchange.
+/// The labels under which the metrics count an exchange.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ExchangeLabels {
-    /// The name of its class.
+    /// The name of the request's class.
     pub class: String,
-    /// The name of its cluster.
+    /// The name of the cluster that the request is routed to.
     pub cluster: String,
-    /// The name of its route.
+    /// The name of the route that the request matches.
     pub route: String,
     /// The name of its tenant; `None` if the file has no tenants.
     pub tenant: Option<String>,
--- a/crates/standalone-proxy/src/telemetry/node_metrics.rs
+++ b/crates/standalone-proxy/src/telemetry/node_metrics.rs
@@ -28,7 +28,7 @@
     /// Requests in flight.
     #[serde(rename = "active")]
     in_flight: Rc<Cell<u64>>,
-    /// Backends on the list.
+    /// The number of backends on the list, whether ejected or not.
     pub pool_size: Cell<usize>,
     /// Backends on the list that are currently ejected.
     pub pool_ejected: Cell<usize>,
@@ -38,7 +38,7 @@
     pub config_rejected: Cell<u64>,
 }
 
-/// Adds one to a count.
+/// Adds one to a count of [`ClassMetrics`] or [`NodeMetrics`].
 pub fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
--- a/crates/standalone-proxy/src/telemetry/recorder.rs
+++ b/crates/standalone-proxy/src/telemetry/recorder.rs
@@ -23,15 +23,15 @@
 
 /// The recorded properties of a request.
 pub struct RecordedRequest<'r> {
-    /// The method.
+    /// The request's HTTP method.
     pub method: &'r str,
-    /// The path and query.
+    /// The request's path and query.
     pub target: &'r str,
     /// The names of its class and tenant.
     pub labels: TraceLabels,
     /// Whether it has an idempotency key.
     pub has_key: bool,
-    /// The size of its body, in bytes.
+    /// The size of the request's body, in bytes.
     pub body_size: usize,
 }
 
--- a/crates/standalone-proxy/src/upstream/messages.rs
+++ b/crates/standalone-proxy/src/upstream/messages.rs
@@ -22,9 +22,9 @@
 /// What is sent to a backend: a client's request with the headers that are forwarded.
 #[derive(Debug)]
 pub struct BackendRequest {
-    /// The method.
+    /// The client's HTTP method.
     pub method: Method,
-    /// The path and the query.
+    /// The path and the query that the backend gets.
     pub target: PathAndQuery,
     /// The headers, without those that differ between attempts.
     pub headers: HeaderMap,
@@ -78,7 +78,7 @@
     }
 }
 
-/// The deadlines of an attempt.
+/// The times by which the steps of an attempt must be complete.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptDeadlines {
     /// The time by which the last byte of the request must be written; after that no more of it is sent. A
@@ -96,13 +96,13 @@
     pub head_only: bool,
     /// The size of the body in bytes if it is buffered, else 0.
     pub body_size: usize,
-    /// The body if it is streamed.
+    /// The body if it is streamed; `None` if it is buffered.
     pub upload: Option<&'p Rc<Upload>>,
-    /// As in [`BackendRequest`].
+    /// The same as [`BackendRequest::upgrade_idle_timeout`].
     pub upgrade_idle_timeout: Option<Duration>,
-    /// As in [`BackendRequest`].
+    /// The same as [`BackendRequest::sent_count`].
     pub sent_count: Option<&'p Rc<Cell<u64>>>,
-    /// The deadlines of the attempt.
+    /// The latest times for sending the request and for its response.
     pub deadlines: AttemptDeadlines,
     /// The time-outs of the steps of the exchange.
     pub timeouts: BackendTimeouts,
@@ -111,13 +111,13 @@
 /// A backend's response to a request.
 #[derive(Debug)]
 pub struct BackendResponse {
-    /// The status.
+    /// The status code of the response.
     pub status: StatusCode,
-    /// The headers.
+    /// The headers as taken from the head of the response.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body: buffered, streamed, or a tunnel after a switch of protocols.
     pub body: ResponseBody,
-    /// The backend that sent it.
+    /// The backend that sent the response.
     pub backend: ServerId,
     /// The number of attempts of the request, including this one.
     pub attempts: u32,
@@ -133,7 +133,7 @@
 /// The body of a backend's response.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// The complete body.
+    /// The complete body in memory.
     Buffered(Bytes),
     /// A body that is streamed as it arrives.
     Streaming(Box<Download>),
@@ -144,7 +144,7 @@
 /// How an attempt or a health check ended.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// The outcome.
+    /// How the attempt ended, as the balancer classifies it.
     pub outcome: Outcome,
     /// The load that the backend reported, if it did.
     pub load_report: Option<LoadReport>,
@@ -154,7 +154,7 @@
 }
 
 impl AttemptResult {
-    /// A result without a response.
+    /// Returns a result with this outcome, without a response or a load report.
     pub fn without_response(outcome: Outcome) -> Self {
         AttemptResult { outcome, load_report: None, response: None }
     }
--- a/crates/standalone-proxy/src/upstream/pool.rs
+++ b/crates/standalone-proxy/src/upstream/pool.rs
@@ -34,7 +34,7 @@
 /// The limit of connections that all clusters share. Once it is reached, the connection that has been idle
 /// for longest is closed for a new one, whichever cluster it belongs to.
 pub struct SocketBudget {
-    /// The number of open connections.
+    /// The number of open connections of all clusters.
     pub open: Rc<Cell<usize>>,
     /// The maximum number of open connections.
     max_open: usize,
@@ -115,9 +115,9 @@
     }
 }
 
-/// An idle connection.
+/// A connection without an exchange in flight, which the next request may use.
 pub struct IdleConnection {
-    /// The open connection.
+    /// The connection, which the backend may have closed since.
     pub connection: Connection,
     /// When its last response ended.
     pub since: Instant,
@@ -128,7 +128,7 @@
     /// Receives the raw connection after a switch of protocols; `None` if the request asks for none. A
     /// connection with this is not reused.
     pub raw: Option<oneshot::Receiver<RawConnection>>,
-    /// Sends requests on it.
+    /// The sending side of the HTTP/1 client.
     pub sender: SendRequest<MessageBody>,
     /// The progress of the exchange in flight.
     pub progress: Rc<ExchangeProgress>,
