--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -25,17 +25,17 @@
 /// time.
 const BACKEND_DEADLINE_MARGIN: Duration = Duration::from_millis(35);
 
-/// The request of an attempt.
+/// A client's request as one attempt sends it to a backend.
 pub struct BackendRequest<'r> {
-    /// As in the client's request.
+    /// The method of the client's request.
     pub method: &'r Method,
-    /// The path and query.
+    /// The path and query of the client's request.
     pub target: &'r PathAndQuery,
     /// All headers but those that are added on sending: the expected instance and the deadline.
     pub headers: &'r HeaderMap,
-    /// The complete body.
+    /// The complete body; requests are buffered before they are forwarded.
     pub body: &'r Bytes,
-    /// When the client stops waiting.
+    /// The time at which the client stops waiting for a response.
     pub client_deadline: Instant,
     /// When the attempt is abandoned. Not after `client_deadline`.
     pub attempt_deadline: Instant,
@@ -43,9 +43,9 @@
 
 /// A response whose head has arrived.
 pub struct BackendResponse {
-    /// As the backend sent it.
+    /// The status that the backend sent.
     pub status: StatusCode,
-    /// The headers except the load.
+    /// The headers except the one that reports the backend's load.
     pub headers: HeaderMap,
     /// The body, of which nothing was read yet.
     pub body: Incoming,
@@ -59,7 +59,7 @@
 
 /// The result of an attempt.
 pub enum AttemptResult {
-    /// The head of a response arrived.
+    /// The head of a response has arrived; its body has not been read.
     Response(Box<BackendResponse>),
     /// No usable response arrived; the value is what that proves about the execution of the request.
     Failed(ExecutionEvidence),
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -45,7 +45,7 @@
 
 /// The two directions of messages between a data plane and its agent.
 pub struct AgentChannel {
-    /// Messages from the agent.
+    /// The messages from the agent, in the order in which they were sent.
     pub from_agent: UnboundedReceiver<ToProxy>,
     /// Messages to the agent. They are dropped once the receiver is closed.
     pub to_agent: UnboundedSender<FromProxy>,
@@ -53,9 +53,9 @@
 
 /// The sockets that a data plane listens on.
 pub struct Sockets {
-    /// Accepts clients.
+    /// The socket that accepts clients' connections.
     pub frontend: TcpListener,
-    /// Accepts the platform's readiness checks.
+    /// The socket that accepts the platform's readiness checks.
     pub readiness: TcpListener,
 }
 
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of the data plane.
+//! The counters and gauges of the data plane, and the events that change them.
 
 use crate::request_error::RequestError;
 use crate::retry_safety::ExecutionEvidence;
@@ -58,7 +58,7 @@
 }
 
 impl DataPlaneMetrics {
-    /// Counts a client's request.
+    /// Adds one to the requests received from clients.
     pub fn request_received(&self) {
         self.requests.inc();
     }
--- a/crates/data-plane/src/request.rs
+++ b/crates/data-plane/src/request.rs
@@ -75,13 +75,13 @@
 
 /// A complete request that is to be forwarded.
 pub struct ProxyRequest {
-    /// As the client sent it.
+    /// The method that the client sent.
     pub method: Method,
-    /// The path and query.
+    /// The path and query that a backend gets.
     pub target: PathAndQuery,
     /// The headers that a backend gets, except those that an attempt adds.
     pub headers: HeaderMap,
-    /// The complete body.
+    /// The complete body, which each attempt sends again.
     pub body: Bytes,
     /// The route that the head matches.
     pub route: Arc<Route>,
@@ -91,7 +91,7 @@
     pub tenant: Option<Arc<Tenant>>,
     /// The properties for the selection of a backend. Times in it count from `received_at`.
     pub shape: RequestShape,
-    /// When the head arrived.
+    /// The time at which the request's head arrived.
     pub received_at: Instant,
     /// When the client stops waiting or the route's time-out ends, whichever is earlier.
     pub deadline: Instant,
--- a/crates/data-plane/src/request_attempts.rs
+++ b/crates/data-plane/src/request_attempts.rs
@@ -43,7 +43,7 @@
     urgency: u8,
 }
 
-/// The attempts of one request.
+/// A request and the state of its attempts: the backends tried and what is known of them.
 pub struct RequestAttempts {
     state: Rc<DataPlaneState>,
     /// The request that is sent, with the client's deadline.
@@ -54,7 +54,7 @@
 }
 
 impl RequestAttempts {
-    /// Without any attempt yet.
+    /// Prepares the attempts of a request, without starting one.
     pub fn new(state: Rc<DataPlaneState>, request: Rc<ProxyRequest>) -> Self {
         RequestAttempts { state, request, attempted: Vec::new(), history: AttemptHistory::default() }
     }
--- a/crates/data-plane/src/response.rs
+++ b/crates/data-plane/src/response.rs
@@ -71,11 +71,10 @@
 enum ReadResult {
     /// Bytes to forward; empty if they do not complete an event.
     Data(Bytes),
-    /// The body is complete.
     Complete,
-    /// The connection failed.
+    /// The connection failed before the body was complete.
     Broken,
-    /// The deadline has passed.
+    /// The deadline passed before the body was complete.
     TimedOut,
 }
 
--- a/crates/data-plane/src/retry_safety.rs
+++ b/crates/data-plane/src/retry_safety.rs
@@ -20,7 +20,7 @@
     Rejected,
     /// Another instance than the expected one responded, and has not run the request.
     Misdirected,
-    /// The request may have run.
+    /// The backend may have executed the request, so a retry could execute it twice.
     MayHaveRun,
 }
 
@@ -29,9 +29,9 @@
 pub enum ResponseOwner {
     /// The ids are equal, or the request has none.
     ThisRequest,
-    /// The response has no id.
+    /// The request has an id, but the response has none.
     Unknown,
-    /// The response has another id.
+    /// The response has another id than the request.
     OtherRequest,
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl AttemptHistory {
-    /// Adds an attempt that has ended.
+    /// Adds what an ended attempt proves about the execution of the request.
     pub fn record(&mut self, evidence: ExecutionEvidence) {
         match evidence {
             ExecutionEvidence::NotWritten => self.unwritten += 1,
--- a/crates/data-plane/src/service.rs
+++ b/crates/data-plane/src/service.rs
@@ -41,7 +41,7 @@
 
 /// The state of a service at this node.
 pub struct Service {
-    /// The name in the configuration.
+    /// The service's name in the configuration.
     pub name: String,
     connection_policy: Connections,
     /// The origin of the times in `routing` and `budget`.
@@ -180,7 +180,8 @@
         self.routing.borrow_mut().index_changes().iter().map(protocol_change).collect()
     }
 
-    /// The complete prompt index.
+    /// Returns the complete prompt index as far as it is reported to auditors. The changes so far are included,
+    /// and [`Self::index_changes`] does not return them again.
     pub fn complete_index(&self) -> Vec<control_protocol::IndexChange> {
         self.routing.borrow_mut().complete_index().iter().map(protocol_change).collect()
     }
--- a/crates/data-plane/src/state.rs
+++ b/crates/data-plane/src/state.rs
@@ -140,7 +140,7 @@
         remaining.max(recovery.min_retry_after) + jitter
     }
 
-    /// The active configuration.
+    /// Returns the active configuration; `None` until one was applied.
     pub fn active_configuration(&self) -> Option<Rc<ActiveConfiguration>> {
         self.active.borrow().clone()
     }
@@ -183,7 +183,7 @@
         self.random.borrow_mut().random_range(0..bound.max(1))
     }
 
-    /// Sends a message to the agent.
+    /// Queues a message to the agent. It is lost if the process is exiting.
     pub fn send_to_agent(&self, message: FromProxy) {
         // Fails only while the process exits, when the receiver is closed.
         let _ = self.to_agent.send(message);
--- a/crates/data-plane/src/tenant_quotas.rs
+++ b/crates/data-plane/src/tenant_quotas.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// The quotas of all tenants.
+/// The limits of all tenants, shared by the requests that wait for quota.
 pub struct TenantQuotas {
     /// The origin of the times in `limits`.
     started_at: Instant,
