--- a/crates/agent/src/configuration_fetch.rs
+++ b/crates/agent/src/configuration_fetch.rs
@@ -15,13 +15,12 @@
 pub const FRESHNESS_LIMIT: Duration = Duration::from_secs(3);
 /// What [`FRESHNESS_LIMIT`] is extended by for each MiB of a configuration.
 const TRANSFER_TIME_PER_MEBIBYTE: Duration = Duration::from_secs(2);
-/// Bytes.
 const MEBIBYTE: f64 = 1_048_576.0;
 
 /// The most requests that are remembered to recognize late responses.
 const MAX_REMEMBERED_REQUESTS: usize = 16;
 
-/// A request that was sent.
+/// A request for a configuration that was sent on a link.
 #[derive(Clone, Copy, Debug)]
 struct SentRequest {
     request_id: u64,
--- a/crates/agent/src/effect.rs
+++ b/crates/agent/src/effect.rs
@@ -11,7 +11,7 @@
     Reconnect(LinkId),
     /// Send a message to a coordinator.
     SendToCoordinator(LinkId, FromAgent),
-    /// Send a message to the proxy.
+    /// Send a message to the proxy that is connected at present.
     SendToProxy(ToProxy),
     /// Send the configuration to the proxy. Its document may be large, so it is shared and not copied.
     ConfigureProxy(Configuration),
--- a/crates/agent/src/event.rs
+++ b/crates/agent/src/event.rs
@@ -10,27 +10,27 @@
 pub enum Event {
     /// A coordinator has sent its first message on a new link.
     CoordinatorConnected {
-        /// The link.
+        /// The id of the new link.
         id: LinkId,
-        /// The address of the coordinator.
+        /// The address to which the link was opened.
         address: SocketAddrV4,
-        /// The sending half of the link.
+        /// The sending half of the link, on which the main loop sends its messages.
         outgoing: FrameWriter,
     },
     /// A coordinator has sent a message.
     CoordinatorMessage(LinkId, ToAgent),
-    /// A link has ended.
+    /// A link to a coordinator has ended.
     CoordinatorDisconnected(LinkId),
-    /// A proxy has sent its hello.
+    /// A proxy has connected and sent the first message of the connection.
     ProxyConnected {
-        /// The connection.
+        /// The id of the connection from the proxy.
         id: ProxyId,
         /// The sequence number of the configuration in force at the proxy; 0 for none.
         in_force: ConfigurationSequence,
         /// The sending half of the connection.
         outgoing: FrameWriter,
     },
-    /// A proxy has sent a message.
+    /// A proxy has sent a message after its hello.
     ProxyMessage(ProxyId, FromProxy),
     /// A connection from a proxy has ended.
     ProxyDisconnected(ProxyId),
--- a/crates/agent/src/main_loop.rs
+++ b/crates/agent/src/main_loop.rs
@@ -31,13 +31,12 @@
     outgoing: FrameWriter,
 }
 
-/// The connected proxy.
 struct Proxy {
     id: ProxyId,
     outgoing: FrameWriter,
 }
 
-/// A running agent.
+/// The main loop of an agent: carries out the effects that its state machine requests.
 pub struct Agent {
     started_at: Instant,
     state: AgentState,
--- a/crates/agent/src/repair.rs
+++ b/crates/agent/src/repair.rs
@@ -27,13 +27,13 @@
 /// A request to a coordinator about its list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListRequest {
-    /// The complete list.
+    /// Requests the complete list.
     FullList,
-    /// The digest of the list.
+    /// Requests the digest of the list.
     Digest,
-    /// The content of a range of keys.
+    /// Requests the content of a range of backend keys.
     Range(KeyRange),
-    /// The entries of the backends with these keys.
+    /// Requests the entries of the backends with these keys.
     Backends(Vec<u64>),
 }
 
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -24,7 +24,7 @@
 /// How long the agent sends nothing on a link before it sends a heartbeat.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(900);
 
-/// A link that is up.
+/// What the agent knows about a coordinator whose link is up.
 #[derive(Clone, Debug)]
 struct Link {
     address: SocketAddrV4,
@@ -104,7 +104,7 @@
         &self.view.members
     }
 
-    /// The state as metrics report it.
+    /// Returns a snapshot of the state for metrics.
     pub fn status(&self) -> AgentStatus {
         AgentStatus {
             view: self.view.number,
@@ -119,7 +119,7 @@
         !self.links.is_empty()
     }
 
-    /// Whether the proxy is connected.
+    /// Whether a proxy is connected at present.
     pub fn has_proxy(&self) -> bool {
         self.proxy.is_some()
     }
