--- a/crates/data-plane/src/service.rs
+++ b/crates/data-plane/src/service.rs
@@ -180,8 +180,8 @@
         self.routing.borrow_mut().index_changes().iter().map(protocol_change).collect()
     }
 
-    /// Returns the complete prompt index as far as it is reported to auditors. The changes so far are included,
-    /// and [`Self::index_changes`] does not return them again.
+    /// Returns the complete prompt index as far as it is reported to auditors. Includes the changes so far,
+    /// which [`Self::index_changes`] does not return again.
     pub fn complete_index(&self) -> Vec<control_protocol::IndexChange> {
         self.routing.borrow_mut().complete_index().iter().map(protocol_change).collect()
     }
