--- a/crates/coordinator/src/agents/configuration_requests.rs
+++ b/crates/coordinator/src/agents/configuration_requests.rs
@@ -11,7 +11,7 @@
 pub struct ConfigurationRequestId(u64);
 
 impl ConfigurationRequestId {
-    /// The request with this number.
+    /// Wraps the number that the agent has sent with its request.
     pub const fn new(number: u64) -> Self {
         ConfigurationRequestId(number)
     }
--- a/crates/coordinator/src/agents/connection.rs
+++ b/crates/coordinator/src/agents/connection.rs
@@ -1,4 +1,4 @@
-//! The connection of one agent.
+//! An agent's connection: its identity, its state and the sending of messages on it.
 
 use bytes::Bytes;
 use control_link::FrameWriter;
@@ -11,12 +11,12 @@
 pub struct AgentConnectionId(u64);
 
 impl AgentConnectionId {
-    /// The connection with this number.
+    /// Makes an id of a number that no other connection of this process has had.
     pub const fn new(number: u64) -> Self {
         AgentConnectionId(number)
     }
 
-    /// Its number.
+    /// Returns the number of the connection.
     pub const fn number(self) -> u64 {
         self.0
     }
@@ -31,7 +31,7 @@
     pub zone: String,
 }
 
-/// An open connection of an agent.
+/// An agent's open connection, and what its messages have told so far.
 pub struct AgentConnection {
     pub identity: AgentIdentity,
     /// The sequence of the configuration that the agent's proxy has applied; 0 if none.
--- a/crates/coordinator/src/agents/mod.rs
+++ b/crates/coordinator/src/agents/mod.rs
@@ -84,7 +84,7 @@
 }
 
 impl Agents {
-    /// Starts without connections.
+    /// Starts without connections, configuration or endpoint list.
     pub fn new(clock: Clock) -> Self {
         Agents { clock, state: Mutex::default(), read_index_needed: Notify::new() }
     }
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Sends a message to all agents.
+    /// Queues a message on the connection of every agent.
     pub fn broadcast(&self, message: &ToAgent) {
         let now = self.clock.now();
         self.state().broadcast(now, message);
--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -20,7 +20,7 @@
         Clock { start: Instant::now() }
     }
 
-    /// The time since the origin.
+    /// Returns the time since the origin, which is at least one hour.
     pub fn now(&self) -> Duration {
         ORIGIN + self.start.elapsed()
     }
--- a/crates/coordinator/src/endpoints/mod.rs
+++ b/crates/coordinator/src/endpoints/mod.rs
@@ -53,7 +53,7 @@
 }
 
 impl EndpointRegistry {
-    /// Starts without a list.
+    /// Starts without an endpoint list, view or seeds.
     pub fn new(peers: Arc<Peers>, agents: Arc<Agents>, clock: Clock) -> Self {
         let election = ReaderElection::new(peers.own_address(), clock::unix_time(), clock.now());
         EndpointRegistry {
--- a/crates/coordinator/src/endpoints/platform_reader.rs
+++ b/crates/coordinator/src/endpoints/platform_reader.rs
@@ -27,7 +27,7 @@
 const MAX_PAGE_BYTES: usize = 4 << 20;
 
 quick_error! {
-    /// Why the list could not be read.
+    /// Why the platform's list could not be read, with the page and the platform's address.
     #[derive(Debug)]
     pub enum ReadError {
         /// The request failed, or no complete response arrived in time.
@@ -51,7 +51,7 @@
         TooManyPages(page: usize, platform: SocketAddrV4) {
             display("list from {platform}: more than {page} pages")
         }
-        /// The response is not a page.
+        /// The body of the response is not JSON, or lacks the fields of a page.
         Invalid(page: usize, platform: SocketAddrV4, error: serde_json::Error) {
             display("page {page} of the list from {platform}: invalid JSON or fields: {error}")
             source(error)
@@ -70,7 +70,7 @@
     text
 }
 
-/// Reads the list of one platform.
+/// Reads the list of backends from one platform's API, page by page.
 #[derive(Debug)]
 pub struct PlatformReader {
     client: Client,
--- a/crates/coordinator/src/index_audits/mod.rs
+++ b/crates/coordinator/src/index_audits/mod.rs
@@ -69,7 +69,7 @@
 }
 
 impl IndexAudits {
-    /// Starts without an audit.
+    /// Starts without an audit; one begins when this coordinator becomes the acting head.
     pub fn new(agents: Arc<Agents>, clock: Clock) -> Self {
         IndexAudits { state: Mutex::default(), agents, clock, changed: Notify::new() }
     }
--- a/crates/coordinator/src/index_audits/status.rs
+++ b/crates/coordinator/src/index_audits/status.rs
@@ -24,7 +24,7 @@
 /// The status of a backend under audit.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AuditedBackend {
-    /// The backend's instance id.
+    /// The backend's instance id, as on the platform's list.
     pub instance_id: String,
     /// The result of the last comparison: `matching`, `differing in N`, `not looked at` if there was none
     /// yet, or `not audited: ` and the error.
@@ -43,7 +43,7 @@
 /// A mismatch between the index and a backend.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MismatchStatus {
-    /// The backend's instance id.
+    /// The backend's instance id, as on the platform's list.
     pub instance_id: String,
     /// The key of the prompt block, in hex.
     #[serde(rename = "part")]
--- a/crates/coordinator/src/log_file.rs
+++ b/crates/coordinator/src/log_file.rs
@@ -16,7 +16,7 @@
 const MAX_QUARANTINED: usize = 3;
 
 quick_error! {
-    /// Why a log could not be opened.
+    /// Why a replica's log could not be opened, with the path of the log.
     #[derive(Debug)]
     pub enum OpenError {
         /// An operation on the disk failed; a retry may succeed.
--- a/crates/coordinator/src/outcome_counters.rs
+++ b/crates/coordinator/src/outcome_counters.rs
@@ -6,7 +6,6 @@
 use prometheus_client::registry::Registry;
 use replication::RequestOutcome;
 
-/// The label set of the counters.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct OutcomeLabel {
     outcome: &'static str,
--- a/crates/coordinator/src/peer_protocol.rs
+++ b/crates/coordinator/src/peer_protocol.rs
@@ -77,7 +77,7 @@
         /// The differences of the new list from the base list.
         changes: BackendChanges,
     },
-    /// All endpoints on the list.
+    /// All endpoints on the list, for a receiver that lacks the base of the changes.
     #[serde(rename = "Whole")]
     Full(#[serde(with = "control_protocol::backend_table")] Vec<Backend>),
 }
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -12,7 +12,7 @@
 
 /// The backoff after the first failed connection. It doubles with each further failure.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
-/// The longest backoff.
+/// The backoff does not grow beyond this.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// After a connection that lasted this long the backoff starts at its initial value again.
 const BACKOFF_RESET_AFTER: Duration = Duration::from_secs(2);
--- a/crates/coordinator/src/startup.rs
+++ b/crates/coordinator/src/startup.rs
@@ -106,7 +106,7 @@
         Ok(RunningCoordinator { node, seeds, hand_over_timeout, stop, operator_api, _tasks: tasks })
     }
 
-    /// The coordinator's components.
+    /// Returns the components of this coordinator, which its tasks share.
     pub fn node(&self) -> &Arc<CoordinatorNode> {
         &self.node
     }
--- a/crates/coordinator/src/status.rs
+++ b/crates/coordinator/src/status.rs
@@ -52,7 +52,7 @@
     pub members: Vec<MemberStatus>,
 }
 
-/// A member of a view.
+/// A member of a view, as this coordinator knows it.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The member's id, which is stored on its disk, in hex.
--- a/crates/coordinator/src/storage.rs
+++ b/crates/coordinator/src/storage.rs
@@ -20,7 +20,7 @@
     fn rewrite(&mut self, records: &[Record]) -> io::Result<()>;
 }
 
-/// A write for the storage thread.
+/// A write that the storage thread performs, in the order of submission.
 #[derive(Debug)]
 pub enum StorageCommand {
     /// Append a record; the result is reported under the id.
