--- a/crates/configuration/src/check.rs
+++ b/crates/configuration/src/check.rs
@@ -11,7 +11,7 @@
 /// document.
 pub const MAX_ERRORS: usize = 50;
 
-/// The JSON schema of documents.
+/// The JSON schema of the operator's documents, as text.
 pub const SCHEMA: &str = include_str!("../schema/configuration.json");
 
 #[expect(clippy::expect_used, reason = "the schema is part of the program; a test compiles it")]
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -4,7 +4,7 @@
 use crate::lenient::{integer, integer_or_default, integer_or_none, or_default};
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// A complete configuration.
+/// The content of the operator's JSON document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
     /// The version of the document; higher is newer. At least 1.
@@ -13,7 +13,7 @@
     /// The routes, in any order.
     #[serde(default, deserialize_with = "or_default")]
     pub routes: Vec<Route>,
-    /// The services.
+    /// The services that routes refer to by name, in any order.
     #[serde(default, deserialize_with = "or_default")]
     pub services: Vec<Service>,
     /// Limits on the requests and connections of clients.
@@ -88,10 +88,10 @@
     Ok(integer_or_none(deserializer)?.unwrap_or_else(one))
 }
 
-/// A service of a traffic split.
+/// A service that gets a part of the requests of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// The service.
+    /// The name of the service.
     pub service: String,
     /// The weight relative to those of the other services of the split.
     #[serde(deserialize_with = "integer")]
@@ -101,7 +101,7 @@
 /// A service: a group of equivalent backends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// The name of the service.
+    /// The name by which routes refer to the service.
     pub name: String,
     /// The path of a backend's health check.
     #[serde(default, deserialize_with = "or_default")]
@@ -160,11 +160,11 @@
     }
 }
 
-/// The unit that a tenant's limit counts.
+/// What a tenant's rate and burst are measured in.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Unit {
-    /// The limit counts tokens.
+    /// The limit counts tokens. A request that states no number counts as `plain_tokens`, else 1.
     Tokens,
     /// The limit counts requests. Also used for any other name in the document.
     #[default]
@@ -172,12 +172,12 @@
     Requests,
 }
 
-/// A tenant.
+/// A client of the fleet, with its API keys, its priority and its limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
     /// The name of the tenant.
     pub name: String,
-    /// The tenant's API keys.
+    /// The API keys by which requests are recognized as those of the tenant.
     #[serde(default, deserialize_with = "or_default")]
     pub api_keys: Vec<String>,
     /// The tenant's priority, which is compared before that of the route; 0 is the highest.
--- a/crates/configuration/src/table.rs
+++ b/crates/configuration/src/table.rs
@@ -7,7 +7,7 @@
 /// The result of matching a request with the routes.
 #[derive(Clone, Debug)]
 pub struct RouteMatch {
-    /// The matching route.
+    /// The route with the longest matching prefix.
     pub route: Arc<Route>,
 }
 
@@ -57,12 +57,12 @@
         Some(RouteMatch { route: route.clone() })
     }
 
-    /// The tenant with this API key.
+    /// Returns the tenant with this API key; `None` if no tenant has it.
     pub fn tenant(&self, key: &str) -> Option<&Arc<Tenant>> {
         self.tenants.get(key)
     }
 
-    /// The service with this name.
+    /// Returns the service with this name; `None` if the configuration has none.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
     }
