--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -88,7 +88,7 @@
     /// Whether the time without a quota leader before the start is accounted for, or can no longer be
     /// determined.
     is_downtime_settled: bool,
-    /// The buckets by tenant.
+    /// The tenants' buckets, by the tenant's name.
     buckets: BTreeMap<String, SharedBucket>,
     /// When all buckets were last filled.
     filled_at: Duration,
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -21,7 +21,7 @@
 /// The smallest number of nodes that is assumed, since the count is too low while a fleet starts.
 const MIN_NODES: u32 = 4;
 
-/// A tenant's limit.
+/// A tenant's rate and burst for all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Limit {
     /// Requests or tokens per second.
--- a/crates/quota/src/probabilistic_rejection.rs
+++ b/crates/quota/src/probabilistic_rejection.rs
@@ -16,7 +16,6 @@
     /// The demand of all nodes as a multiple of what can be granted.
     pressure: f64,
     updated_at: Duration,
-    /// The number of draws so far.
     draws: u64,
     /// The total cost of rejected requests that was not reported to the quota leader yet.
     rejected_cost: f64,
--- a/crates/quota/src/rate_meter.rs
+++ b/crates/quota/src/rate_meter.rs
@@ -23,13 +23,13 @@
         self.rate *= (-elapsed / self.time_constant).exp();
     }
 
-    /// Adds an amount.
+    /// Adds an amount that was used at this time.
     pub fn add(&mut self, now: Duration, amount: f64) {
         self.decay(now);
         self.rate += amount / self.time_constant;
     }
 
-    /// The amount per second.
+    /// Returns the rate per second, decayed to this time.
     pub fn rate(&mut self, now: Duration) -> f64 {
         self.decay(now);
         self.rate
--- a/crates/quota/src/reserve.rs
+++ b/crates/quota/src/reserve.rs
@@ -83,7 +83,7 @@
 }
 
 impl NodeReserve {
-    /// An empty reserve.
+    /// Creates a reserve without credit, for a node that has had no grant yet.
     pub fn new(limit: Limit, settings: &QuotaSettings, policy: &LimitsPolicy, now: Duration) -> Self {
         NodeReserve {
             limit,
@@ -148,7 +148,7 @@
         self.used_without_grants += added;
     }
 
-    /// Decides on a new request.
+    /// Admits or rejects a new request, or lets it wait for a grant.
     pub fn admit(&mut self, now: Duration, cost: f64, last_contact: Option<Duration>) -> ReserveDecision {
         self.accrue(now, last_contact);
         if self.credit - self.earmarked >= cost {
--- a/crates/quota/src/shared_bucket.rs
+++ b/crates/quota/src/shared_bucket.rs
@@ -69,7 +69,7 @@
     /// The sum of the fallback rates that nodes had at their first contact, granted by a previous quota
     /// leader.
     inherited_rates: f64,
-    /// Accounts by node.
+    /// The nodes' accounts, by the node's name.
     accounts: BTreeMap<String, Account>,
 }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Changes the limit.
+    /// Changes the limit. An amount beyond the new capacity is dropped.
     pub fn set_limit(&mut self, limit: Limit, settings: &QuotaSettings) {
         if limit == self.limit {
             return;
