--- a/crates/http-transport/src/body/buffer.rs
+++ b/crates/http-transport/src/body/buffer.rs
@@ -10,9 +10,9 @@
 /// streamed.
 pub const MAX_BUFFERED_BODY: usize = 64 << 10;
 
-/// What has been read of a body.
+/// The bytes of a body that were read into memory, with or without its end.
 pub enum ReadBody {
-    /// The complete body.
+    /// The whole body, which fits into the buffer.
     Complete(Bytes),
     /// A first part that exceeds the maximum size of the buffer. The rest follows.
     Partial(Bytes),
@@ -73,7 +73,7 @@
         let pause = self.last_arrival.map(|last| last.elapsed());
         self.waits > 0 && pause.is_some_and(|pause| pause < ARRIVING_PAUSE_FACTOR * self.longest_wait)
     }
-    /// The number of bytes received.
+    /// Returns the number of bytes received, including those beyond the maximum.
     pub fn len(&self) -> u64 {
         self.received.len() as u64
     }
@@ -81,7 +81,7 @@
     pub fn is_empty(&self) -> bool {
         self.received.is_empty()
     }
-    /// The received bytes.
+    /// Returns the received bytes without copying them.
     pub fn into_bytes(self) -> Bytes {
         self.received.freeze()
     }
@@ -90,13 +90,13 @@
 /// Why reading a body into a buffer has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadEnd {
-    /// The body is complete.
+    /// The end of the body has arrived.
     Complete,
     /// The body exceeds the maximum size of the buffer.
     TooLarge,
     /// Nothing has arrived for longer than allowed.
     Paused,
-    /// The deadline has passed.
+    /// The deadline has passed before the end of the body arrived.
     TimedOut,
 }
 
--- a/crates/http-transport/src/body/mod.rs
+++ b/crates/http-transport/src/body/mod.rs
@@ -38,7 +38,7 @@
 
 /// The body of a request or response.
 pub enum MessageBody {
-    /// A buffered body.
+    /// A body that is completely in memory.
     Buffered(Full<Bytes>),
     /// The body of a client's request, streamed to a backend.
     Upload(UploadAttempt),
--- a/crates/http-transport/src/body/upload.rs
+++ b/crates/http-transport/src/body/upload.rs
@@ -26,10 +26,10 @@
 /// The body of a client's request, streamed to a backend. Only the first part is retained, so the body can be
 /// sent again only while nothing after that part has been read.
 pub struct Upload {
-    /// The retained first part.
+    /// The first part of the body, retained for further attempts.
     head: Bytes,
     remaining: RefCell<Option<Incoming>>,
-    /// The announced size in bytes.
+    /// The announced size in bytes; `None` if the client announced none.
     size: Option<u64>,
     max_size: u64,
     finished: Cell<bool>,
@@ -97,7 +97,7 @@
     }
 }
 
-/// The use of a client's body by an attempt.
+/// One attempt's reading of a client's body, from its first byte.
 pub struct UploadAttempt {
     upload: Rc<Upload>,
     started: bool,
@@ -116,7 +116,7 @@
         UploadAttempt { upload, started: false, received: 0, waited: Duration::ZERO, wait: None }
     }
 
-    /// The announced size of the body in bytes.
+    /// Returns the announced size in bytes; `None` if the client announced none.
     pub(super) fn size(&self) -> Option<u64> {
         self.upload.size
     }
--- a/crates/http-transport/src/client_connections.rs
+++ b/crates/http-transport/src/client_connections.rs
@@ -23,10 +23,10 @@
 /// that opens a connection to send a request sends it at once.
 const SILENT_CONNECTION_AGE: Duration = Duration::from_millis(50);
 
-/// The open client connections.
+/// The registry of the open client connections.
 #[derive(Default)]
 pub struct Connections {
-    /// The id of the next connection.
+    /// The id that the next accepted connection gets.
     pub next_id: Cell<u64>,
     /// The open connections by id.
     pub open: RefCell<HashMap<u64, Rc<ConnectionState>>>,
--- a/crates/http-transport/src/listeners.rs
+++ b/crates/http-transport/src/listeners.rs
@@ -37,7 +37,7 @@
 }
 
 impl Listeners {
-    /// Listens on these sockets.
+    /// Takes over sockets that listen already; accepting is not paused.
     pub fn new(listeners: Vec<TcpListener>) -> Self {
         Listeners { open: RefCell::new(listeners), ..Listeners::default() }
     }
@@ -78,7 +78,7 @@
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.open.borrow().iter().filter_map(|listener| listener.local_addr().ok()).collect()
     }
-    /// Closes all sockets.
+    /// Closes all sockets. Accepted connections remain open.
     pub fn close(&self) {
         self.open.borrow_mut().clear();
     }
--- a/crates/http-transport/src/request_heads.rs
+++ b/crates/http-transport/src/request_heads.rs
@@ -29,7 +29,7 @@
     pub fn fault(&self) -> Option<FramingError> {
         self.fault.get()
     }
-    /// Records received bytes.
+    /// Advances the position in the stream of requests, and records an incomplete or faulty head.
     fn record(&self, position: &mut StreamPosition, bytes: &[u8], line_endings: LineEndings) {
         if bytes.is_empty() {
             return;
--- a/crates/http-transport/src/send_permit.rs
+++ b/crates/http-transport/src/send_permit.rs
@@ -16,7 +16,7 @@
     pub fn is_cancelled(&self) -> bool {
         self.0.get()
     }
-    /// Prevents further attempts.
+    /// Prevents further attempts of the request. Cannot be undone.
     pub fn cancel(&self) {
         self.0.set(true);
     }
--- a/crates/http-transport/src/shared_stream.rs
+++ b/crates/http-transport/src/shared_stream.rs
@@ -27,7 +27,7 @@
 }
 
 impl SharedStream {
-    /// Shares a connected socket.
+    /// Wraps a connected socket, with an empty buffer of bytes read ahead.
     pub fn new(stream: TcpStream) -> Self {
         SharedStream(Rc::new(Socket {
             stream,
--- a/crates/http-transport/src/tunnel.rs
+++ b/crates/http-transport/src/tunnel.rs
@@ -30,9 +30,9 @@
     pub raw: oneshot::Receiver<RawConnection>,
     /// When the tunnel is closed at the latest.
     pub deadline: StreamDeadline,
-    /// How long both sides may be silent.
+    /// The time after which the tunnel is closed if both sides are silent.
     pub idle_timeout: Duration,
-    /// Dropped when the tunnel ends.
+    /// Values that are kept until the tunnel ends and dropped then.
     pub guards: Vec<Box<dyn Any>>,
 }
 
