--- a/crates/http-forwarding/src/attempt.rs
+++ b/crates/http-forwarding/src/attempt.rs
@@ -3,7 +3,7 @@
 
 use join_up_to::{Outcome, Repeat};
 
-/// How far an attempt has come.
+/// The progress of an attempt, in the order of the stages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum AttemptStage {
     /// No byte of the request was written to the backend.
@@ -120,7 +120,7 @@
 /// How much of the body of a request is available for another attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum BodyAvailability {
-    /// The whole body is buffered.
+    /// The whole body is buffered and can be sent any number of times.
     Complete,
     /// The body is only partly buffered, but every byte that was sent is still buffered.
     NothingSent,
@@ -147,7 +147,7 @@
 /// The parts of a response head that determine the outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
     /// Whether the backend declares that it did not execute the request.
     pub unprocessed: bool,
@@ -156,7 +156,7 @@
 /// Which responses count as success.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuccessCriterion {
-    /// Status 200 only.
+    /// Only a response with status 200 counts.
     Status200,
     /// Every status that does not indicate a failure of the backend: those below 500 except 101 and 429.
     NoBackendFailure,
--- a/crates/http-forwarding/src/forward.rs
+++ b/crates/http-forwarding/src/forward.rs
@@ -74,9 +74,9 @@
 /// The connection on which a request was received.
 #[derive(Clone, Copy, Debug)]
 pub struct Hop {
-    /// The client's address.
+    /// The address of the connection's peer: the client or a proxy before this one.
     pub from: SocketAddr,
-    /// Whether the connection is encrypted.
+    /// Whether the connection is encrypted, so that its protocol is `https`.
     pub secure: bool,
     /// The HTTP version of the request.
     pub version: Version,
--- a/crates/http-forwarding/src/framing.rs
+++ b/crates/http-forwarding/src/framing.rs
@@ -20,7 +20,7 @@
 /// What delimits the body of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// A length in bytes.
+    /// The length of the body in bytes, which is fixed by the head.
     Length(u64),
     /// The chunked coding, whose last chunk ends the body.
     Chunked,
@@ -50,7 +50,7 @@
         CodingInHttp10 {
             display("transfer-encoding: HTTP/1.0 has none")
         }
-        /// A line ends with LF alone.
+        /// A line ends with LF alone, although [`LineEndings::Strict`] applies.
         BareLineFeed {
             display("a line of the head ends without CR")
         }
@@ -68,7 +68,7 @@
     }
 }
 
-/// A complete head of a request.
+/// Where a complete head of a request ends, and how its body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestHead {
     /// The length of the head in bytes, including the blank line.
