--- a/crates/node-settings/src/error.rs
+++ b/crates/node-settings/src/error.rs
@@ -10,7 +10,7 @@
 pub struct InvalidSettings {
     /// The path of the invalid value in the file, such as `limits.cores`; `.` for the complete file.
     pub location: String,
-    /// Why the value is invalid.
+    /// A text for operators that says why the value is invalid.
     pub reason: String,
 }
 
@@ -28,7 +28,7 @@
     pub enum SettingsError {
         /// The environment variable with the path of the file is not set.
         PathNotSet { display("{PATH_VARIABLE} is not set") }
-        /// The file could not be read.
+        /// The file could not be read, or is not UTF-8.
         Unreadable(path: PathBuf, error: std::io::Error) {
             display("{}: {error}", path.display())
             source(error)
--- a/crates/node-settings/src/loading.rs
+++ b/crates/node-settings/src/loading.rs
@@ -16,7 +16,7 @@
         Settings::load(Path::new(&path))
     }
 
-    /// Loads a file.
+    /// Loads, parses and validates the settings file at this path.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text =
             std::fs::read_to_string(path).map_err(|error| SettingsError::Unreadable(path.into(), error))?;
--- a/crates/node-settings/src/settings.rs
+++ b/crates/node-settings/src/settings.rs
@@ -9,7 +9,7 @@
 /// The environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "MARLWINCH_NODE_FILE";
 
-/// The settings of one process.
+/// The content of a settings file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Settings {
     /// The name of the node, unique in the fleet.
@@ -19,10 +19,10 @@
     pub machine_class: String,
     /// The IPv4 address of the machine.
     pub ip: Ipv4Addr,
-    /// The zone of the machine.
+    /// The zone of the machine; empty if not set.
     #[serde(default)]
     pub zone: String,
-    /// The region of the machine.
+    /// The region of the machine; empty if not set.
     #[serde(default)]
     pub region: String,
     /// The region of every zone, by the zone's name.
@@ -82,15 +82,15 @@
 pub struct Limits {
     /// The fraction of a core's time, above 0.
     pub cpu_share: f64,
-    /// The number of cores.
+    /// The number of cores; 1 if not set.
     pub cores: u32,
-    /// The memory, in MB.
+    /// The memory, in MB; 256 if not set.
     pub memory_mb: u64,
-    /// The number of file descriptors.
+    /// The number of file descriptors; 1024 if not set.
     pub max_fds: u64,
     /// The bandwidth of the machine's network interface, in Mbit/s.
     pub link_mbps: f64,
-    /// The disk space, in MB.
+    /// The disk space, in MB; 0 if not set.
     pub disk_mb: u64,
 }
 
@@ -100,9 +100,9 @@
 pub struct FaultTolerance {
     /// The number of failed machines, of those that count for the quorum.
     pub machines: u32,
-    /// The number of failed zones.
+    /// The number of failed zones; 0 if not set.
     pub zones: u32,
-    /// The number of failed regions.
+    /// The number of failed regions; 0 if not set.
     pub regions: u32,
 }
 
@@ -136,10 +136,10 @@
     pub again_s: f64,
 }
 
-/// The platform's API.
+/// The platform's API, which lists the backends.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct CloudApi {
-    /// The address of the API.
+    /// The address at which the API accepts HTTP requests.
     pub address: SocketAddrV4,
     /// The rate limit for the requests of all nodes together, in requests per second.
     #[serde(default)]
