--- a/crates/control-link/src/frame_reader.rs
+++ b/crates/control-link/src/frame_reader.rs
@@ -26,7 +26,7 @@
         FrameReader { reader, buffer: BytesMut::new(), closed, peer }
     }
 
-    /// The address of the peer.
+    /// Returns the address of the other side of the connection.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
--- a/crates/control-link/src/frame_writer.rs
+++ b/crates/control-link/src/frame_writer.rs
@@ -64,7 +64,7 @@
         FrameWriter { _close_on_drop: Arc::new(CloseOnDrop(shared.clone())), shared }
     }
 
-    /// The address of the peer.
+    /// Returns the address of the other side of the connection.
     pub fn peer(&self) -> SocketAddr {
         self.shared.peer
     }
--- a/crates/control-link/src/lib.rs
+++ b/crates/control-link/src/lib.rs
@@ -22,13 +22,13 @@
 /// The step in which an error occurred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkStep {
-    /// Opening a connection.
+    /// Opening a connection to the peer.
     Connect,
-    /// Listening at an address.
+    /// Opening a socket that listens at an own address.
     Listen,
-    /// Reading a frame.
+    /// Reading a frame or decoding its message.
     Read,
-    /// Writing a frame.
+    /// Encoding a message or writing its frame.
     Write,
 }
 
@@ -47,7 +47,7 @@
     /// Why a connection or a listener failed, with the step and the peer or the own address.
     #[derive(Debug)]
     pub enum LinkError {
-        /// A system call failed.
+        /// The system reported an error for the socket.
         Io(step: LinkStep, peer: SocketAddr, error: std::io::Error) {
             display("{step} {peer}: {error}")
             source(error)
