--- a/crates/range-digest/src/range.rs
+++ b/crates/range-digest/src/range.rs
@@ -26,12 +26,12 @@
         (is_aligned && first & range.suffix_mask() == 0).then_some(range)
     }
 
-    /// The lowest key.
+    /// Returns the lowest key in the range.
     pub fn first(self) -> u64 {
         self.first
     }
 
-    /// The highest key (inclusive).
+    /// Returns the highest key, which is in the range.
     pub fn last(self) -> u64 {
         self.first | self.suffix_mask()
     }
@@ -63,14 +63,14 @@
 /// insertion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeDigest {
-    /// The number of items.
+    /// The number of items in the range.
     pub count: u64,
     /// The wrapping sum of the hashes of the items.
     pub sum: u64,
 }
 
 impl RangeDigest {
-    /// Adds an item.
+    /// Adds an item to the count and the sum of hashes.
     pub fn add(&mut self, key: u64, value: u64) {
         self.count += 1;
         self.sum = self.sum.wrapping_add(hash_of(key, value));
--- a/crates/range-digest/src/set.rs
+++ b/crates/range-digest/src/set.rs
@@ -9,7 +9,6 @@
 /// The prefix length of the ranges whose digests are precomputed. Those of smaller ranges are computed on
 /// demand.
 const PRECOMPUTED_BITS: u32 = 8;
-/// The number of precomputed digests.
 const PRECOMPUTED_RANGES: usize = 1 << PRECOMPUTED_BITS;
 /// Digests are precomputed only for sets with more items than this.
 const PRECOMPUTE_ABOVE: usize = 512;
@@ -33,7 +32,7 @@
 }
 
 impl DigestedSet {
-    /// The number of items.
+    /// Returns the number of items, one for each key.
     pub fn len(&self) -> usize {
         self.items.len()
     }
--- a/crates/range-digest/src/walk.rs
+++ b/crates/range-digest/src/walk.rs
@@ -12,7 +12,7 @@
 /// An item in which the two sets differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Difference {
-    /// Its key.
+    /// The key of the item.
     pub key: u64,
     /// The value in the local set; `None` if the key is absent.
     pub own: Option<u64>,
@@ -24,7 +24,7 @@
     /// The reason why a response of the remote side was rejected.
     #[derive(Debug, Clone, Copy, PartialEq, Eq)]
     pub enum WalkError {
-        /// The range was not requested.
+        /// The response is for a range that was not requested.
         Unsolicited(range: KeyRange) {
             display("an answer for keys from {:016x}, which were not asked for", range.first())
         }
