--- a/crates/record-log/src/folder.rs
+++ b/crates/record-log/src/folder.rs
@@ -6,7 +6,7 @@
 
 /// A directory that contains only files.
 pub trait Folder {
-    /// The type of its open files.
+    /// The open files that this directory gives out.
     type File: File;
 
     /// The names of all files, in no particular order.
@@ -25,9 +25,9 @@
     fn sync(&self) -> io::Result<()>;
 }
 
-/// An open file.
+/// A file that is open for reading and writing.
 pub trait File {
-    /// Reads the whole content.
+    /// Reads the file from its start to its end.
     fn read_all(&mut self) -> io::Result<Vec<u8>>;
 
     /// Writes `bytes` at `offset`. After an error, some of them may have been written.
@@ -40,7 +40,7 @@
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A directory in the file system.
+/// A [`Folder`] in the file system.
 #[derive(Debug)]
 pub struct DiskFolder {
     path: PathBuf,
@@ -81,7 +81,7 @@
     }
 }
 
-/// A file in the file system.
+/// An open file of a [`DiskFolder`].
 #[derive(Debug)]
 pub struct DiskFile(fs::File);
 
--- a/crates/record-log/src/frame.rs
+++ b/crates/record-log/src/frame.rs
@@ -11,7 +11,6 @@
 /// The length of the length field before each record, in bytes.
 const RECORD_HEADER_LEN: usize = 4;
 
-/// A decoded frame.
 pub(crate) struct Frame {
     pub(crate) batch: u64,
     pub(crate) records: Vec<Vec<u8>>,
--- a/crates/record-log/src/log.rs
+++ b/crates/record-log/src/log.rs
@@ -6,7 +6,7 @@
 use std::io;
 
 quick_error! {
-    /// An error of a log operation.
+    /// Why the log could not be opened, appended to or rewritten.
     #[derive(Debug)]
     pub enum LogError {
         /// A file operation failed: which one, and why.
@@ -37,7 +37,7 @@
 /// The number of the first batch in each file: the one that a rewrite writes.
 const FIRST_BATCH: u64 = 1;
 
-/// An open log.
+/// A log of records in a directory, of which one file is current.
 #[derive(Debug)]
 pub struct Log<F: Folder> {
     folder: F,
