--- a/crates/replication/src/disk_health.rs
+++ b/crates/replication/src/disk_health.rs
@@ -6,6 +6,6 @@
     Healthy,
     /// Writes complete, but take much longer than usual.
     Slow,
-    /// The disk hangs or rejects writes.
+    /// Writes do not complete in time or are rejected.
     Failed,
 }
--- a/crates/replication/src/interface.rs
+++ b/crates/replication/src/interface.rs
@@ -88,7 +88,7 @@
     pub history_length: usize,
 }
 
-/// The status of a replica, for operators.
+/// What a replica knows of the group, shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// The id that was generated when the disk of this member was initialized.
--- a/crates/replication/src/paxos.rs
+++ b/crates/replication/src/paxos.rs
@@ -81,7 +81,7 @@
     Accept(View, BTreeSet<MemberId>),
 }
 
-/// The result of a promise in phase 1.
+/// What a proposer may do after a promise has arrived in phase 1.
 pub(crate) enum PrepareResult {
     /// Fewer than a majority of the voters have promised so far.
     Incomplete,
--- a/crates/replication/src/register.rs
+++ b/crates/replication/src/register.rs
@@ -86,7 +86,7 @@
 /// A member's copy of the register.
 #[derive(Clone, Debug)]
 pub(crate) struct Register {
-    /// The maximum number of keys that are kept.
+    /// The maximum number of entry keys that are kept to recognize retried changes.
     history_length: usize,
     /// The highest generation whose key was pruned; 0 if none was.
     pruned_generation: Generation,
--- a/crates/replication/src/view_planning.rs
+++ b/crates/replication/src/view_planning.rs
@@ -14,7 +14,7 @@
     /// Whether its heartbeats arrive, here or at a chain member that reports so, and it is not shutting down.
     pub(crate) reachable: bool,
     pub(crate) disk: DiskHealth,
-    /// Whether it has all committed entries.
+    /// Whether the member has all committed entries.
     pub(crate) complete: bool,
     pub(crate) progress: ReplicationProgress,
     /// Whether it has promised not to become synced in the view that it knows.
@@ -38,7 +38,7 @@
     All,
 }
 
-/// What one member knows about the group.
+/// What the planning member knows about the group: the input of the choice of a view.
 #[derive(Clone)]
 pub(crate) struct ClusterState {
     pub(crate) own_id: MemberId,
