--- a/crates/control-protocol/src/agent.rs
+++ b/crates/control-protocol/src/agent.rs
@@ -17,7 +17,7 @@
     pub id: u64,
     /// The address at which it accepts connections from agents and other coordinators.
     pub address: SocketAddrV4,
-    /// The zone of its machine.
+    /// The zone of the member's machine.
     pub zone: String,
 }
 
@@ -28,7 +28,7 @@
     Hello {
         /// The sender's protocol version, [`crate::VERSION`].
         version: u16,
-        /// The name of the node.
+        /// The name of the node that the agent runs on.
         node: String,
         /// The address of the node's machine.
         ip: std::net::Ipv4Addr,
@@ -50,7 +50,7 @@
     /// States that the proxy has this configuration in force.
     #[serde(rename = "InForce")]
     ConfigurationApplied {
-        /// The sequence number of the configuration.
+        /// The sequence number of that configuration; higher is newer.
         sequence: ConfigurationSequence,
     },
     /// Requests quota from the tenants' limits. Only the quota leader responds.
@@ -137,7 +137,7 @@
     },
     /// The requested configuration. Follows [`ToAgent::NewestConfiguration`].
     Configuration {
-        /// The sequence number of the configuration.
+        /// The sequence number of that configuration; higher is newer.
         sequence: ConfigurationSequence,
         /// The operator's JSON document.
         #[serde(with = "serde_bytes")]
@@ -156,7 +156,7 @@
     },
     /// The platform's list was read again and is unchanged.
     BackendsConfirmed {
-        /// The version of the new read.
+        /// The version of the new read, which becomes that of the list.
         version: BackendListVersion,
     },
     /// The digest of the coordinator's list, which the agent compares with that of its own list. Sent when a
--- a/crates/control-protocol/src/backend_table.rs
+++ b/crates/control-protocol/src/backend_table.rs
@@ -14,20 +14,19 @@
     /// The distinct strings, which rows refer to by index.
     #[serde(rename = "texts")]
     strings: Vec<String>,
-    /// One row per backend.
     rows: Vec<Row>,
 }
 
 /// A backend, serialized as an array of its values in this order.
 #[derive(Serialize, Deserialize)]
 struct Row(
-    /// The instance id.
+    /// The backend's instance id.
     String,
     /// The indices of the service, the zone and the generation in the string table.
     [u32; 3],
     /// The backend's IPv4 address as a number.
     u32,
-    /// The port.
+    /// The port of the backend's address.
     u16,
     /// The number of requests that the backend processes concurrently.
     u32,
--- a/crates/control-protocol/src/frame.rs
+++ b/crates/control-protocol/src/frame.rs
@@ -20,7 +20,7 @@
         TooLong(length: usize) {
             display("frame of {length} bytes exceeds the maximum of {MAX_FRAME_BYTES} bytes")
         }
-        /// The message has no CBOR encoding.
+        /// The message could not be encoded as CBOR.
         Encode(error: ciborium::ser::Error<io::Error>) {
             display("message not encoded: {error}")
             from()
--- a/crates/control-protocol/src/index.rs
+++ b/crates/control-protocol/src/index.rs
@@ -7,7 +7,7 @@
 pub struct IndexChange {
     /// The key of the backend's instance ([`crate::instance_key`]).
     pub backend: u64,
-    /// The key of the block.
+    /// The key of the prompt block.
     #[serde(rename = "part")]
     pub block: u64,
     /// The number of tokens in the block; `None` if the block is not cached.
--- a/crates/control-protocol/src/proxy.rs
+++ b/crates/control-protocol/src/proxy.rs
@@ -19,7 +19,7 @@
     /// States that the proxy has this configuration in force.
     #[serde(rename = "InForce")]
     ConfigurationApplied {
-        /// The sequence number of the configuration.
+        /// The sequence number of that configuration; higher is newer.
         sequence: ConfigurationSequence,
     },
     /// Requests quota from the tenants' limits. Sent every [`QUOTA_REQUEST_INTERVAL_MS`].
