--- a/crates/standalone-proxy/src/decision_loop/admission_gate.rs
+++ b/crates/standalone-proxy/src/decision_loop/admission_gate.rs
@@ -25,9 +25,9 @@
 
 /// The result for a request that has arrived or was queued.
 pub enum GateOutcome {
-    /// It must be passed to the balancer.
+    /// The request must be passed to the balancer.
     Admitted(Arrival),
-    /// It was rejected, and the rejection was sent.
+    /// The request was rejected, and the rejection was sent.
     Rejected,
 }
 
@@ -47,7 +47,7 @@
         self.gate.reconfigure(now, settings);
     }
 
-    /// Replaces the list of backends.
+    /// Applies a new list of backends, which replaces the one before.
     pub fn set_endpoints(&mut self, now: Duration, endpoints: &[Endpoint]) {
         self.gate.set_endpoints(now, endpoints);
     }
@@ -153,7 +153,7 @@
         self.gate.next_tick()
     }
 
-    /// Whether no request is queued.
+    /// Whether no request waits in the queue of the gate.
     pub fn is_empty(&self) -> bool {
         self.queued.is_empty()
     }
--- a/crates/standalone-proxy/src/decision_loop/event.rs
+++ b/crates/standalone-proxy/src/decision_loop/event.rs
@@ -58,7 +58,7 @@
 
 /// A new version of a cluster in the operator's file.
 pub struct ClusterChange {
-    /// The settings of the balancer.
+    /// The settings of the balancer, which apply to requests that arrive later.
     pub settings: Settings,
     /// The list of backends for the balancer.
     pub update: EndpointUpdate,
@@ -104,7 +104,7 @@
     ShuttingDown(Duration),
     /// No further request will arrive. The task ends once all requests are answered.
     ClusterRemoved,
-    /// A client's request has arrived.
+    /// A client's request has arrived and is to be admitted or rejected.
     Arrived(Arrival),
     /// The client has disconnected before it got the response.
     ClientDisconnected(RequestId),
@@ -112,7 +112,7 @@
     UploadStreaming(RequestId),
     /// A streamed body has arrived completely.
     UploadFinished(RequestId),
-    /// An attempt has ended.
+    /// An attempt of a request has ended, with or without a response.
     AttemptEnded {
         /// The request to which the attempt belongs.
         id: RequestId,
@@ -121,7 +121,7 @@
         /// The outcome, and the response and load report if there are any.
         result: AttemptResult,
     },
-    /// A health check has ended.
+    /// A health check of a backend has ended.
     HealthCheckEnded {
         /// The backend that was checked.
         backend: ServerId,
--- a/crates/standalone-proxy/src/decision_loop/open_requests.rs
+++ b/crates/standalone-proxy/src/decision_loop/open_requests.rs
@@ -26,14 +26,14 @@
     pub abandoned: bool,
     /// The time that the client had left when the request was passed to the balancer.
     pub remaining: Duration,
-    /// Whether and where it may be sent again.
+    /// Whether and where the request may be sent again, as its class says.
     pub repeat: Repeat,
     /// The error response that ended the last attempt, if the backend sent one.
     pub error_response: Option<BackendResponse>,
 }
 
 impl OpenRequest {
-    /// Whether an attempt is in flight.
+    /// Whether the task of any attempt has neither ended nor been cancelled.
     pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.task.is_some())
     }
@@ -67,15 +67,15 @@
 
 /// An attempt of a request at a backend, in flight or ended.
 pub struct Attempt {
-    /// The backend that it was sent to.
+    /// The backend that the attempt was sent to.
     pub backend: ServerId,
     /// When it was started, or when a streamed body had arrived completely.
     pub sent_at: Instant,
     /// Its task; `None` once it has ended or was cancelled.
     pub task: Option<AbortHandle>,
-    /// Whether it ended with a time-out.
+    /// Whether the attempt ended with a time-out.
     pub timed_out: bool,
-    /// How it ended; `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
--- a/crates/standalone-proxy/src/downstream/fingerprint.rs
+++ b/crates/standalone-proxy/src/downstream/fingerprint.rs
@@ -27,13 +27,13 @@
     pub headers: &'r HeaderMap,
     /// Where the request id in the headers comes from.
     pub id_origin: IdOrigin,
-    /// The method of the request.
+    /// The HTTP method of the request.
     pub method: &'r Method,
     /// The path and query that are forwarded.
     pub target: &'r PathAndQuery,
     /// The index of the request's tenant.
     pub tenant: usize,
-    /// The complete body.
+    /// The body of the request, which is completely buffered.
     pub body: &'r Bytes,
 }
 
--- a/crates/standalone-proxy/src/downstream/request.rs
+++ b/crates/standalone-proxy/src/downstream/request.rs
@@ -256,7 +256,7 @@
     head: Parts,
     routed: RoutedRequest,
     read: ReadBody,
-    /// The rest of the body.
+    /// The part of the body that has not been read.
     body: Incoming,
     /// The size of the body that the head announces, in bytes.
     size: Option<u64>,
@@ -266,7 +266,7 @@
 /// A request in the form in which it is passed to the task of the node.
 struct PreparedRequest {
     arrival: Arrival,
-    /// The body if it is streamed.
+    /// The body if it is streamed; `None` if it is buffered.
     upload: Option<Rc<Upload>>,
     /// The channel of the task of the node.
     events: mpsc::UnboundedSender<NodeEvent>,
--- a/crates/standalone-proxy/src/downstream/request_router.rs
+++ b/crates/standalone-proxy/src/downstream/request_router.rs
@@ -119,12 +119,12 @@
 }
 
 impl RequestError {
-    /// An error with this status and message.
+    /// Makes an error whose response has this status and the message as its body.
     pub fn new(status: StatusCode, message: impl Into<String>) -> Self {
         RequestError { status, message: message.into(), header: None }
     }
 
-    /// The error of a malformed request.
+    /// Makes the error of a malformed request, with status 400.
     pub fn bad_request(message: impl Into<String>) -> Self {
         RequestError::new(StatusCode::BAD_REQUEST, message)
     }
@@ -135,7 +135,7 @@
         self
     }
 
-    /// The status of the response.
+    /// Returns the status of the response to the client.
     pub fn status(&self) -> StatusCode {
         self.status
     }
--- a/crates/standalone-proxy/src/downstream/response.rs
+++ b/crates/standalone-proxy/src/downstream/response.rs
@@ -13,7 +13,7 @@
 /// The properties of a request and its node that the form of the response depends on.
 #[derive(Clone, Copy)]
 pub struct ResponseForm {
-    /// The precision of `Retry-After`.
+    /// How the wait in a `Retry-After` header is written.
     pub retry_after_precision: RetryAfterPrecision,
     /// Whether the request is a `HEAD` request.
     pub head_only: bool,
--- a/crates/standalone-proxy/src/downstream/serve.rs
+++ b/crates/standalone-proxy/src/downstream/serve.rs
@@ -219,9 +219,10 @@
 /// What happens to input that arrives after HTTP has ended on a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum UnreadInput {
-    /// It is read and discarded.
+    /// The input is read and discarded.
     Discard,
-    /// It is not read: the connection was closed between requests, and the client will retry on another one.
+    /// The input is not read: the connection was closed between requests, and the client will retry on
+    /// another one.
     Leave,
 }
 
--- a/crates/standalone-proxy/src/endpoint_update.rs
+++ b/crates/standalone-proxy/src/endpoint_update.rs
@@ -42,9 +42,9 @@
 /// An entry of an [`EndpointUpdate`].
 #[derive(Clone, Copy, PartialEq)]
 pub struct ListedEndpoint {
-    /// What the balancer knows about it.
+    /// What the balancer knows about the backend.
     pub entry: ServerEntry,
-    /// The address at which it listens.
+    /// The address at which the backend listens.
     pub address: SocketAddr,
 }
 
--- a/crates/standalone-proxy/src/file_node/router.rs
+++ b/crates/standalone-proxy/src/file_node/router.rs
@@ -73,7 +73,7 @@
         FileRouter { plan, clusters, ids, backend_indices }
     }
 
-    /// The plan by which it routes.
+    /// Returns the plan by which requests are routed.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
--- a/crates/standalone-proxy/src/platform_node/config.rs
+++ b/crates/standalone-proxy/src/platform_node/config.rs
@@ -64,7 +64,7 @@
             display("{path}: {error}")
             source(error)
         }
-        /// The content of the file is invalid.
+        /// The file was read, but its content is invalid.
         InvalidContent(path: String, error: ContentError) {
             display("{path}: {}", error.to_string().replace('\n', " "))
             source(error)
--- a/crates/standalone-proxy/src/platform_node/console.rs
+++ b/crates/standalone-proxy/src/platform_node/console.rs
@@ -25,7 +25,7 @@
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The state that calls can query.
+/// The state of the node that calls of the console can query.
 pub struct ConsoleState {
     /// The metrics of the node.
     pub metrics: Rc<NodeMetrics>,
--- a/crates/standalone-proxy/src/platform_node/discovery.rs
+++ b/crates/standalone-proxy/src/platform_node/discovery.rs
@@ -55,7 +55,7 @@
     enum WatchEnd {
         /// The watch could not be opened; no update was received.
         NotOpened(error: OpenError) { display("not opened: {error}") source(error) }
-        /// No line arrived in time.
+        /// Nothing was received for [`SILENCE_TIMEOUT`], or [`FIRST_LINE_TIMEOUT`] before the first line.
         TimedOut { display("no line received in time") }
         /// The response ended.
         ResponseEnded { display("end of the response") }
@@ -113,7 +113,7 @@
 /// The source of the lists of a watch, and where they are passed.
 #[derive(Clone)]
 pub struct WatchTarget {
-    /// The address of discovery.
+    /// The address of the discovery service.
     pub address: SocketAddr,
     /// The backends that are known so far.
     pub registry: Rc<RefCell<EndpointRegistry>>,
--- a/crates/standalone-proxy/src/platform_node/handover.rs
+++ b/crates/standalone-proxy/src/platform_node/handover.rs
@@ -51,7 +51,7 @@
 
 /// What a successor has received from its predecessor.
 pub struct InheritedSockets {
-    /// The listening sockets.
+    /// The sockets on which the predecessor has listened for clients.
     pub listeners: Vec<TcpListener>,
     /// The connection to the predecessor.
     pub predecessor: StdUnixStream,
--- a/crates/standalone-proxy/src/platform_node/json_segments.rs
+++ b/crates/standalone-proxy/src/platform_node/json_segments.rs
@@ -1,7 +1,7 @@
 //! Splits the stream of a watch into segments: JSON values, each on one line or indented over several lines,
 //! and empty lines between them. Parses JSON only as far as needed to find the end of a value.
 
-/// A segment of a watch.
+/// A part of the stream of a watch that can be handled on its own.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Segment {
     /// An empty line, which is a heartbeat: nothing has changed.
@@ -21,14 +21,13 @@
     line_start: usize,
     /// The nesting depth at the start of that line.
     line_depth: usize,
-    /// The current nesting depth.
     depth: usize,
     in_string: bool,
     escaped: bool,
 }
 
 impl JsonSegments {
-    /// Adds received bytes.
+    /// Appends received bytes to those that are not yet part of a segment.
     pub fn add(&mut self, bytes: &[u8]) {
         self.pending.extend_from_slice(bytes);
     }
--- a/crates/standalone-proxy/src/platform_node/reload.rs
+++ b/crates/standalone-proxy/src/platform_node/reload.rs
@@ -43,7 +43,7 @@
 pub struct SettingsTargets {
     /// The channel of the task of the node.
     pub events: mpsc::UnboundedSender<NodeEvent>,
-    /// The connections to backends.
+    /// The client that holds the connections to backends.
     pub backends: Rc<BackendClient>,
     /// The state that all client connections share.
     pub downstream: Rc<DownstreamState>,
--- a/crates/standalone-proxy/src/resource_limits.rs
+++ b/crates/standalone-proxy/src/resource_limits.rs
@@ -7,7 +7,7 @@
 /// and write buffers and a head.
 const CLIENT_CONNECTION_KIB: usize = 48;
 
-/// The resource limits of a node.
+/// How a node divides the process's descriptors and memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
     /// The maximum number of client connections.
--- a/crates/standalone-proxy/src/telemetry/admin.rs
+++ b/crates/standalone-proxy/src/telemetry/admin.rs
@@ -28,7 +28,7 @@
 /// The media type of the OpenMetrics text format.
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// The state that is served.
+/// The state that the admin address serves.
 #[derive(Clone)]
 pub struct AdminState {
     /// The metrics of exchanges.
--- a/crates/standalone-proxy/src/telemetry/recorder.rs
+++ b/crates/standalone-proxy/src/telemetry/recorder.rs
@@ -15,7 +15,7 @@
 
 /// The names of a request's class and tenant.
 pub struct TraceLabels {
-    /// The name of the class.
+    /// The name of the request's class.
     pub class: String,
     /// The name of the tenant; `None` if there are no tenants.
     pub tenant: Option<String>,
@@ -27,9 +27,9 @@
     pub method: &'r str,
     /// The request's path and query.
     pub target: &'r str,
-    /// The names of its class and tenant.
+    /// The names of the request's class and tenant.
     pub labels: TraceLabels,
-    /// Whether it has an idempotency key.
+    /// Whether the request has an idempotency key.
     pub has_key: bool,
     /// The size of the request's body, in bytes.
     pub body_size: usize,
--- a/crates/standalone-proxy/src/upstream/connect.rs
+++ b/crates/standalone-proxy/src/upstream/connect.rs
@@ -40,7 +40,7 @@
 /// The purpose for which a connection is opened.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ConnectionPurpose {
-    /// Any number of exchanges.
+    /// Any number of exchanges, one after the other.
     Exchanges,
     /// One exchange, after which it may switch to another protocol.
     Upgrade,
--- a/crates/standalone-proxy/src/upstream/pool.rs
+++ b/crates/standalone-proxy/src/upstream/pool.rs
@@ -42,7 +42,7 @@
 }
 
 impl SocketBudget {
-    /// A budget of `max_open` connections.
+    /// Creates a budget of `max_open` connections, none of which is open.
     pub fn new(max_open: usize) -> Self {
         SocketBudget { open: Rc::default(), max_open, pools: RefCell::default() }
     }
@@ -72,7 +72,7 @@
     }
 }
 
-/// The connections to one backend.
+/// The connections to one backend, idle and in use, and whether it accepts new attempts.
 pub struct BackendPool {
     /// The address at which the backend listens.
     pub address: SocketAddr,
@@ -89,7 +89,7 @@
 }
 
 impl BackendPool {
-    /// A pool without connections.
+    /// Creates a pool without connections, for a backend that accepts new attempts.
     pub fn new(address: SocketAddr, started: Option<Duration>) -> Self {
         BackendPool {
             address,
@@ -119,7 +119,7 @@
 pub struct IdleConnection {
     /// The connection, which the backend may have closed since.
     pub connection: Connection,
-    /// When its last response ended.
+    /// When the last response on the connection ended.
     pub since: Instant,
 }
 
@@ -132,9 +132,9 @@
     pub sender: SendRequest<MessageBody>,
     /// The progress of the exchange in flight.
     pub progress: Rc<ExchangeProgress>,
-    /// The address to which it was opened.
+    /// The address to which the connection was opened.
     pub address: SocketAddr,
-    /// The task that drives it.
+    /// The task that drives the connection.
     pub _driver: ScopedTask,
     /// Counts it as open in [`SocketBudget`] and [`BackendPool`].
     pub _open_guards: [OpenGuard; 2],
