--- a/crates/data-plane/src/backend.rs
+++ b/crates/data-plane/src/backend.rs
@@ -42,12 +42,12 @@
 }
 
 impl ConnectionLimit {
-    /// A limit of `max` open connections.
+    /// Creates a limit of `max` open connections, none of which is open.
     pub fn new(max: usize) -> Self {
         ConnectionLimit { open: Rc::default(), max }
     }
 
-    /// Whether one more may be opened.
+    /// Whether one more connection may be opened.
     pub fn has_capacity(&self) -> bool {
         self.open.get() < self.max
     }
@@ -79,11 +79,11 @@
     Empty,
 }
 
-/// A running instance of a backend.
+/// An instance of a backend on the list, and the connections to it.
 pub struct Backend {
-    /// The instance id.
+    /// The instance id, by which the routing identifies the backend.
     pub id: BackendId,
-    /// The instance id as a header value.
+    /// The instance id as the value of the header that states the expected instance.
     pub instance_header: HeaderValue,
     /// The address at which the instance accepts requests.
     pub address: SocketAddrV4,
--- a/crates/data-plane/src/event_stream.rs
+++ b/crates/data-plane/src/event_stream.rs
@@ -14,7 +14,6 @@
     partial: BytesMut,
     /// Offset in `partial` of the current line, which is not complete yet.
     line_start: usize,
-    /// Id of the current event.
     current_id: Option<String>,
     /// Id of the last complete event.
     last_id: Option<String>,
--- a/crates/data-plane/src/request_attempts.rs
+++ b/crates/data-plane/src/request_attempts.rs
@@ -31,7 +31,7 @@
     pub response: BackendResponse,
     /// The attempt to which the backend responds.
     pub attempt: InFlightAttempt,
-    /// The backend that responds.
+    /// The backend that has sent the response.
     pub backend: Rc<Backend>,
 }
 
--- a/crates/data-plane/src/response_body.rs
+++ b/crates/data-plane/src/response_body.rs
@@ -45,7 +45,7 @@
 pub type ChunkSender = Sender<Result<Bytes, TruncatedBody>>;
 
 impl ResponseBody {
-    /// A body with a known length.
+    /// Makes a body of these bytes, which have a known length.
     pub fn buffered(bytes: Bytes) -> Self {
         ResponseBody { kind: BodyKind::Buffered(Full::new(bytes)), guards: Vec::new() }
     }
--- a/crates/data-plane/src/retry_safety.rs
+++ b/crates/data-plane/src/retry_safety.rs
@@ -44,7 +44,7 @@
     SomeWritten,
 }
 
-/// How an attempt ended.
+/// How an attempt ended, as far as it matters for a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptEnd {
     /// No response arrived before the attempt's deadline.
--- a/crates/data-plane/src/shutdown.rs
+++ b/crates/data-plane/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals to the process.
+//! The signals that stop the process or make it check its settings.
 
 use std::io;
 use tokio::signal::unix::{SignalKind, signal};
--- a/crates/data-plane/src/state.rs
+++ b/crates/data-plane/src/state.rs
@@ -36,15 +36,15 @@
 
 /// The configuration that requests are matched against.
 pub struct ActiveConfiguration {
-    /// Higher for a newer configuration.
+    /// The sequence number of the configuration; higher is newer.
     pub sequence: ConfigurationSequence,
     /// The configuration, with its routes and tenants indexed.
     pub table: RouteTable,
 }
 
-/// The shared state of the data plane.
+/// The state that all connections and requests of the data plane share.
 pub struct DataPlaneState {
-    /// The zone of the machine.
+    /// The zone of the machine, by which backends in the same zone are recognized.
     pub zone: String,
     /// The operator's bounds on retries, quotas and the shutdown.
     pub bounds: Bounds,
@@ -58,7 +58,7 @@
     pub max_clients: usize,
     /// A permit for each KiB of memory that is left for buffered request bodies.
     pub body_memory_kib: Arc<Semaphore>,
-    /// Updated by all parts of the data plane.
+    /// The metrics, which all parts of the data plane update.
     pub metrics: Arc<DataPlaneMetrics>,
     /// Whether the process has received a termination signal.
     pub shutting_down: Cell<bool>,
@@ -165,7 +165,7 @@
         service
     }
 
-    /// All services.
+    /// Returns all services that this node knows.
     pub fn services(&self) -> Vec<Rc<Service>> {
         self.services.borrow().values().cloned().collect()
     }
