--- a/crates/agent/src/ids.rs
+++ b/crates/agent/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers of connections.
+//! Identifiers of an agent's connections to coordinators and from proxies.
 
 use std::fmt::{self, Display, Formatter};
 
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -24,7 +24,7 @@
 /// What an agent states about itself in its hello.
 #[derive(Debug)]
 pub struct AgentIdentity {
-    /// The name of the node.
+    /// The name of the node that the agent runs on.
     pub node: String,
     /// The address of the node's machine.
     pub ip: Ipv4Addr,
@@ -89,7 +89,7 @@
     }
 }
 
-/// The end of one link.
+/// Why a link ended or could not be opened.
 struct LinkEnd {
     error: LinkError,
     /// Whether the coordinator had sent any message.
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -144,7 +144,7 @@
         effects
     }
 
-    /// Handles the end of a link.
+    /// Handles the end of a link: drops what came on it, and may fetch from another coordinator.
     pub fn handle_link_down(&mut self, now: Duration, id: LinkId) -> Vec<Effect> {
         self.links.remove(&id);
         self.lists.remove_link(id);
