--- a/crates/coordinator/src/agents/advertised_endpoints.rs
+++ b/crates/coordinator/src/agents/advertised_endpoints.rs
@@ -10,7 +10,7 @@
 pub struct AdvertisedEndpoints {
     /// The version of the newest read that saw this list.
     pub version: BackendListVersion,
-    /// The endpoints on the list.
+    /// All endpoints on the list, shared without copying.
     pub endpoints: Arc<Vec<Backend>>,
     /// The endpoints' keys and content hashes, with digests of ranges of keys.
     digests: DigestedSet,
--- a/crates/coordinator/src/agents/configuration_requests.rs
+++ b/crates/coordinator/src/agents/configuration_requests.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// A pending request.
+/// An agent's request for a configuration that has no response yet.
 #[derive(Clone, Copy, Debug)]
 struct ConfigurationRequest {
     id: ConfigurationRequestId,
--- a/crates/coordinator/src/endpoints/platform_page.rs
+++ b/crates/coordinator/src/endpoints/platform_page.rs
@@ -8,13 +8,13 @@
 /// The valid entries of a page, and what was skipped.
 #[derive(Debug, Default, PartialEq)]
 pub struct PlatformPage {
-    /// The valid entries.
+    /// The entries of the page that could be parsed.
     pub endpoints: Vec<Backend>,
     /// The token of the next page; `None` or empty on the last page.
     pub next_page_token: Option<String>,
     /// How many invalid entries were skipped.
     pub skipped: usize,
-    /// Why the first of these is invalid.
+    /// Why the first skipped entry is invalid; `None` if none was skipped.
     pub first_error: Option<String>,
 }
 
--- a/crates/coordinator/src/index_audits/status.rs
+++ b/crates/coordinator/src/index_audits/status.rs
@@ -13,7 +13,7 @@
 /// The status of the audit of the index.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct IndexStatus {
-    /// The backends under audit.
+    /// The state of each backend that is compared with the index.
     pub backends: Vec<AuditedBackend>,
     /// The newest mismatches, in the order in which they were recorded.
     pub mismatches: Vec<MismatchStatus>,
--- a/crates/coordinator/src/log_file.rs
+++ b/crates/coordinator/src/log_file.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The log's folder within the data folder.
+/// The name of the log's folder within the data folder.
 const FOLDER: &str = "replica";
 /// The folder of a log that can't be read is renamed to this prefix and a number, so that it is kept for
 /// inspection.
--- a/crates/coordinator/src/node.rs
+++ b/crates/coordinator/src/node.rs
@@ -28,6 +28,6 @@
     pub index_audits: Arc<IndexAudits>,
     /// The counters of requests by outcome.
     pub counters: OutcomeCounters,
-    /// The clock that all components share.
+    /// The monotonic clock that all components share.
     pub clock: Clock,
 }
--- a/crates/coordinator/src/operator_api.rs
+++ b/crates/coordinator/src/operator_api.rs
@@ -63,7 +63,6 @@
     }
 }
 
-/// The response to a committed change.
 #[derive(Serialize)]
 struct ReplaceResponse {
     generation: Generation,
--- a/crates/coordinator/src/replica_driver.rs
+++ b/crates/coordinator/src/replica_driver.rs
@@ -24,7 +24,6 @@
     replica: Replica,
     storage: Storage,
     pending: HashMap<RequestId, oneshot::Sender<RequestOutcome>>,
-    /// The id of the last request.
     last_request: u64,
 }
 
