--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -90,7 +90,6 @@
     is_downtime_settled: bool,
     /// The tenants' buckets, by the tenant's name.
     buckets: BTreeMap<String, SharedBucket>,
-    /// When all buckets were last filled.
     filled_at: Duration,
 }
 
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -24,7 +24,7 @@
 /// A tenant's rate and burst for all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Limit {
-    /// Requests or tokens per second.
+    /// The rate of all nodes together, in requests or tokens per second.
     pub rate: f64,
     /// Requests or tokens that may be used at once beyond the rate.
     pub burst: f64,
--- a/crates/quota/src/reserve.rs
+++ b/crates/quota/src/reserve.rs
@@ -28,7 +28,7 @@
 /// A granted fallback rate below this fraction of the previous one is reported back at once.
 const REPORTED_RATE_FRACTION: f64 = 0.9;
 
-/// The decision on a new request.
+/// What a node does with a new request of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ReserveDecision {
     /// The reserve covers the cost, which is spent.
--- a/crates/quota/src/retry_budget.rs
+++ b/crates/quota/src/retry_budget.rs
@@ -6,7 +6,7 @@
 /// The length of a slot of the sliding window.
 const SLOT: Duration = Duration::from_millis(500);
 
-/// The counts of one slot.
+/// The requests and retries of one slot of the window.
 #[derive(Clone, Copy, Debug)]
 struct Slot {
     /// The number of slots from the origin of the caller's clock to this one.
