--- a/crates/http-transport/src/backend_stream.rs
+++ b/crates/http-transport/src/backend_stream.rs
@@ -169,7 +169,7 @@
         };
         self.blank_line.get() == 4 && body_complete
     }
-    /// How much of the request was written.
+    /// Returns how much of the request was written, as the stage of the attempt.
     pub fn stage(&self) -> AttemptStage {
         match (self.started.get(), self.blank_line.get()) {
             (false, _) => AttemptStage::NothingSent,
@@ -275,7 +275,7 @@
             );
         }
     }
-    /// The socket, no longer monitored.
+    /// Returns the socket, which is no longer monitored.
     pub fn into_stream(mut self) -> Option<TcpStream> {
         self.stream.take()
     }
--- a/crates/http-transport/src/body/download.rs
+++ b/crates/http-transport/src/body/download.rs
@@ -27,7 +27,6 @@
     waiting: bool,
     /// When the stream is aborted at the latest.
     pub deadline: StreamDeadline,
-    /// Called once the body is complete.
     on_complete: Option<Box<dyn FnOnce()>>,
     /// Set once the body is complete.
     completion_flag: Option<Rc<Cell<bool>>>,
--- a/crates/http-transport/src/body/mod.rs
+++ b/crates/http-transport/src/body/mod.rs
@@ -27,7 +27,7 @@
     pub enum BodyError {
         /// The sender's connection was lost.
         Sender(error: hyper::Error) { display("the connection of the sender failed: {error}") }
-        /// The sender was too slow.
+        /// The sender exceeded a time-out for sending the body.
         TooSlow { display("the sender is too slow") }
         /// The body exceeds the maximum size.
         TooLarge { display("the body exceeds its maximum size") }
--- a/crates/http-transport/src/body/upload.rs
+++ b/crates/http-transport/src/body/upload.rs
@@ -77,7 +77,7 @@
     pub fn size(&self) -> Option<u64> {
         self.size
     }
-    /// Whether the last byte has been read.
+    /// Whether the last byte has been read from the client.
     pub fn is_finished(&self) -> bool {
         self.finished.get()
     }
--- a/crates/http-transport/src/client_connections.rs
+++ b/crates/http-transport/src/client_connections.rs
@@ -28,7 +28,7 @@
 pub struct Connections {
     /// The id that the next accepted connection gets.
     pub next_id: Cell<u64>,
-    /// The open connections by id.
+    /// The open connections, by the id that each got when it was accepted.
     pub open: RefCell<HashMap<u64, Rc<ConnectionState>>>,
     /// The log for warnings about connections that could not be accepted.
     pub accept_error_log: rate_limited_log::RateLimitedLog,
@@ -38,14 +38,14 @@
 pub struct ConnectionState {
     /// Since when it has had no request in flight; `None` while it has one.
     pub idle_since: Cell<Option<Instant>>,
-    /// Whether it has ever had a request.
+    /// Whether the connection has ever had a request.
     pub has_had_request: Cell<bool>,
     /// Whether the request in flight has arrived completely, so that further bytes belong to pipelined
     /// requests.
     pub request_complete: Cell<bool>,
     /// Notified when a request begins, and when it is complete.
     pub request_progress: Notify,
-    /// Monitors the heads of its requests.
+    /// Monitors the heads of the requests on the connection.
     pub heads: Rc<HeadMonitor>,
     /// Notifies the task that it must close the connection once no request is in flight.
     pub close_requested: Notify,
--- a/crates/http-transport/src/process_pause.rs
+++ b/crates/http-transport/src/process_pause.rs
@@ -28,7 +28,6 @@
 /// Derives stalls from readings of the clock. Has no clock itself: the time is passed in.
 #[derive(Debug)]
 struct StallHistory {
-    /// The latest reading of the clock.
     last_reading: Instant,
     /// The last reading before the first stall whose input may still be unread; `None` once all input has
     /// been read.
@@ -154,7 +153,6 @@
     }
 }
 
-/// Reads the clock periodically.
 async fn check_clock(detector: Rc<StallDetector>) {
     let mut ticks = tokio::time::interval(CLOCK_CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/http-transport/src/scoped_task.rs
+++ b/crates/http-transport/src/scoped_task.rs
@@ -7,7 +7,7 @@
 pub struct ScopedTask(tokio::task::JoinHandle<()>);
 
 impl ScopedTask {
-    /// Spawns a task on the local set.
+    /// Spawns a task on the local set. It is aborted when the returned value is dropped.
     pub fn spawn(work: impl Future<Output = ()> + 'static) -> Self {
         ScopedTask(tokio::task::spawn_local(work))
     }
--- a/crates/http-transport/src/stream_deadline.rs
+++ b/crates/http-transport/src/stream_deadline.rs
@@ -15,7 +15,7 @@
     pub fn bring_forward(&self, at: Instant) {
         self.0.set(Some(self.0.get().map_or(at, |before| before.min(at))));
     }
-    /// Whether the deadline has passed.
+    /// Whether a deadline is set and has passed.
     pub fn has_passed(&self) -> bool {
         self.0.get().is_some_and(|at| at <= Instant::now())
     }
