--- a/crates/http-forwarding/src/attempt.rs
+++ b/crates/http-forwarding/src/attempt.rs
@@ -35,12 +35,12 @@
     ];
 }
 
-/// An event that ends an attempt.
+/// An event that may end an attempt; [`action_after`] says what follows from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptEvent {
-    /// No connection was established.
+    /// No connection to the backend was established.
     ConnectFailed,
-    /// The connection was closed or reset.
+    /// The connection to the backend was closed or reset.
     ConnectionLost,
     /// The received bytes are not an HTTP response, or the end of the response cannot be determined.
     InvalidResponse,
@@ -153,7 +153,7 @@
     pub unprocessed: bool,
 }
 
-/// Which responses count as success.
+/// Which status codes count as a served request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuccessCriterion {
     /// Only a response with status 200 counts.
--- a/crates/http-forwarding/src/forward.rs
+++ b/crates/http-forwarding/src/forward.rs
@@ -56,7 +56,7 @@
 pub struct Forwarding {
     /// Whether `X-Forwarded-For`, `-Host` and `-Proto` are written.
     pub x_forwarded: bool,
-    /// Whether `Forwarded` is written.
+    /// Whether the header `Forwarded` (RFC 7239) is written.
     pub forwarded: bool,
     /// The name under which the proxy adds itself to `Via`; `None` if `Via` is not written.
     pub via: Option<HeaderValue>,
--- a/crates/http-forwarding/src/framing.rs
+++ b/crates/http-forwarding/src/framing.rs
@@ -167,7 +167,7 @@
     }
 }
 
-/// What the bytes of one read contained.
+/// What the bytes of one read show about the heads of requests.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct HeadObservation {
     /// The first framing error in any of the heads.
