--- a/crates/node-settings/src/error.rs
+++ b/crates/node-settings/src/error.rs
@@ -33,7 +33,7 @@
             display("{}: {error}", path.display())
             source(error)
         }
-        /// The content of the file is not valid.
+        /// The file is not valid YAML, or a value in it is missing or invalid.
         Invalid(path: PathBuf, error: InvalidSettings) {
             display("{}: {error}", path.display())
             source(error)
--- a/crates/node-settings/src/settings.rs
+++ b/crates/node-settings/src/settings.rs
@@ -76,11 +76,11 @@
     pub control: Option<SocketAddrV4>,
 }
 
-/// The resource limits of a process.
+/// The resources that a process may use on its machine.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// The fraction of a core's time, above 0.
+    /// The fraction of a core's time, above 0; 1 if not set.
     pub cpu_share: f64,
     /// The number of cores; 1 if not set.
     pub cores: u32,
