--- a/crates/control-link/src/frame_reader.rs
+++ b/crates/control-link/src/frame_reader.rs
@@ -1,4 +1,4 @@
-//! The reading half of a connection.
+//! The reading half of a connection: splits the received bytes into frames and decodes them.
 
 use super::frame_writer::CloseSignal;
 use super::{LinkError, LinkStep};
@@ -13,7 +13,7 @@
 /// An empty buffer of a larger capacity is freed, as it has only grown for a large frame.
 const MAX_RETAINED_BYTES: usize = 64 << 10;
 
-/// Reads the frames of a connection.
+/// Reads the messages of a connection, one per frame.
 pub struct FrameReader {
     reader: OwnedReadHalf,
     buffer: BytesMut,
--- a/crates/control-link/src/frame_writer.rs
+++ b/crates/control-link/src/frame_writer.rs
@@ -27,7 +27,7 @@
     _close_on_drop: Arc<CloseOnDrop>,
 }
 
-/// Waits for the end of a connection.
+/// Waits for the end of a connection, without keeping it open.
 #[derive(Clone, Debug)]
 pub struct CloseSignal {
     closed: watch::Receiver<bool>,
@@ -103,7 +103,7 @@
         self.shared.close();
     }
 
-    /// Whether the connection is closed.
+    /// Whether the connection is closed, so that frames are no longer accepted.
     pub fn is_closed(&self) -> bool {
         *self.shared.closed.borrow()
     }
@@ -115,7 +115,7 @@
 }
 
 impl CloseSignal {
-    /// Waits until the connection is closed.
+    /// Waits until the connection is closed; returns at once if it is already.
     pub async fn wait(&mut self) {
         // An error means that the sender was dropped, and the connection with it.
         let _ = self.closed.wait_for(|closed| *closed).await;
--- a/crates/control-link/src/lib.rs
+++ b/crates/control-link/src/lib.rs
@@ -52,7 +52,7 @@
             display("{step} {peer}: {error}")
             source(error)
         }
-        /// A step timed out.
+        /// A step did not complete within its time-out.
         TimedOut(step: LinkStep, peer: SocketAddr) { display("{step} {peer}: timed out") }
         /// The peer or this side has closed the connection.
         Closed(peer: SocketAddr) { display("connection to {peer} is closed") }
