--- a/crates/range-digest/src/range.rs
+++ b/crates/range-digest/src/range.rs
@@ -15,7 +15,7 @@
 }
 
 impl KeyRange {
-    /// The range of all keys.
+    /// The range of all keys, from 0 to [`u64::MAX`].
     pub const ALL: KeyRange = KeyRange { first: 0, bits: 0 };
 
     /// The range of keys whose first `bits` bits equal those of `first`. `None` if `first` has other bits
@@ -41,7 +41,7 @@
         self.bits
     }
 
-    /// Whether the range contains a key.
+    /// Whether a key lies in the range, whether or not a set contains it.
     pub fn contains(self, key: u64) -> bool {
         (self.first..=self.last()).contains(&key)
     }
--- a/crates/range-digest/src/set.rs
+++ b/crates/range-digest/src/set.rs
@@ -13,7 +13,7 @@
 /// Digests are precomputed only for sets with more items than this.
 const PRECOMPUTE_ABOVE: usize = 512;
 
-/// The content of a range of a set.
+/// The content of a range of a set, in a form that depends on its size.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RangeContent {
     /// The digests of the sixteen parts of the range, in order.
--- a/crates/range-digest/src/walk.rs
+++ b/crates/range-digest/src/walk.rs
@@ -32,7 +32,7 @@
         WrongPartCount(count: usize) { display("{count} parts of a range, there are {FAN_OUT}") }
         /// The response has parts, but the range is a single key and has none.
         Indivisible(key: u64) { display("parts of the single key {key:016x}") }
-        /// A key is outside the requested range.
+        /// The response has a key outside the requested range.
         OutsideRange(key: u64) { display("key {key:016x} is not in the range that was asked for") }
         /// The keys are not in strictly ascending order.
         Unordered(key: u64) { display("key {key:016x} does not rise above the one before it") }
