--- a/crates/record-log/src/frame.rs
+++ b/crates/record-log/src/frame.rs
@@ -2,7 +2,7 @@
 //! of the records and a CRC-32 of all other bytes of the frame; then each record, preceded by its length. All
 //! integers are little-endian.
 
-/// The first bytes of a frame.
+/// The bytes at the start of every frame, by which a frame is recognized.
 const MAGIC: [u8; 4] = *b"mwrl";
 
 /// The length of the header, in bytes. The last four bytes are the checksum.
--- a/crates/record-log/src/log.rs
+++ b/crates/record-log/src/log.rs
@@ -57,7 +57,7 @@
     needs_rewrite: bool,
 }
 
-/// The decoded content of a file.
+/// The decoded content of a file, up to the first batch that is not intact.
 struct Content {
     records: Vec<Vec<u8>>,
     length: u64,
