--- a/crates/replication/src/chain.rs
+++ b/crates/replication/src/chain.rs
@@ -80,7 +80,7 @@
         self.store(RecordBody::Synced(self.view_number()), action);
     }
 
-    /// Called when the register is durable up to this entry.
+    /// Records that the register is durable up to this entry, and advances the chain.
     pub(crate) fn advance_durable(&mut self, newest: EntryKey, progress: ReplicationProgress) {
         let is_complete_changed = self.chain.durable_progress.complete != progress.complete;
         self.chain.durable_newest = newest;
--- a/crates/replication/src/persistence.rs
+++ b/crates/replication/src/persistence.rs
@@ -9,7 +9,7 @@
 use rand::RngCore;
 use std::net::SocketAddrV4;
 
-/// Set in random identities, clear in those derived from an address.
+/// The bit that is set in random identities and clear in those derived from an address.
 const RANDOM_ID_BIT: u64 = 1 << 63;
 
 /// The identity of a seed at the first start of the whole system. Derived from the address, so that every
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -84,7 +84,7 @@
         (replica, outputs)
     }
 
-    /// As [`Replica::open`], with an injected fault.
+    /// Does the same as [`Replica::open`], with an injected fault.
     #[cfg(feature = "planted-faults")]
     pub fn open_with_fault(
         settings: Settings,
@@ -178,8 +178,8 @@
         self.is_acting_head_at(self.now)
     }
 
-    /// As [`Replica::is_acting_head`], at the time `now`, which may be later than the last input. Contact
-    /// from before a stall of the process is then too old to count.
+    /// Does the same as [`Replica::is_acting_head`] for the time `now`, which may be later than the last
+    /// input. Contact from before a stall of the process is then too old to count.
     pub fn is_acting_head_at(&self, now: Duration) -> bool {
         self.is_head() && self.is_active() && !self.shutting_down && self.has_quorum_contact_at(now)
     }
--- a/crates/replication/src/view_planning.rs
+++ b/crates/replication/src/view_planning.rs
@@ -11,21 +11,22 @@
 #[derive(Clone, Debug)]
 pub(crate) struct MemberStatus {
     pub(crate) member: Member,
-    /// Whether its heartbeats arrive, here or at a chain member that reports so, and it is not shutting down.
+    /// Whether heartbeats of the member arrive, here or at a chain member that reports so, and it is not
+    /// shutting down.
     pub(crate) reachable: bool,
     pub(crate) disk: DiskHealth,
     /// Whether the member has all committed entries.
     pub(crate) complete: bool,
     pub(crate) progress: ReplicationProgress,
-    /// Whether it has promised not to become synced in the view that it knows.
+    /// Whether the member has promised not to become synced in the view that it knows.
     pub(crate) gave_up_sync: bool,
-    /// Whether its heartbeats arrive and it knows the view in force.
+    /// Whether heartbeats of the member arrive and it knows the view in force.
     pub(crate) in_view: bool,
-    /// Whether it may be appended to the chain: its heartbeats are stable and it has a recent copy of the
-    /// register.
+    /// Whether the member may be appended to the chain: its heartbeats are stable and it has a recent copy of
+    /// the register.
     pub(crate) appendable: bool,
     pub(crate) shutting_down: bool,
-    /// Whether its heartbeats have arrived at no member for a while.
+    /// Whether heartbeats of the member have arrived at no member for a while.
     pub(crate) departed: bool,
 }
 
