--- a/crates/standalone-proxy/src/decision_loop/event.rs
+++ b/crates/standalone-proxy/src/decision_loop/event.rs
@@ -14,7 +14,7 @@
 pub struct Arrival {
     /// The properties by which the balancer decides.
     pub request: NewRequest,
-    /// When it had arrived. The time that the client waits counts from then.
+    /// When the request had arrived. The time that the client waits counts from then.
     pub arrived_at: Instant,
     /// The forwarded request, which all attempts share.
     pub payload: Rc<BackendRequest>,
@@ -22,7 +22,7 @@
     pub upload_timeout: Option<Duration>,
     /// Identifies repetitions of the same request by its client; `None` if they cannot be recognized.
     pub fingerprint: Option<u64>,
-    /// Whether and where it may be sent again, as its class says.
+    /// Whether and where the request may be sent again, as its class says.
     pub repeat: Repeat,
     /// The channel on which the final response is sent.
     pub response: PendingResponse,
--- a/crates/standalone-proxy/src/decision_loop/node.rs
+++ b/crates/standalone-proxy/src/decision_loop/node.rs
@@ -546,7 +546,7 @@
     }
 
     /// Sends the client the error response of the last attempt, if there is one and no attempt is in flight.
-    /// Returns whether it was sent.
+    /// Returns whether the response was sent.
     fn send_error_response(&mut self, id: RequestId) -> bool {
         let Some(open) = self.open.get_mut(&id) else { return false };
         if open.has_attempt_in_flight() || open.response.is_none() {
--- a/crates/standalone-proxy/src/decision_loop/open_requests.rs
+++ b/crates/standalone-proxy/src/decision_loop/open_requests.rs
@@ -20,7 +20,7 @@
     pub payload: Rc<BackendRequest>,
     /// `None` once the response is sent or the client has disconnected.
     pub response: Option<PendingResponse>,
-    /// Its attempts, in the order in which they were started.
+    /// The attempts of the request, in the order in which they were started.
     pub attempts: Vec<Attempt>,
     /// Whether the balancer has abandoned it. An attempt that is cancelled after that counts as timed out.
     pub abandoned: bool,
@@ -69,9 +69,9 @@
 pub struct Attempt {
     /// The backend that the attempt was sent to.
     pub backend: ServerId,
-    /// When it was started, or when a streamed body had arrived completely.
+    /// When the attempt was started, or when a streamed body had arrived completely.
     pub sent_at: Instant,
-    /// Its task; `None` once it has ended or was cancelled.
+    /// The task of the attempt; `None` once it has ended or was cancelled.
     pub task: Option<AbortHandle>,
     /// Whether the attempt ended with a time-out.
     pub timed_out: bool,
--- a/crates/standalone-proxy/src/downstream/request_router.rs
+++ b/crates/standalone-proxy/src/downstream/request_router.rs
@@ -81,7 +81,7 @@
     pub request: NewRequest,
     /// The id of the request, set by the client or generated. Ids of requests in flight are unique.
     pub correlation_id: HeaderValue,
-    /// The channel of the task that balances it.
+    /// The channel of the task that balances the request.
     pub events: mpsc::UnboundedSender<NodeEvent>,
     /// The path and query that are forwarded.
     pub target: PathAndQuery,
@@ -89,19 +89,19 @@
     pub headers: Vec<(HeaderName, HeaderValue)>,
     /// The time-outs for a backend that makes no progress; `None` for the defaults of the cluster.
     pub timeouts: Option<BackendTimeouts>,
-    /// The index of its route; `None` if the node has no routes.
+    /// The index of the route that the request matches; `None` if the node has no routes.
     pub route: Option<usize>,
-    /// The limit that applies to it; `None` if the node has no limits.
+    /// The limit that applies to the request; `None` if the node has no limits.
     pub admission: Option<AdmissionKey>,
-    /// The switch of protocols that it asks for, if it does.
+    /// The switch of protocols that the request asks for; `None` if it asks for none.
     pub upgrade: Option<RequestedUpgrade>,
-    /// Whether and where it may be sent again, as its class says.
+    /// Whether and where the request may be sent again, as its class says.
     pub repeat: Repeat,
     /// The maximum size, in bytes, of a body that is buffered so that it can be sent again.
     pub max_buffered_body: usize,
-    /// The connection on which it was received; `None` if nothing about the client is forwarded.
+    /// The connection on which the request was received; `None` if nothing about the client is forwarded.
     pub hop: Option<Hop>,
-    /// The metrics of its class; `None` if the node counts none by class.
+    /// The metrics of the request's class; `None` if the node counts none by class.
     pub metrics: Option<Rc<ClassMetrics>>,
 }
 
@@ -140,7 +140,7 @@
         self.status
     }
 
-    /// The response, with the message as its body.
+    /// Makes the response, with the message and a line feed as its body.
     pub fn into_response(self) -> Response<MessageBody> {
         let mut response = Response::new(Full::from(self.message + "\n").into());
         *response.status_mut() = self.status;
--- a/crates/standalone-proxy/src/endpoint_update.rs
+++ b/crates/standalone-proxy/src/endpoint_update.rs
@@ -19,10 +19,10 @@
 /// A change of the list, for the balancer and for the connections to backends.
 #[derive(Clone, PartialEq)]
 pub struct EndpointUpdate {
-    /// Whether it is the complete list, a cached one, changed entries of the list, or a failure to get the
-    /// list.
+    /// Whether the update is the complete list, a cached one, changed entries of the list, or a failure to
+    /// get the list.
     pub kind: ListKind,
-    /// Its version. An update older than the last one applied is ignored.
+    /// The version of the update. An update older than the last one applied is ignored.
     pub version: ListVersion,
     /// The listed backends; which ones these are depends on `kind`.
     pub endpoints: Vec<ListedEndpoint>,
--- a/crates/standalone-proxy/src/telemetry/exchanges.rs
+++ b/crates/standalone-proxy/src/telemetry/exchanges.rs
@@ -31,7 +31,7 @@
     pub cluster: String,
     /// The name of the route that the request matches.
     pub route: String,
-    /// The name of its tenant; `None` if the file has no tenants.
+    /// The name of the request's tenant; `None` if the file has no tenants.
     pub tenant: Option<String>,
 }
 
--- a/crates/standalone-proxy/src/upstream/connect.rs
+++ b/crates/standalone-proxy/src/upstream/connect.rs
@@ -42,7 +42,7 @@
 enum ConnectionPurpose {
     /// Any number of exchanges, one after the other.
     Exchanges,
-    /// One exchange, after which it may switch to another protocol.
+    /// One exchange, after which the connection may switch to another protocol.
     Upgrade,
 }
 
--- a/crates/standalone-proxy/src/upstream/messages.rs
+++ b/crates/standalone-proxy/src/upstream/messages.rs
@@ -46,13 +46,13 @@
 /// How long to wait for a backend that makes no progress.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendTimeouts {
-    /// For a connection to be established.
+    /// The time for a connection to be established.
     pub connect: Duration,
-    /// For the next bytes of a response that has begun and is not streamed.
+    /// The time for the next bytes of a response that has begun and is not streamed.
     pub stall: Duration,
-    /// For the next bytes of a streamed response.
+    /// The time for the next bytes of a streamed response.
     pub max_gap: Duration,
-    /// For the end of a streamed response, from its head on; `None` for no limit.
+    /// The time for a streamed response to end, from its head on; `None` for no limit.
     pub max_stream: Option<Duration>,
     /// How long a response of unknown length may pause before the part that has arrived is streamed; `None`
     /// for no limit before the deadline of the attempt.
@@ -146,7 +146,7 @@
 pub struct AttemptResult {
     /// How the attempt ended, as the balancer classifies it.
     pub outcome: Outcome,
-    /// The load that the backend reported, if it did.
+    /// The load that the backend reported; `None` if it reported none.
     pub load_report: Option<LoadReport>,
     /// The response if the outcome is [`Outcome::Served`], or an error response where these are forwarded
     /// too.
--- a/crates/standalone-proxy/src/upstream/pool.rs
+++ b/crates/standalone-proxy/src/upstream/pool.rs
@@ -136,7 +136,7 @@
     pub address: SocketAddr,
     /// The task that drives the connection.
     pub _driver: ScopedTask,
-    /// Counts it as open in [`SocketBudget`] and [`BackendPool`].
+    /// Count the connection as open in [`SocketBudget`] and [`BackendPool`].
     pub _open_guards: [OpenGuard; 2],
 }
 
