--- a/crates/data-plane/src/attempt.rs
+++ b/crates/data-plane/src/attempt.rs
@@ -51,7 +51,7 @@
     pub body: Incoming,
     /// The connection on which the body arrives.
     pub connection: Connection,
-    /// The load of the backend, if the head states it.
+    /// The load of the backend; `None` if the head does not state it.
     pub load: Option<Load>,
     /// What the response proves about the execution of the request.
     pub evidence: ExecutionEvidence,
--- a/crates/data-plane/src/retry_safety.rs
+++ b/crates/data-plane/src/retry_safety.rs
@@ -40,7 +40,7 @@
 pub enum RequestBytes {
     /// Nothing was passed to the system for sending.
     NoneWritten,
-    /// At least one byte was, so that the backend may have received it.
+    /// At least one byte was passed to the system, so that the backend may have received it.
     SomeWritten,
 }
 
--- a/crates/data-plane/src/tenant_quotas.rs
+++ b/crates/data-plane/src/tenant_quotas.rs
@@ -41,7 +41,7 @@
 }
 
 impl TenantQuotas {
-    /// Without tenants. `started_at` is any instant that is not in the future.
+    /// Starts without tenants. `started_at` is any instant that is not in the future.
     pub fn new(bounds: &Bounds, policy: policy::Limits, started_at: Instant) -> Self {
         let settings = QuotaSettings {
             window_s: bounds.quota_window_s,
