--- a/crates/agent/src/configuration_fetch.rs
+++ b/crates/agent/src/configuration_fetch.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ConfigurationSource {
     pub link: LinkId,
-    /// The sequence number of its newest configuration.
+    /// The sequence number of the coordinator's newest configuration.
     pub sequence: ConfigurationSequence,
 }
 
