--- a/crates/coordinator/src/agents/configuration_requests.rs
+++ b/crates/coordinator/src/agents/configuration_requests.rs
@@ -50,7 +50,7 @@
 /// A request that may be answered now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerableRequest {
-    /// The connection on which it arrived.
+    /// The connection on which the request arrived.
     pub connection: AgentConnectionId,
     /// The request's id on that connection.
     pub id: ConfigurationRequestId,
--- a/crates/coordinator/src/membership.rs
+++ b/crates/coordinator/src/membership.rs
@@ -5,9 +5,9 @@
 /// This member's role in the core, as of the replica's last tick.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoleStatus {
-    /// Whether it has recently received messages from a quorum of the voters.
+    /// Whether this coordinator has recently received messages from a quorum of the voters.
     pub has_quorum_contact: bool,
-    /// Whether it is the head of the chain and has quorum contact.
+    /// Whether this coordinator is the head of the chain and has quorum contact.
     pub acting_head: bool,
     /// Whether a chain without this member stores everything that is committed, so that no data is lost if
     /// this member's disk is.
