--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -100,7 +100,8 @@
         QuotaAllocator::with_policy(settings, LimitsPolicy::default(), now)
     }
 
-    /// As [`Self::new`], with a policy, which has to be the same for all nodes and quota leaders of a fleet.
+    /// Does the same as [`Self::new`], with a policy, which has to be the same for all nodes and quota
+    /// leaders of a fleet.
     pub fn with_policy(settings: QuotaSettings, policy: LimitsPolicy, now: Duration) -> Self {
         QuotaAllocator {
             settings,
--- a/crates/quota/src/tenant_limits.rs
+++ b/crates/quota/src/tenant_limits.rs
@@ -94,12 +94,13 @@
 }
 
 impl TenantLimits {
-    /// Without tenants, and with the default policy.
+    /// Starts without tenants, and with the default policy.
     pub fn new(settings: QuotaSettings, now: Duration) -> Self {
         TenantLimits::with_policy(settings, LimitsPolicy::default(), now)
     }
 
-    /// As [`Self::new`], with a policy, which has to be the same for all nodes and quota leaders of a fleet.
+    /// Does the same as [`Self::new`], with a policy, which has to be the same for all nodes and quota
+    /// leaders of a fleet.
     pub fn with_policy(settings: QuotaSettings, policy: LimitsPolicy, now: Duration) -> Self {
         TenantLimits {
             settings,
