--- a/crates/http-transport/src/client_connections.rs
+++ b/crates/http-transport/src/client_connections.rs
@@ -86,7 +86,7 @@
         self.request_complete.set(true);
         self.request_progress.notify_one();
     }
-    /// Whether it has had no request in flight for `duration`.
+    /// Whether the connection has had no request in flight for `duration`.
     pub fn is_idle_for(&self, duration: Duration) -> bool {
         self.idle_since.get().is_some_and(|since| since.elapsed() >= duration)
     }
--- a/crates/http-transport/src/process_pause.rs
+++ b/crates/http-transport/src/process_pause.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    /// For how long the process was stalled since `from`. Considers the latest four stalls.
+    /// Returns for how long the process was stalled since `from`. Considers the latest four stalls.
     pub fn stalled_since(&self, from: Instant) -> Duration {
         self.history.borrow().stalled_since(from)
     }
