--- a/crates/http-forwarding/src/forward.rs
+++ b/crates/http-forwarding/src/forward.rs
@@ -159,9 +159,9 @@
 /// What `Max-Forwards` demands for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaxForwards {
-    /// It is forwarded, with this value in `Max-Forwards`; `None` if the request sets no limit.
+    /// The request is forwarded, with this value in `Max-Forwards`; `None` if the request sets no limit.
     Forward(Option<u32>),
-    /// It is not forwarded: the proxy responds to it.
+    /// The request is not forwarded: the proxy responds to it.
     RespondLocally,
 }
 
