--- a/crates/control-protocol/src/backend_table.rs
+++ b/crates/control-protocol/src/backend_table.rs
@@ -14,22 +14,21 @@
     /// The distinct strings, which rows refer to by index.
     #[serde(rename = "texts")]
     strings: Vec<String>,
-    /// One row per backend.
     rows: Vec<Row>,
 }
 
 /// A backend, serialized as an array of its values in this order.
 #[derive(Serialize, Deserialize)]
 struct Row(
-    /// The instance id.
+    /// The backend's instance id.
     String,
     /// The indices of the service, the zone and the generation in the string table.
     [u32; 3],
-    /// The IPv4 address.
+    /// The backend's IPv4 address as a number.
     u32,
-    /// The port.
+    /// The port of the backend's address.
     u16,
-    /// The number of slots.
+    /// The number of requests that the backend processes concurrently.
     u32,
     /// Whether the backend is draining.
     bool,
--- a/crates/coordinator/src/agents/configuration_requests.rs
+++ b/crates/coordinator/src/agents/configuration_requests.rs
@@ -11,7 +11,7 @@
 pub struct ConfigurationRequestId(u64);
 
 impl ConfigurationRequestId {
-    /// The request with this number.
+    /// Wraps the number that the agent has sent with its request.
     pub const fn new(number: u64) -> Self {
         ConfigurationRequestId(number)
     }
@@ -22,7 +22,7 @@
     }
 }
 
-/// A pending request.
+/// An agent's request for a configuration that has no response yet.
 #[derive(Clone, Copy, Debug)]
 struct ConfigurationRequest {
     id: ConfigurationRequestId,
@@ -50,7 +50,7 @@
 /// A request that may be answered now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerableRequest {
-    /// The connection on which it arrived.
+    /// The connection on which the request arrived.
     pub connection: AgentConnectionId,
     /// The request's id on that connection.
     pub id: ConfigurationRequestId,
--- a/crates/coordinator/src/index_audits/status.rs
+++ b/crates/coordinator/src/index_audits/status.rs
@@ -13,7 +13,7 @@
 /// The status of the audit of the index.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct IndexStatus {
-    /// The backends under audit.
+    /// The state of each backend that is compared with the index.
     pub backends: Vec<AuditedBackend>,
     /// The newest mismatches, in the order in which they were recorded.
     pub mismatches: Vec<MismatchStatus>,
@@ -24,7 +24,7 @@
 /// The status of a backend under audit.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AuditedBackend {
-    /// The backend's instance id.
+    /// The backend's instance id, as on the platform's list.
     pub instance_id: String,
     /// The result of the last comparison: `matching`, `differing in N`, `not looked at` if there was none
     /// yet, or `not audited: ` and the error.
@@ -43,7 +43,7 @@
 /// A mismatch between the index and a backend.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MismatchStatus {
-    /// The backend's instance id.
+    /// The backend's instance id, as on the platform's list.
     pub instance_id: String,
     /// The key of the prompt block, in hex.
     #[serde(rename = "part")]
--- a/crates/coordinator/src/log_file.rs
+++ b/crates/coordinator/src/log_file.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The log's folder within the data folder.
+/// The name of the log's folder within the data folder.
 const FOLDER: &str = "replica";
 /// The folder of a log that can't be read is renamed to this prefix and a number, so that it is kept for
 /// inspection.
@@ -16,7 +16,7 @@
 const MAX_QUARANTINED: usize = 3;
 
 quick_error! {
-    /// Why a log could not be opened.
+    /// Why a replica's log could not be opened, with the path of the log.
     #[derive(Debug)]
     pub enum OpenError {
         /// An operation on the disk failed; a retry may succeed.
--- a/crates/data-plane/src/state.rs
+++ b/crates/data-plane/src/state.rs
@@ -36,15 +36,15 @@
 
 /// The configuration that requests are matched against.
 pub struct ActiveConfiguration {
-    /// Higher for a newer configuration.
+    /// The sequence number of the configuration; higher is newer.
     pub sequence: ConfigurationSequence,
     /// The configuration, with its routes and tenants indexed.
     pub table: RouteTable,
 }
 
-/// The shared state of the data plane.
+/// The state that all connections and requests of the data plane share.
 pub struct DataPlaneState {
-    /// The zone of the machine.
+    /// The zone of the machine, by which backends in the same zone are recognized.
     pub zone: String,
     /// The operator's bounds on retries, quotas and the shutdown.
     pub bounds: Bounds,
@@ -58,7 +58,7 @@
     pub max_clients: usize,
     /// A permit for each KiB of memory that is left for buffered request bodies.
     pub body_memory_kib: Arc<Semaphore>,
-    /// Updated by all parts of the data plane.
+    /// The metrics, which all parts of the data plane update.
     pub metrics: Arc<DataPlaneMetrics>,
     /// Whether the process has received a termination signal.
     pub shutting_down: Cell<bool>,
@@ -140,7 +140,7 @@
         remaining.max(recovery.min_retry_after) + jitter
     }
 
-    /// The active configuration.
+    /// Returns the active configuration; `None` until one was applied.
     pub fn active_configuration(&self) -> Option<Rc<ActiveConfiguration>> {
         self.active.borrow().clone()
     }
@@ -165,7 +165,7 @@
         service
     }
 
-    /// All services.
+    /// Returns all services that this node knows.
     pub fn services(&self) -> Vec<Rc<Service>> {
         self.services.borrow().values().cloned().collect()
     }
@@ -183,7 +183,7 @@
         self.random.borrow_mut().random_range(0..bound.max(1))
     }
 
-    /// Sends a message to the agent.
+    /// Queues a message to the agent. It is lost if the process is exiting.
     pub fn send_to_agent(&self, message: FromProxy) {
         // Fails only while the process exits, when the receiver is closed.
         let _ = self.to_agent.send(message);
--- a/crates/data-plane/src/tenant_quotas.rs
+++ b/crates/data-plane/src/tenant_quotas.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// The quotas of all tenants.
+/// The limits of all tenants, shared by the requests that wait for quota.
 pub struct TenantQuotas {
     /// The origin of the times in `limits`.
     started_at: Instant,
@@ -41,7 +41,7 @@
 }
 
 impl TenantQuotas {
-    /// Without tenants. `started_at` is any instant that is not in the future.
+    /// Starts without tenants. `started_at` is any instant that is not in the future.
     pub fn new(bounds: &Bounds, policy: policy::Limits, started_at: Instant) -> Self {
         let settings = QuotaSettings {
             window_s: bounds.quota_window_s,
--- a/crates/http-forwarding/src/forward.rs
+++ b/crates/http-forwarding/src/forward.rs
@@ -56,7 +56,7 @@
 pub struct Forwarding {
     /// Whether `X-Forwarded-For`, `-Host` and `-Proto` are written.
     pub x_forwarded: bool,
-    /// Whether `Forwarded` is written.
+    /// Whether the header `Forwarded` (RFC 7239) is written.
     pub forwarded: bool,
     /// The name under which the proxy adds itself to `Via`; `None` if `Via` is not written.
     pub via: Option<HeaderValue>,
@@ -74,9 +74,9 @@
 /// The connection on which a request was received.
 #[derive(Clone, Copy, Debug)]
 pub struct Hop {
-    /// The client's address.
+    /// The address of the connection's peer: the client or a proxy before this one.
     pub from: SocketAddr,
-    /// Whether the connection is encrypted.
+    /// Whether the connection is encrypted, so that its protocol is `https`.
     pub secure: bool,
     /// The HTTP version of the request.
     pub version: Version,
@@ -159,9 +159,9 @@
 /// What `Max-Forwards` demands for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaxForwards {
-    /// It is forwarded, with this value in `Max-Forwards`; `None` if the request sets no limit.
+    /// The request is forwarded, with this value in `Max-Forwards`; `None` if the request sets no limit.
     Forward(Option<u32>),
-    /// It is not forwarded: the proxy responds to it.
+    /// The request is not forwarded: the proxy responds to it.
     RespondLocally,
 }
 
--- a/crates/quota/src/allocator.rs
+++ b/crates/quota/src/allocator.rs
@@ -88,9 +88,8 @@
     /// Whether the time without a quota leader before the start is accounted for, or can no longer be
     /// determined.
     is_downtime_settled: bool,
-    /// The buckets by tenant.
+    /// The tenants' buckets, by the tenant's name.
     buckets: BTreeMap<String, SharedBucket>,
-    /// When all buckets were last filled.
     filled_at: Duration,
 }
 
@@ -101,7 +100,8 @@
         QuotaAllocator::with_policy(settings, LimitsPolicy::default(), now)
     }
 
-    /// As [`Self::new`], with a policy, which has to be the same for all nodes and quota leaders of a fleet.
+    /// Does the same as [`Self::new`], with a policy, which has to be the same for all nodes and quota
+    /// leaders of a fleet.
     pub fn with_policy(settings: QuotaSettings, policy: LimitsPolicy, now: Duration) -> Self {
         QuotaAllocator {
             settings,
--- a/crates/quota/src/reserve.rs
+++ b/crates/quota/src/reserve.rs
@@ -28,7 +28,7 @@
 /// A granted fallback rate below this fraction of the previous one is reported back at once.
 const REPORTED_RATE_FRACTION: f64 = 0.9;
 
-/// The decision on a new request.
+/// What a node does with a new request of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ReserveDecision {
     /// The reserve covers the cost, which is spent.
@@ -83,7 +83,7 @@
 }
 
 impl NodeReserve {
-    /// An empty reserve.
+    /// Creates a reserve without credit, for a node that has had no grant yet.
     pub fn new(limit: Limit, settings: &QuotaSettings, policy: &LimitsPolicy, now: Duration) -> Self {
         NodeReserve {
             limit,
@@ -148,7 +148,7 @@
         self.used_without_grants += added;
     }
 
-    /// Decides on a new request.
+    /// Admits or rejects a new request, or lets it wait for a grant.
     pub fn admit(&mut self, now: Duration, cost: f64, last_contact: Option<Duration>) -> ReserveDecision {
         self.accrue(now, last_contact);
         if self.credit - self.earmarked >= cost {
--- a/crates/range-digest/src/range.rs
+++ b/crates/range-digest/src/range.rs
@@ -15,7 +15,7 @@
 }
 
 impl KeyRange {
-    /// The range of all keys.
+    /// The range of all keys, from 0 to [`u64::MAX`].
     pub const ALL: KeyRange = KeyRange { first: 0, bits: 0 };
 
     /// The range of keys whose first `bits` bits equal those of `first`. `None` if `first` has other bits
@@ -26,12 +26,12 @@
         (is_aligned && first & range.suffix_mask() == 0).then_some(range)
     }
 
-    /// The lowest key.
+    /// Returns the lowest key in the range.
     pub fn first(self) -> u64 {
         self.first
     }
 
-    /// The highest key (inclusive).
+    /// Returns the highest key, which is in the range.
     pub fn last(self) -> u64 {
         self.first | self.suffix_mask()
     }
@@ -41,7 +41,7 @@
         self.bits
     }
 
-    /// Whether the range contains a key.
+    /// Whether a key lies in the range, whether or not a set contains it.
     pub fn contains(self, key: u64) -> bool {
         (self.first..=self.last()).contains(&key)
     }
@@ -63,14 +63,14 @@
 /// insertion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RangeDigest {
-    /// The number of items.
+    /// The number of items in the range.
     pub count: u64,
     /// The wrapping sum of the hashes of the items.
     pub sum: u64,
 }
 
 impl RangeDigest {
-    /// Adds an item.
+    /// Adds an item to the count and the sum of hashes.
     pub fn add(&mut self, key: u64, value: u64) {
         self.count += 1;
         self.sum = self.sum.wrapping_add(hash_of(key, value));
--- a/crates/record-log/src/frame.rs
+++ b/crates/record-log/src/frame.rs
@@ -2,7 +2,7 @@
 //! of the records and a CRC-32 of all other bytes of the frame; then each record, preceded by its length. All
 //! integers are little-endian.
 
-/// The first bytes of a frame.
+/// The bytes at the start of every frame, by which a frame is recognized.
 const MAGIC: [u8; 4] = *b"mwrl";
 
 /// The length of the header, in bytes. The last four bytes are the checksum.
@@ -11,7 +11,6 @@
 /// The length of the length field before each record, in bytes.
 const RECORD_HEADER_LEN: usize = 4;
 
-/// A decoded frame.
 pub(crate) struct Frame {
     pub(crate) batch: u64,
     pub(crate) records: Vec<Vec<u8>>,
--- a/crates/standalone-proxy/src/decision_loop/admission_gate.rs
+++ b/crates/standalone-proxy/src/decision_loop/admission_gate.rs
@@ -25,9 +25,9 @@
 
 /// The result for a request that has arrived or was queued.
 pub enum GateOutcome {
-    /// It must be passed to the balancer.
+    /// The request must be passed to the balancer.
     Admitted(Arrival),
-    /// It was rejected, and the rejection was sent.
+    /// The request was rejected, and the rejection was sent.
     Rejected,
 }
 
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Replaces the settings.
+    /// Applies new settings of the gate, which it uses from this call on.
     pub fn reconfigure(&mut self, now: Duration, settings: GateSettings) {
         self.gate.reconfigure(now, settings);
     }
 
-    /// Replaces the list of backends.
+    /// Applies a new list of backends, which replaces the one before.
     pub fn set_endpoints(&mut self, now: Duration, endpoints: &[Endpoint]) {
         self.gate.set_endpoints(now, endpoints);
     }
@@ -120,13 +120,13 @@
         events
     }
 
-    /// Records the start of an attempt.
+    /// Reports an attempt to the gate and to the detection of retry storms.
     pub fn attempt_sent(&mut self, now: Duration, backend: ServerId, kind: AttemptKind) {
         self.gate.attempt_sent(now, backend);
         self.retry_storm.borrow_mut().record_attempt(now, kind);
     }
 
-    /// Records the end of an attempt.
+    /// Reports to the gate how an attempt ended and how long it took.
     pub fn attempt_ended(
         &mut self,
         now: Duration,
@@ -153,7 +153,7 @@
         self.gate.next_tick()
     }
 
-    /// Whether no request is queued.
+    /// Whether no request waits in the queue of the gate.
     pub fn is_empty(&self) -> bool {
         self.queued.is_empty()
     }
--- a/crates/standalone-proxy/src/decision_loop/event.rs
+++ b/crates/standalone-proxy/src/decision_loop/event.rs
@@ -14,17 +14,17 @@
 pub struct Arrival {
     /// The properties by which the balancer decides.
     pub request: NewRequest,
-    /// When it had arrived. The time that the client waits counts from then.
+    /// When the request had arrived. The time that the client waits counts from then.
     pub arrived_at: Instant,
-    /// What is sent to a backend.
+    /// The forwarded request, which all attempts share.
     pub payload: Rc<BackendRequest>,
     /// How long the body may take to arrive; `None` if it has arrived completely.
     pub upload_timeout: Option<Duration>,
     /// Identifies repetitions of the same request by its client; `None` if they cannot be recognized.
     pub fingerprint: Option<u64>,
-    /// Whether and where it may be sent again, as its class says.
+    /// Whether and where the request may be sent again, as its class says.
     pub repeat: Repeat,
-    /// Receives its response.
+    /// The channel on which the final response is sent.
     pub response: PendingResponse,
 }
 
@@ -58,9 +58,9 @@
 
 /// A new version of a cluster in the operator's file.
 pub struct ClusterChange {
-    /// The settings of the balancer.
+    /// The settings of the balancer, which apply to requests that arrive later.
     pub settings: Settings,
-    /// The list of backends.
+    /// The list of backends for the balancer.
     pub update: EndpointUpdate,
     /// The settings of the admission gate.
     pub gate: admission_control::GateSettings,
@@ -70,7 +70,7 @@
     pub gate_endpoints: Vec<admission_control::Endpoint>,
 }
 
-/// The response to a request.
+/// What the client of a request is answered once no further attempt follows.
 #[derive(Debug)]
 pub enum FinalResponse {
     /// The response of a backend that served the request.
@@ -104,7 +104,7 @@
     ShuttingDown(Duration),
     /// No further request will arrive. The task ends once all requests are answered.
     ClusterRemoved,
-    /// A client's request has arrived.
+    /// A client's request has arrived and is to be admitted or rejected.
     Arrived(Arrival),
     /// The client has disconnected before it got the response.
     ClientDisconnected(RequestId),
@@ -112,22 +112,22 @@
     UploadStreaming(RequestId),
     /// A streamed body has arrived completely.
     UploadFinished(RequestId),
-    /// An attempt has ended.
+    /// An attempt of a request has ended, with or without a response.
     AttemptEnded {
-        /// The request.
+        /// The request to which the attempt belongs.
         id: RequestId,
         /// The index of the attempt among those of the request.
         attempt: u32,
-        /// How it ended.
+        /// The outcome, and the response and load report if there are any.
         result: AttemptResult,
     },
-    /// A health check has ended.
+    /// A health check of a backend has ended.
     HealthCheckEnded {
-        /// The backend.
+        /// The backend that was checked.
         backend: ServerId,
-        /// How long it took.
+        /// The time from the start of the health check to its end.
         elapsed: Duration,
-        /// How it ended.
+        /// The outcome, and the response and load report if there are any.
         result: AttemptResult,
     },
 }
--- a/crates/standalone-proxy/src/endpoint_update.rs
+++ b/crates/standalone-proxy/src/endpoint_update.rs
@@ -19,12 +19,12 @@
 /// A change of the list, for the balancer and for the connections to backends.
 #[derive(Clone, PartialEq)]
 pub struct EndpointUpdate {
-    /// Whether it is the complete list, a cached one, changed entries of the list, or a failure to get the
-    /// list.
+    /// Whether the update is the complete list, a cached one, changed entries of the list, or a failure to
+    /// get the list.
     pub kind: ListKind,
-    /// Its version. An update older than the last one applied is ignored.
+    /// The version of the update. An update older than the last one applied is ignored.
     pub version: ListVersion,
-    /// The backends that it lists.
+    /// The listed backends; which ones these are depends on `kind`.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
@@ -39,12 +39,12 @@
     }
 }
 
-/// A backend on the list.
+/// An entry of an [`EndpointUpdate`].
 #[derive(Clone, Copy, PartialEq)]
 pub struct ListedEndpoint {
-    /// What the balancer knows about it.
+    /// What the balancer knows about the backend.
     pub entry: ServerEntry,
-    /// The address at which it listens.
+    /// The address at which the backend listens.
     pub address: SocketAddr,
 }
 
--- a/crates/standalone-proxy/src/platform_node/discovery.rs
+++ b/crates/standalone-proxy/src/platform_node/discovery.rs
@@ -53,9 +53,9 @@
     /// Why a watch ended.
     #[derive(Debug)]
     enum WatchEnd {
-        /// It could not be opened.
+        /// The watch could not be opened; no update was received.
         NotOpened(error: OpenError) { display("not opened: {error}") source(error) }
-        /// No line arrived in time.
+        /// Nothing was received for [`SILENCE_TIMEOUT`], or [`FIRST_LINE_TIMEOUT`] before the first line.
         TimedOut { display("no line received in time") }
         /// The response ended.
         ResponseEnded { display("end of the response") }
@@ -63,7 +63,7 @@
         ConnectionLost(error: hyper::Error) { display("connection lost: {error}") source(error) }
         /// The node no longer reads updates.
         NodeEnded { display("the node no longer reads updates") }
-        /// A line exceeds the maximum.
+        /// A line exceeds [`MAX_LINE_SIZE`].
         LineTooLong { display("a line of more than {MAX_LINE_SIZE} bytes") }
     }
 }
@@ -80,7 +80,7 @@
         InvalidRequest(error: hyper::http::Error) { display("{error}") from() source(error) }
         /// The response has another status than 200.
         Status(status: StatusCode) { display("status {status}") }
-        /// No response arrived in time.
+        /// No response arrived within [`OPEN_TIMEOUT`].
         TimedOut { display("no response within {OPEN_TIMEOUT:?}") }
     }
 }
@@ -113,7 +113,7 @@
 /// The source of the lists of a watch, and where they are passed.
 #[derive(Clone)]
 pub struct WatchTarget {
-    /// The address of discovery.
+    /// The address of the discovery service.
     pub address: SocketAddr,
     /// The backends that are known so far.
     pub registry: Rc<RefCell<EndpointRegistry>>,
--- a/crates/standalone-proxy/src/upstream/connect.rs
+++ b/crates/standalone-proxy/src/upstream/connect.rs
@@ -40,9 +40,9 @@
 /// The purpose for which a connection is opened.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ConnectionPurpose {
-    /// Any number of exchanges.
+    /// Any number of exchanges, one after the other.
     Exchanges,
-    /// One exchange, after which it may switch to another protocol.
+    /// One exchange, after which the connection may switch to another protocol.
     Upgrade,
 }
 
--- a/crates/standalone-proxy/src/upstream/pool.rs
+++ b/crates/standalone-proxy/src/upstream/pool.rs
@@ -34,7 +34,7 @@
 /// The limit of connections that all clusters share. Once it is reached, the connection that has been idle
 /// for longest is closed for a new one, whichever cluster it belongs to.
 pub struct SocketBudget {
-    /// The number of open connections.
+    /// The number of open connections of all clusters.
     pub open: Rc<Cell<usize>>,
     /// The maximum number of open connections.
     max_open: usize,
@@ -42,7 +42,7 @@
 }
 
 impl SocketBudget {
-    /// A budget of `max_open` connections.
+    /// Creates a budget of `max_open` connections, none of which is open.
     pub fn new(max_open: usize) -> Self {
         SocketBudget { open: Rc::default(), max_open, pools: RefCell::default() }
     }
@@ -72,7 +72,7 @@
     }
 }
 
-/// The connections to one backend.
+/// The connections to one backend, idle and in use, and whether it accepts new attempts.
 pub struct BackendPool {
     /// The address at which the backend listens.
     pub address: SocketAddr,
@@ -89,7 +89,7 @@
 }
 
 impl BackendPool {
-    /// A pool without connections.
+    /// Creates a pool without connections, for a backend that accepts new attempts.
     pub fn new(address: SocketAddr, started: Option<Duration>) -> Self {
         BackendPool {
             address,
@@ -115,11 +115,11 @@
     }
 }
 
-/// An idle connection.
+/// A connection without an exchange in flight, which the next request may use.
 pub struct IdleConnection {
-    /// The open connection.
+    /// The connection, which the backend may have closed since.
     pub connection: Connection,
-    /// When its last response ended.
+    /// When the last response on the connection ended.
     pub since: Instant,
 }
 
@@ -128,15 +128,15 @@
     /// Receives the raw connection after a switch of protocols; `None` if the request asks for none. A
     /// connection with this is not reused.
     pub raw: Option<oneshot::Receiver<RawConnection>>,
-    /// Sends requests on it.
+    /// The sending side of the HTTP/1 client.
     pub sender: SendRequest<MessageBody>,
     /// The progress of the exchange in flight.
     pub progress: Rc<ExchangeProgress>,
-    /// The address to which it was opened.
+    /// The address to which the connection was opened.
     pub address: SocketAddr,
-    /// The task that drives it.
+    /// The task that drives the connection.
     pub _driver: ScopedTask,
-    /// Counts it as open in [`SocketBudget`] and [`BackendPool`].
+    /// Count the connection as open in [`SocketBudget`] and [`BackendPool`].
     pub _open_guards: [OpenGuard; 2],
 }
 
