--- a/crates/marlwinch/tests/data_path.rs
+++ b/crates/marlwinch/tests/data_path.rs
@@ -1,6 +1,5 @@
-//! The data path of a node from an operator's file, over loopback and byte by byte: whose answer a client
-//! gets, what is passed on as it comes and how it ends, what may be sent again, what a backend is told, and
-//! which heads are taken at all.
+//! The data path of a node with an operator's file, on loopback: which response a client gets, streaming and
+//! truncated responses, retries, forwarding headers, upgrades, and the exchanges that are logged.
 
 mod backends;
 mod peers;
@@ -14,8 +13,8 @@
 const UNSAFE: &str = "repeat = \"unsafe\"\ntime = \"20s\"";
 const SAFE: &str = "repeat = \"safe\"\ntime = \"20s\"";
 
-/// A file with these boxes, `/w` for a class that is never repeated and `/` for a safe one with these terms,
-/// and more.
+/// A file with these backends, an unsafe class for `/w` and a safe one for `/`, both with these settings, and
+/// further sections.
 fn file(backends: &[SocketAddr], terms: &str, more: &str) -> String {
     let mut text =
         format!("[[listener]]\naddress = \"127.0.0.1:0\"\n{more}\n[[cluster]]\nname = \"tally\"\n");
@@ -38,21 +37,21 @@
     client.write(format!("GET {path} HTTP/1.1\r\nHost: t.example\r\n\r\n"));
 }
 
-/// Reads until this has come, and returns all of it.
+/// Reads until this text has arrived, and returns all that was read.
 fn read_until(peer: &mut Peer, wanted: &str) -> String {
-    let (mut all, mut piece) = (Vec::new(), [0; 4096]);
+    let (mut all, mut chunk) = (Vec::new(), [0; 4096]);
     while !String::from_utf8_lossy(&all).contains(wanted) {
-        let n = peer.stream.read(&mut piece).expect("more");
+        let n = peer.stream.read(&mut chunk).expect("more bytes");
         assert!(n > 0, "no {wanted:?} in {:?}", String::from_utf8_lossy(&all));
-        all.extend_from_slice(&piece[..n]);
+        all.extend_from_slice(&chunk[..n]);
     }
     String::from_utf8_lossy(&all).into_owned()
 }
 
-// ---- Whose answer it is --------------------------------------------------------------------------
+// ---- Choice of the response ----------------------------------------------------------------------
 
 #[test]
-fn the_backends_own_answer_is_what_the_client_gets_unless_it_promises_too_much() {
+fn the_backends_error_response_is_forwarded_unless_it_wrongly_allows_a_retry() {
     let backend = Listener::new();
     let node = node(&[&backend], "attempts = 1", "");
     let (mut client, mut peers) = (node.client(), Vec::new());
@@ -63,10 +62,10 @@
         ("/", "503 Later", "", 503),
         ("/w", "500 Broken", "", 500),
         ("/w", "501 No", "", 501),
-        // It may have run: no promise that to try again is harmless.
+        // The request may have run, so the status must not say that a retry is harmless.
         ("/w", "503 Later", "", 502),
         ("/w", "429 Slow", "", 502),
-        // The backend says that it did not.
+        // The backend says that it did not run.
         ("/w", "503 Later", "X-Unprocessed: 1\r\n", 503),
         ("/w", "429 Slow", "X-Unprocessed: 1\r\n", 429),
     ] {
@@ -90,7 +89,7 @@
 }
 
 #[test]
-fn an_attempt_that_follows_wins_over_an_error_and_its_end_over_both() {
+fn the_outcome_of_a_retry_replaces_the_error_before_it() {
     let (one, other) = (Listener::new(), Listener::new());
     let terms = "attempts = 2\nretry-on = [\"never-ran\", \"error\", \"reset\"]";
     let terms = format!("{terms}\nbudget = {{ share = \"100%\", floor = \"100/s\" }}");
@@ -113,7 +112,8 @@
             }
             _ => {
                 again.stream.shutdown(Shutdown::Both).expect("closed");
-                // The last word was none: the node's own refusal, as the class is safe.
+                // The last attempt had no response, so the node rejects the request itself, as the class is
+                // safe.
                 let answer = client.read();
                 assert_eq!((answer.status(), &answer.body[..5]), (503, &b"refus"[..]));
             }
@@ -124,14 +124,14 @@
 // ---- Streams -------------------------------------------------------------------------------------
 
 #[test]
-fn each_piece_of_an_answer_that_is_made_as_it_goes_comes_at_once() {
+fn each_part_of_a_streamed_response_is_forwarded_at_once() {
     let backend = Listener::new();
     let node = node(&[&backend], "", "");
     let mut client = node.client();
     get(&mut client, "/events");
     let mut peer = backend.next_request(&mut Vec::new());
     peer.write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
-    // The head comes before there is anything behind it.
+    // The head is forwarded before the body starts.
     let head = read_until(&mut client, "\r\n\r\n");
     assert!(head.starts_with("HTTP/1.1 200"), "{head}");
     for n in 0..5 {
@@ -141,14 +141,14 @@
     }
     peer.write("0\r\n\r\n");
     read_until(&mut client, "0\r\n\r\n");
-    // The connection serves on.
+    // The connection is reused.
     get(&mut client, "/events");
     backend.next_request(&mut vec![peer]).answer("200 OK", "", "next");
     assert_eq!(client.read().body, b"next");
 }
 
 #[test]
-fn trailers_go_on_where_both_sides_speak_of_them() {
+fn trailers_are_forwarded_if_both_sides_announce_them() {
     let backend = Listener::new();
     let node = node(&[&backend], "", "");
     let mut client = node.client();
@@ -162,8 +162,8 @@
 }
 
 #[test]
-fn a_stream_that_breaks_anywhere_is_visibly_broken_and_never_asked_for_again() {
-    // Where the backend breaks off, and whether an attempt may still follow.
+fn a_truncated_stream_is_visibly_truncated_and_not_retried() {
+    // Where the backend closes: before and after the end of the head.
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     for cut in ["", "HTTP/1.1 20", &format!("{head}5\r\nhello\r\n"), &format!("{head}5\r\nhe")] {
         let backend = Listener::new();
@@ -178,7 +178,7 @@
         peer.stream.shutdown(Shutdown::Both).expect("closed");
         if cut.len() > head.len() {
             let (rest, _) = client.read_to_end();
-            assert!(!String::from_utf8_lossy(&rest).contains("0\r\n\r\n"), "{cut:?} looks whole");
+            assert!(!String::from_utf8_lossy(&rest).contains("0\r\n\r\n"), "{cut:?} looks complete");
         } else {
             assert_eq!(client.read().status(), 503, "{cut:?}");
         }
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_backend_that_stops_and_an_answer_without_end_are_cut() {
+fn a_stalled_response_and_one_without_end_are_aborted() {
     let backend = Listener::new();
     let node = node(&[&backend], "gap = \"300ms\"\nwhole = \"1s\"", "");
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n";
@@ -198,9 +198,9 @@
     let started = Instant::now();
     let (all, _) = stopped.read_to_end();
     assert!(String::from_utf8_lossy(&all).contains("ab") && !all.ends_with(b"0\r\n\r\n"));
-    assert!(started.elapsed() < Duration::from_secs(15), "given up by its gap");
+    assert!(started.elapsed() < Duration::from_secs(15), "not aborted by `gap`");
     drop(peer);
-    // One that never ends: it says something all the time.
+    // A response without end that never stalls.
     let mut endless = node.client();
     get(&mut endless, "/");
     let mut peer = backend.next_request(&mut Vec::new());
@@ -218,11 +218,11 @@
     let started = Instant::now();
     let (all, _) = endless.read_to_end();
     assert!(started.elapsed() >= Duration::from_millis(900) && !all.ends_with(b"0\r\n\r\n"));
-    assert!(writer.join().expect("a writer"), "the box hears of it");
+    assert!(writer.join().expect("a writer"), "the backend does not notice the end");
 }
 
 #[test]
-fn streams_of_a_backend_that_drains_and_of_a_node_that_ends_have_an_end() {
+fn streams_end_within_the_limit_at_a_drain_and_at_shutdown() {
     let (one, other) = (Listener::new(), Listener::new());
     let text = file(&[one.address(), other.address()], "", "[node]\nstream-end = \"700ms\"");
     let mut node = Node::from_file(&text);
@@ -248,7 +248,7 @@
             started.elapsed()
         );
     }
-    // The other backend's go on; a node that is told to end gives them as long.
+    // The streams of the other backend continue; at shutdown they get the same time.
     let mut left = Vec::new();
     for (_, mut client, mut peer) in of_other {
         peer.write("2\r\ncd\r\n");
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn two_hundred_clients_that_hardly_read_hold_up_nobody_and_no_memory() {
+fn two_hundred_slow_readers_block_no_other_client_and_hold_little_memory() {
     let backends = Backends::with_faults(1, "");
     let backend = Listener::new();
     let more = format!(
@@ -277,7 +277,7 @@
     let node = Node::from_file(&text);
     const SLOW: usize = 200;
     let address = backend.address();
-    // Each answer is far larger than what sockets hold.
+    // Each response is much larger than socket buffers.
     let server = std::thread::spawn(move || {
         let mut writers = Vec::new();
         for _ in 0..SLOW {
@@ -286,7 +286,7 @@
                 peer.read();
                 peer.write("HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n");
                 let piece = vec![b'x'; 1 << 16];
-                // It ends when the node has gone.
+                // Ends when the node exits.
                 while std::io::Write::write_all(&mut peer.stream, &piece).is_ok() {}
             }));
         }
@@ -307,16 +307,16 @@
         get(&mut quick, "/plain");
         assert_eq!(quick.read().status(), 200, "round {round}");
     }
-    // hyper's buffers for each connection, two of them a stream, and the node itself.
+    // The node itself, and hyper's buffers: two connections for each stream.
     let bound = 24_000 + SLOW as u64 * 2 * 200;
     let held = node.memory_kib();
     assert!(held < bound, "{held} KiB, {bound} at most");
 }
 
-// ---- What may be sent again ----------------------------------------------------------------------
+// ---- Retries -------------------------------------------------------------------------------------
 
 #[test]
-fn a_large_body_of_which_nothing_has_gone_out_finds_another_backend() {
+fn a_request_with_a_large_body_of_which_nothing_was_sent_is_retried() {
     let gone = Listener::new();
     let address = gone.address();
     drop(gone);
@@ -336,7 +336,7 @@
 }
 
 #[test]
-fn a_body_is_kept_up_to_its_replay_and_not_a_byte_further() {
+fn a_body_is_replayed_up_to_the_limit_and_not_beyond() {
     let (one, other) = (Listener::new(), Listener::new());
     let keyed = "repeat = \"keyed\"\nscope = \"all\"\nwindow = \"30s\"\nkey-header = \"idempotency-key\"\ntime = \"20s\"\n\
         attempt-time = \"5s\"\nretry-on = [\"never-ran\", \"reset\"]\nreplay = \"200KiB\"\n\
@@ -351,7 +351,7 @@
         ));
         let (first, mut peer) = Listener::accept_any(&[&one, &other]);
         assert_eq!(peer.read().body.len(), size);
-        // It has all of it, and breaks without a word.
+        // The backend has received the whole body, and closes without a response.
         peer.stream.shutdown(Shutdown::Both).expect("closed");
         drop(peer);
         if again {
@@ -360,18 +360,18 @@
             second.answer("200 OK", "Connection: close\r\n", "");
             assert_eq!(client.read().status(), 200);
         } else {
-            // Keyed by all backends: to ask again is harmless.
+            // All backends know the key, so a retry by the client is harmless.
             assert_eq!(client.read().status(), 503);
             assert!(one.is_untouched() && other.is_untouched());
         }
     }
 }
 
-// ---- What a backend is told --------------------------------------------------------------------------
+// ---- Forwarding headers --------------------------------------------------------------------------
 
 #[test]
-fn a_backend_learns_of_the_client_by_the_file_alone() {
-    let said = "X-Forwarded-For: 6.6.6.6\r\nForwarded: for=6.6.6.6\r\nVia: 1.0 before\r\nX-Forwarded-Proto: https\r\n";
+fn forwarding_headers_are_written_as_the_file_says() {
+    let client_headers = "X-Forwarded-For: 6.6.6.6\r\nForwarded: for=6.6.6.6\r\nVia: 1.0 before\r\nX-Forwarded-Proto: https\r\n";
     for (more, xff, forwarded, via, proto) in [
         ("", Some("127.0.0.1"), None, Some("1.0 before, 1.1 marlwinch"), Some("http")),
         (
@@ -386,7 +386,7 @@
         let backend = Listener::new();
         let node = node(&[&backend], "", more);
         let mut client = node.client();
-        client.write(format!("GET / HTTP/1.1\r\nHost: t.example\r\n{said}\r\n"));
+        client.write(format!("GET / HTTP/1.1\r\nHost: t.example\r\n{client_headers}\r\n"));
         let mut peer = backend.accept();
         let request = peer.read();
         assert_eq!(request.header("x-forwarded-for"), xff, "{more}");
@@ -395,7 +395,7 @@
         assert_eq!(request.header("x-forwarded-proto"), proto, "{more}");
         peer.answer("200 OK", "", "");
         assert_eq!(client.read().status(), 200);
-        // As far as it may go, and no further.
+        // `Max-Forwards` is decremented, and the node responds itself at 0.
         client.write("OPTIONS / HTTP/1.1\r\nHost: t\r\nMax-Forwards: 0\r\n\r\n");
         assert_eq!(client.read().status(), 200);
         let mut client = node.client();
@@ -404,10 +404,10 @@
     }
 }
 
-// ---- What is told of exchanges -------------------------------------------------------------------
+// ---- Log lines and metrics of exchanges ----------------------------------------------------------
 
 #[test]
-fn exchanges_are_reported_as_lines_and_as_figures() {
+fn exchanges_are_logged_and_counted() {
     let backend = Listener::new();
     let more = "[log]\nformat = \"json\"\nexchanges = 1\n[admin]\naddress = \"127.0.0.1:0\"";
     let (node, admin) = Node::from_file_with_admin(&file(&[backend.address()], "attempts = 1", more));
@@ -427,7 +427,7 @@
         );
         assert_eq!(line["status"].as_u64(), status[..3].parse().ok(), "{line}");
     }
-    // One that is cut in the middle is told as that.
+    // A truncated response has the end `cut`.
     get(&mut client, "/a");
     let mut peer = backend.next_request(&mut peers);
     peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n");
@@ -435,21 +435,21 @@
     peer.stream.shutdown(Shutdown::Both).expect("closed");
     client.read_to_end();
     assert!(node.logged("\"exchange\"").contains("\"end\":\"cut\""));
-    let mut watcher = Peer::connect(admin);
-    watcher.write("GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
-    let figures = String::from_utf8(watcher.read().body).expect("text");
+    let mut scraper = Peer::connect(admin);
+    scraper.write("GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
+    let metrics = String::from_utf8(scraper.read().body).expect("text");
     for line in [
         "marlwinch_answers_total{class=\"r\",cluster=\"tally\",code=\"200\"} 2",
         "marlwinch_answers_total{class=\"r\",cluster=\"tally\",code=\"500\"} 1",
         "marlwinch_box_first_byte_seconds_count{cluster=\"tally\",name=\"b-0\"} 3",
         "marlwinch_cut_total{class=\"r\",cluster=\"tally\"} 1",
     ] {
-        assert!(figures.contains(line), "{line} in {figures}");
+        assert!(metrics.contains(line), "{line} in {metrics}");
     }
     for (asked, status) in [("GET /ready", 200), ("POST /metrics", 405), ("GET /", 404)] {
-        let mut watcher = Peer::connect(admin);
-        watcher.write(format!("{asked} HTTP/1.1\r\nHost: a\r\n\r\n"));
-        assert_eq!(watcher.read().status(), status);
+        let mut scraper = Peer::connect(admin);
+        scraper.write(format!("{asked} HTTP/1.1\r\nHost: a\r\n\r\n"));
+        assert_eq!(scraper.read().status(), status);
     }
 }
 
@@ -459,13 +459,13 @@
 const SWITCH: &str = "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: websocket\r\nSec-WebSocket-Accept: a\r\n\r\n";
 
 #[test]
-fn a_connection_that_switches_carries_bytes_both_ways_until_a_side_ends() {
+fn an_upgraded_connection_carries_bytes_both_ways_until_both_sides_close() {
     let backend = Listener::new();
     let text = file(&[backend.address()], "", "")
         .replace(SAFE, &format!("{SAFE}\nupgrade = {{ to = [\"websocket\"] }}"));
     let node = Node::from_file(&text);
     let mut client = node.client();
-    // Bytes right behind the head belong to the other protocol, on both sides.
+    // Bytes right behind the head belong to the new protocol, on both sides.
     client.write(format!("{UPGRADE_REQUEST}early"));
     let mut peer = backend.accept();
     let asked = read_until(&mut peer, "\r\n\r\n").to_lowercase();
@@ -476,7 +476,7 @@
     let answer = read_until(&mut client, "hello").to_lowercase();
     assert!(answer.starts_with("http/1.1 101") && answer.contains("\r\nupgrade: websocket\r\n"), "{answer}");
     assert!(answer.contains("sec-websocket-accept: a"));
-    // More than sockets hold, both ways at once.
+    // More than socket buffers hold, in each direction.
     let large = "z".repeat(4 << 20);
     for turn in 0..2 {
         let mut from =
@@ -489,7 +489,7 @@
         assert!(come == large.as_bytes());
         writer.join().expect("a writer").expect("written");
     }
-    // The end of one way goes on, and the other way still carries.
+    // The close of one direction is forwarded, and the other direction still works.
     client.stream.shutdown(Shutdown::Write).expect("closed");
     assert_eq!(peer.stream.read(&mut [0]).expect("an end"), 0);
     peer.write("last");
@@ -499,7 +499,7 @@
 }
 
 #[test]
-fn a_switch_that_the_file_does_not_pass_on_or_the_backend_does_not_make_is_plain_http() {
+fn without_permission_or_agreement_of_the_backend_an_upgrade_request_is_plain_http() {
     let backend = Listener::new();
     let rule = format!("{SAFE}\nupgrade = {{ to = [\"websocket\"] }}");
     for (upgrade, ask, asked) in [
@@ -519,14 +519,14 @@
         assert_eq!(client.read().body, b"plain");
         get(&mut client, "/next");
         let mut again = backend.next_request(&mut vec![peer]);
-        // A backend that switches unasked has not answered.
+        // A 101 without an upgrade request is not a valid response.
         again.write(SWITCH);
         assert_eq!(client.read().status(), 503);
     }
 }
 
 #[test]
-fn a_connection_that_has_switched_ends_with_its_backend_its_node_or_when_nobody_speaks() {
+fn an_upgraded_connection_ends_when_idle_at_a_drain_and_at_shutdown() {
     let rule = format!("{SAFE}\nupgrade = {{ to = [\"websocket\"], idle = \"500ms\" }}");
     let (backend, other) = (Listener::new(), Listener::new());
     let text = file(&[backend.address()], "", "[node]\nstream-end = \"300ms\"").replace(SAFE, &rule);
@@ -537,7 +537,7 @@
         let mut peer = backend.next_request(&mut Vec::new());
         peer.write(SWITCH);
         read_until(&mut client, "\r\n\r\n");
-        // A side that speaks all the time.
+        // A side that sends all the time.
         let talk = |mut from: TcpStream| {
             std::thread::spawn(move || {
                 while std::io::Write::write_all(&mut from, b".").is_ok() {
@@ -547,7 +547,7 @@
         };
         let talker = (why != "idle").then(|| talk(client.stream.try_clone().expect("a socket")));
         match why {
-            // It leaves the file: one backend that drains and no other is a fault of the file.
+            // The backend is removed from the file, as a file whose only backend drains is invalid.
             "drain" => {
                 let (before, after) = (backend.address().to_string(), other.address().to_string());
                 node.reload(&text.replace("b-0", "b-9").replace(&before, &after));
@@ -561,17 +561,17 @@
         }
         if why == "drain" {
             node.reload(&text);
-            // That of the start, of the other file, of this one again.
+            // The lines of the start, of the other file, and of this file again.
             (0..3).for_each(|_| drop(node.logged("taken:")));
         }
     }
     assert!(node.wait().success());
 }
 
-// ---- Soaks and measurements ----------------------------------------------------------------------
+// ---- Soak tests ----------------------------------------------------------------------------------
 
-/// A backend that answers each connection with so many bytes, as fast as they are taken.
-fn fountain(bytes: u64) -> SocketAddr {
+/// Starts a backend that sends a response of this size on each connection, as fast as it is read.
+fn start_bulk_backend(bytes: u64) -> SocketAddr {
     let backend = Listener::new();
     let address = backend.address();
     std::thread::spawn(move || {
@@ -597,59 +597,60 @@
     address
 }
 
-/// Asks there and reads all of it; MB a second.
-fn drink(at: SocketAddr, bytes: u64) -> f64 {
+/// Reads a response of this size. Returns the rate in MB/s.
+fn download_rate(at: SocketAddr, bytes: u64) -> f64 {
     let mut client = Peer::connect(at);
     let started = Instant::now();
     get(&mut client, "/");
-    let (mut piece, mut come) = (vec![0; 1 << 16], 0);
+    let (mut chunk, mut received) = (vec![0; 1 << 16], 0);
     loop {
-        match client.stream.read(&mut piece).expect("more") {
+        match client.stream.read(&mut chunk).expect("more bytes") {
             0 => break,
-            n => come += n as u64,
+            n => received += n as u64,
         }
-        if come > bytes {
+        if received > bytes {
             break;
         }
     }
-    assert!(come >= bytes, "{come} of {bytes}");
+    assert!(received >= bytes, "{received} of {bytes}");
     bytes as f64 / 1e6 / started.elapsed().as_secs_f64()
 }
 
-/// `docs/performance.md` has the figures and the command.
+/// `docs/performance.md` has the results and the command.
 #[test]
 #[ignore = "a soak: ten gigabytes"]
 fn ten_gigabytes_through_a_node_of_64_mib() {
     for (what, bytes) in [("10 MiB", 10 << 20), ("1 GiB", 1 << 30), ("10 GB", 10_000_000_000)] {
-        let address = fountain(bytes);
+        let address = start_bulk_backend(bytes);
         let node = Node::from_file(&file(&[address], "", "[node]\nmemory = \"64MiB\""));
-        let (direct, through) = (drink(address, bytes), drink(node.address, bytes));
+        let (direct, through) = (download_rate(address, bytes), download_rate(node.address, bytes));
         let held = node.memory_kib() >> 10;
         println!("{what}: {direct:.0} MB/s directly, {through:.0} through the node, {held} MiB held");
         assert!(held < 64, "{held} MiB");
     }
 }
 
-/// A number that depends on both and on nothing else.
-fn mixed(seed: u64, number: u64) -> u64 {
+/// A pseudorandom number that depends only on the seed and the number.
+fn hash(seed: u64, number: u64) -> u64 {
     let mut x = (seed ^ number).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     x ^= x >> 29;
     x = x.wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x ^ (x >> 32)
 }
 
-/// The answer that a backend makes for a request: its body, and all of it as it goes out.
-fn made(seed: u64, number: u64) -> (Vec<u8>, Vec<u8>) {
-    let draw = mixed(seed, number);
-    let length = if draw.is_multiple_of(4) { draw as usize / 4 % 300_000 } else { draw as usize / 4 % 3_000 };
-    let body: Vec<u8> = (0..length as u64).map(|at| mixed(draw, at) as u8).collect();
+/// The response to a request: its body, and its bytes on the wire.
+fn generated_response(seed: u64, number: u64) -> (Vec<u8>, Vec<u8>) {
+    let random = hash(seed, number);
+    let length =
+        if random.is_multiple_of(4) { random as usize / 4 % 300_000 } else { random as usize / 4 % 3_000 };
+    let body: Vec<u8> = (0..length as u64).map(|at| hash(random, at) as u8).collect();
     let mut text = b"HTTP/1.1 200 OK\r\n".to_vec();
-    if draw & 64 == 0 {
+    if random & 64 == 0 {
         text.extend(format!("Content-Length: {length}\r\n\r\n").bytes());
         text.extend(&body);
     } else {
         text.extend(b"Transfer-Encoding: chunked\r\n\r\n");
-        for chunk in body.chunks(1 + draw as usize % 5_000) {
+        for chunk in body.chunks(1 + random as usize % 5_000) {
             text.extend(format!("{:x}\r\n", chunk.len()).bytes());
             text.extend(chunk);
             text.extend(b"\r\n");
@@ -659,7 +660,7 @@
     (body, text)
 }
 
-/// The body of an answer if it is whole by its own framing.
+/// The body of a response if the response is complete by its framing.
 fn complete_body(text: &[u8]) -> Option<Vec<u8>> {
     let end = text.windows(4).position(|w| w == b"\r\n\r\n")? + 4;
     let head = String::from_utf8_lossy(&text[..end]).to_lowercase();
@@ -681,9 +682,9 @@
     }
 }
 
-/// So many exchanges, half of whose answers are cut at any byte: each is delivered whole and equal, or
-/// visibly broken, and nothing that must not runs twice.
-fn random_cuts(exchanges: u64, seed: u64) {
+/// Half of the responses are truncated at a random byte. Each response must be delivered complete and
+/// unchanged, or visibly truncated, and no unsafe request may run twice.
+fn random_truncations(exchanges: u64, seed: u64) {
     const CLIENTS: u64 = 8;
     println!("seed {seed}");
     let ran = std::sync::Arc::new(std::sync::Mutex::new(std::collections::HashMap::<u64, u32>::new()));
@@ -704,8 +705,8 @@
                             *times += 1;
                             u64::from(*times)
                         };
-                        let (_, text) = made(seed, number);
-                        let cut = mixed(seed + times, number);
+                        let (_, text) = generated_response(seed, number);
+                        let cut = hash(seed + times, number);
                         let until = if cut & 1 == 0 { text.len() } else { cut as usize / 2 % text.len() };
                         let sent = std::io::Write::write_all(&mut peer.stream, &text[..until]);
                         if sent.is_err() || until < text.len() {
@@ -732,7 +733,7 @@
         let (all, broke) = client.read_to_end();
         match (all.starts_with(b"HTTP/1.1 200"), complete_body(&all)) {
             (true, Some(body)) if !broke => {
-                assert!(body == made(seed, number).0, "{number}: another body");
+                assert!(body == generated_response(seed, number).0, "{number}: a different body");
                 (1, 0)
             }
             (true, _) => (0, 1),
@@ -754,7 +755,7 @@
     let sums = clients.into_iter().map(|client| client.join().expect("a client"));
     let (complete, broken) = sums.fold((0u64, 0u64), |(a, b), (c, d)| (a + c, b + d));
     println!("{complete} whole, {broken} visibly broken of {exchanges}");
-    // A half is not cut at all, and the cuts are there.
+    // Half of the responses are not truncated, and the truncations took place.
     assert!(complete * 10 > exchanges * 4 && broken > exchanges / 50, "{complete} whole, {broken} broken");
     let twice: Vec<_> =
         ran.lock().expect("a log").iter().filter(|(n, t)| **n % 2 == 1 && **t > 1).map(|(n, _)| *n).collect();
@@ -762,12 +763,12 @@
 }
 
 #[test]
-fn answers_that_are_cut_anywhere_are_whole_or_visibly_broken() {
-    random_cuts(1_600, 20_261_201);
+fn randomly_truncated_responses_are_complete_or_visibly_truncated() {
+    random_truncations(1_600, 20_261_201);
 }
 
 #[test]
 #[ignore = "a soak: 20,000 exchanges"]
-fn twenty_thousand_answers_that_are_cut_anywhere() {
-    random_cuts(20_000, 7);
+fn twenty_thousand_randomly_truncated_responses() {
+    random_truncations(20_000, 7);
 }
--- a/crates/marlwinch/tests/exchanges.rs
+++ b/crates/marlwinch/tests/exchanges.rs
@@ -1,6 +1,6 @@
-//! Raw HTTP/1.1 exchanges, each with its expected reading, put to the node and to a backend behind it that
-//! reads by itself: what the backend counts must be what the client meant, and nothing that could be read in
-//! two ways may reach it.
+//! Request smuggling: raw HTTP/1.1 requests are sent through the node to a backend with a strict parser of
+//! its own. The backend must receive the requests as the client meant them, and no ambiguous request may
+//! reach it.
 
 mod peers;
 
@@ -9,17 +9,16 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// What a backend has read: method, target and body.
+/// A request that the backend received: method, target and body.
 type RecordedRequest = (String, String, Vec<u8>);
 
-/// A backend that reads strictly what it gets, by its own reading, and answers each request with its method
-/// and target.
-struct Reader {
+/// A backend with a strict parser of its own. It responds to each request with its method and target.
+struct StrictBackend {
     address: SocketAddr,
     recorded: Arc<Mutex<Vec<RecordedRequest>>>,
 }
 
-fn reader() -> Reader {
+fn start_strict_backend() -> StrictBackend {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let recorded = Arc::new(Mutex::new(Vec::new()));
@@ -30,13 +29,17 @@
             std::thread::spawn(move || serve(stream, &log));
         }
     });
-    Reader { address, recorded }
+    StrictBackend { address, recorded }
 }
 
 fn line(from: &mut impl BufRead) -> Option<String> {
     let mut text = Vec::new();
     from.read_until(b'\n', &mut text).ok().filter(|n| *n > 0)?;
-    assert!(text.ends_with(b"\r\n"), "a bare line end reaches a box: {:?}", String::from_utf8_lossy(&text));
+    assert!(
+        text.ends_with(b"\r\n"),
+        "a bare line end reaches the backend: {:?}",
+        String::from_utf8_lossy(&text)
+    );
     Some(String::from_utf8_lossy(&text[..text.len() - 2]).into_owned())
 }
 
@@ -84,8 +87,9 @@
     }
 }
 
-/// What is expected of a connection: these answers in order, and these requests at the backend. A status of 0
-/// stands for a connection that ends with no answer, 4 for any 4xx or such an end.
+/// The bytes that a client sends, and the expected result: the statuses of the responses in order, and the
+/// requests at the backend. Status 0 stands for a close without a response, 4 for a 4xx or 5xx other than
+/// 503, or such a close.
 struct Case {
     raw: String,
     answers: Vec<u16>,
@@ -96,8 +100,8 @@
     Case { raw: raw.into(), answers: answers.to_vec(), recorded: recorded.to_vec() }
 }
 
-/// What is taken: each request once, as it was meant.
-fn good() -> Vec<Case> {
+/// Valid requests: each must reach the backend once, unchanged.
+fn valid_cases() -> Vec<Case> {
     let h = "Host: t.example\r\n";
     let ok = |raw: &str, recorded: &[(&'static str, &'static str, &'static [u8])]| {
         case(raw, &vec![200; recorded.len()], recorded)
@@ -153,7 +157,7 @@
             ),
             &[("POST", "/w", b"abc")],
         ),
-        // A body that looks like a request is none.
+        // A body that looks like a request.
         ok(
             &format!("POST /w HTTP/1.1\r\n{h}Content-Length: 24\r\n\r\nGET /evil HTTP/1.1\r\n\r\n12"),
             &[("POST", "/w", b"GET /evil HTTP/1.1\r\n\r\n12")],
@@ -162,7 +166,7 @@
             &format!("POST /w HTTP/1.1\r\n{h}Transfer-Encoding: chunked\r\n\r\n5\r\n0\r\n\r\n\r\n0\r\n\r\n"),
             &[("POST", "/w", b"0\r\n\r\n")],
         ),
-        // Requests behind each other.
+        // Pipelined requests.
         ok(
             &format!("GET /a HTTP/1.1\r\n{h}\r\nGET /b HTTP/1.1\r\n{h}\r\n"),
             &[("GET", "/a", b""), ("GET", "/b", b"")],
@@ -177,7 +181,7 @@
             ),
             &[("GET", "/a", b""), ("POST", "/w", b"xy"), ("GET", "/b", b"")],
         ),
-        // What names what it must not name in Connection.
+        // `Connection` lists fields that must not be removed.
         ok("GET /a HTTP/1.1\r\nHost: t\r\nConnection: host, x-a\r\nX-A: 1\r\n\r\n", &[("GET", "/a", b"")]),
         ok(
             &format!("POST /w HTTP/1.1\r\n{h}Connection: content-length\r\nContent-Length: 3\r\n\r\nabc"),
@@ -192,12 +196,12 @@
     ]
 }
 
-/// What is refused, with a request hidden behind it that must never be served.
-fn bad() -> Vec<Case> {
+/// Invalid requests, some with a hidden request behind them that must not be served.
+fn invalid_cases() -> Vec<Case> {
     let hidden = "GET /evil HTTP/1.1\r\nHost: t\r\n\r\n";
     let h = "Host: t.example\r\n";
     let mut cases = Vec::new();
-    // Where the body ends can be read in two ways, or not at all.
+    // The end of the body is ambiguous or unknown.
     for (fields, status) in [
         ("Content-Length: 5\r\nContent-Length: 5", 400),
         ("Content-Length: 5\r\nContent-Length: 0", 400),
@@ -257,7 +261,7 @@
         ));
     }
     cases.push(case("POST /w HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", &[4], &[]));
-    // Chunks that are none.
+    // Invalid chunks.
     for chunks in [
         "x\r\n",
         "-1\r\nabc\r\n0\r\n\r\n",
@@ -278,7 +282,7 @@
         let raw = format!("POST /w HTTP/1.1\r\n{h}Transfer-Encoding: chunked\r\n\r\n{chunks}{hidden}");
         cases.push(case(&raw, &[4], &[]));
     }
-    // First lines and fields that are none.
+    // Invalid request lines and fields.
     for first in [
         "GET  /a HTTP/1.1",
         "GET /a  HTTP/1.1",
@@ -337,8 +341,7 @@
     let long = "y".repeat(40_000);
     cases.push(case(&format!("GET /a HTTP/1.1\r\n{h}X: {long}\r\n\r\n"), &[4], &[]));
     cases.push(case(&format!("GET /{long} HTTP/1.1\r\n{h}\r\n"), &[4], &[]));
-    // The first is good and the second is not: the first has its answer or none, and the second is never
-    // served.
+    // The framing is invalid and the connection persistent: the hidden request must not be served.
     cases.push(case(
         &format!("POST /w HTTP/1.1\r\n{h}Transfer-Encoding: chunked, chunked\r\nConnection: keep-alive\r\n\r\n0\r\n\r\n{hidden}"),
         &[400],
@@ -347,23 +350,24 @@
     cases
 }
 
-fn node(boxes: SocketAddr) -> Node {
+fn node(backend: SocketAddr) -> Node {
     let routes = "[[class]]\nname = \"r\"\nrepeat = \"safe\"\ntime = \"20s\"\n\
         [[class]]\nname = \"w\"\nrepeat = \"unsafe\"\ntime = \"20s\"\n\
         [[route]]\nprefix = \"/\"\nclass = \"r\"\ncluster = \"c\"\n\
         [[route]]\npath = \"/w\"\nclass = \"w\"\ncluster = \"c\"\n";
     Node::from_file(&format!(
         "[[listener]]\naddress = \"127.0.0.1:0\"\n[[cluster]]\nname = \"c\"\n[[cluster.box]]\nname = \"b\"\n\
-         address = \"{boxes}\"\n{routes}"
+         address = \"{backend}\"\n{routes}"
     ))
 }
 
-/// Puts a case to the node, in pieces of so many bytes, and returns what is wrong with what came of it.
-fn put(node: &Node, reader: &Reader, case: &Case, piece: usize) -> Option<String> {
-    reader.recorded.lock().expect("a log").clear();
+/// Sends a case to the node in pieces of this size. Returns a description of the failure if the result is not
+/// as expected.
+fn check_case(node: &Node, backend: &StrictBackend, case: &Case, piece: usize) -> Option<String> {
+    backend.recorded.lock().expect("a log").clear();
     let mut client = node.client();
     for piece in case.raw.as_bytes().chunks(piece) {
-        // The node may have closed by then.
+        // The node may have closed the connection.
         if client.stream.write_all(piece).is_err() {
             break;
         }
@@ -378,11 +382,11 @@
             (expected, status) => status == Some(*expected),
         };
         if !good {
-            return Some(format!("answered {status:?}, expected {expected}"));
+            return Some(format!("status {status:?}, expected {expected}"));
         }
     }
     if case.recorded.is_empty() {
-        // Nothing more comes of it, but that the connection ends.
+        // The connection must end without a further response.
         let mut rest = Vec::new();
         client.stream.set_read_timeout(Some(PEER_TIMEOUT)).expect("a socket");
         if let Err(e) = client.stream.read_to_end(&mut rest)
@@ -391,13 +395,13 @@
             return Some(format!("its connection does not end: {e}"));
         }
         if rest.windows(5).any(|w| w == b"/evil") || rest.starts_with(b"HTTP/1.1 200") {
-            return Some(format!("served behind it: {}", String::from_utf8_lossy(&rest)));
+            return Some(format!("the hidden request was served: {}", String::from_utf8_lossy(&rest)));
         }
     }
-    let recorded = reader.recorded.lock().expect("a log").clone();
+    let recorded = backend.recorded.lock().expect("a log").clone();
     let expected: Vec<_> =
         case.recorded.iter().map(|(m, t, b)| (m.to_string(), t.to_string(), b.to_vec())).collect();
-    (recorded != expected).then(|| format!("the box read {recorded:?}"))
+    (recorded != expected).then(|| format!("the backend received {recorded:?}"))
 }
 
 fn read_head(client: &mut Peer) -> Option<u16> {
@@ -410,17 +414,17 @@
 }
 
 #[test]
-fn what_a_backend_counts_is_what_its_clients_meant() {
-    let reader = reader();
-    let node = node(reader.address);
-    let cases: Vec<_> = good().into_iter().chain(bad()).collect();
+fn the_backend_receives_the_requests_that_clients_meant() {
+    let backend = start_strict_backend();
+    let node = node(backend.address);
+    let cases: Vec<_> = valid_cases().into_iter().chain(invalid_cases()).collect();
     assert!(cases.len() >= 120, "{} cases", cases.len());
     let mut wrong = Vec::new();
     for piece in [usize::MAX, 7] {
         for case in &cases {
-            // A head of 40,000 bytes byte by byte is the same as at once.
+            // Cases with a head of 40,000 bytes are sent at once only, which saves time.
             let piece = if case.raw.len() > 10_000 { usize::MAX } else { piece };
-            if let Some(what) = put(&node, &reader, case, piece) {
+            if let Some(what) = check_case(&node, &backend, case, piece) {
                 let raw: String = case.raw.chars().take(200).collect();
                 wrong.push(format!("{raw:?} in pieces of {piece}: {what}"));
             }
--- a/crates/marlwinch/tests/file_node.rs
+++ b/crates/marlwinch/tests/file_node.rs
@@ -1,5 +1,5 @@
-//! A node from an operator's file, as a process on loopback sockets: what it takes, what reaches a backend
-//! and how often, limits, and files that change under traffic.
+//! A node with an operator's file, as a process on loopback sockets: which requests it accepts, what reaches
+//! a backend and how often, limits, and reloads under traffic.
 
 mod backends;
 mod peers;
@@ -14,7 +14,7 @@
 use std::time::Instant;
 use test_servers::execution_log::Execution;
 
-/// A file with one cluster of these backends, each with its zone, and more text.
+/// A file with one cluster of these backends, each with its zone, and further sections.
 fn file(backends: &[(SocketAddr, &str)], more: &str) -> String {
     format!("[[listener]]\naddress = \"127.0.0.1:0\"\n{}{more}", cluster("tally", backends))
 }
@@ -39,8 +39,8 @@
 const SAFE: &str = "repeat = \"safe\"\ntime = \"20s\"";
 const UNSAFE: &str = "repeat = \"unsafe\"\ntime = \"20s\"";
 
-/// One class for all paths.
-fn simple(backends: &[SocketAddr], terms: &str) -> String {
+/// A file with one class for all paths.
+fn file_with_one_class(backends: &[SocketAddr], terms: &str) -> String {
     let backends: Vec<_> = backends.iter().map(|address| (*address, "east")).collect();
     file(&backends, &(class("c", terms) + &route("prefix = \"/\"", "c", "")))
 }
@@ -55,10 +55,10 @@
         .write(format!("POST {target} HTTP/1.1\r\nHost: tally.example\r\nContent-Length: 1\r\n{more}\r\nx"));
 }
 
-// ---- What is taken and what is sent on -----------------------------------------------------------
+// ---- Routing and forwarding ----------------------------------------------------------------------
 
 #[test]
-fn what_is_matched_is_what_is_sent_on() {
+fn the_path_that_was_matched_is_forwarded() {
     let backend = Listener::new();
     let more = class("c", SAFE)
         + &route("template = \"/old/{district}/{station}\"", "c", "rewrite = \"/v2/{station}/{district}\"")
@@ -80,7 +80,7 @@
         assert_eq!(request.first, format!("GET {sent} HTTP/1.1"));
         let expected = if target.starts_with("http") { "Tally.Example:8080" } else { host };
         assert_eq!(request.header("host"), Some(expected), "{target}");
-        // The client gave none; a backend needs one to tell repeats.
+        // The client sent no id; the node adds one, as backends need it to recognize repeats.
         assert!(request.header("x-correlation-id").is_some_and(|id| !id.is_empty()));
         peer.answer("200 OK", "", "");
         assert_eq!(client.read().status(), 200);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn what_no_route_takes_is_answered_and_never_sent() {
+fn requests_without_a_route_or_with_invalid_fields_are_rejected_and_not_sent() {
     let backend = Listener::new();
     let more = class("c", SAFE)
         + &class("u", UNSAFE)
@@ -138,15 +138,15 @@
 }
 
 #[test]
-fn answers_of_every_sort_are_passed_on_as_they_are() {
+fn responses_of_every_kind_are_forwarded_unchanged() {
     let backend = Listener::new();
-    let node = Node::from_file(&simple(&[backend.address()], SAFE));
+    let node = Node::from_file(&file_with_one_class(&[backend.address()], SAFE));
     let mut client = node.client();
     client.write("HEAD /a HTTP/1.1\r\nHost: t\r\n\r\n");
     let mut peer = backend.accept();
     assert_eq!(peer.read().first, "HEAD /a HTTP/1.1");
     peer.write("HTTP/1.1 200 OK\r\nContent-Length: 70\r\nETag: \"1\"\r\n\r\n");
-    // A reader of this test would wait for the body that a HEAD does not have.
+    // `Peer::read` would wait for the body, which a response to HEAD does not have.
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
@@ -173,7 +173,7 @@
         assert_eq!(answer.first, format!("HTTP/1.1 {status}"));
         assert_eq!((answer.header("x-of-box"), &answer.body[..]), (Some("1"), body.unwrap_or("").as_bytes()));
     }
-    // The class is safe: to try again is harmless, whatever the backend means by it.
+    // The class is safe, so a retry is harmless whether the request ran or not.
     for (status, expected) in [("429 Slow Down", 429), ("503 Later", 503), ("500 Broken", 500)] {
         client.write("GET /a HTTP/1.1\r\nHost: t\r\n\r\n");
         peer.read();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn the_key_in_the_path_goes_to_the_backend() {
+fn the_idempotency_key_of_the_path_is_sent_to_the_backend() {
     let backend = Listener::new();
     let keyed = class("k", "repeat = \"keyed\"\nscope = \"zone\"\nwindow = \"600ms\"\ntime = \"20s\"")
         + &route("template = \"/submit/{sheet}\"", "k", "key = \"sheet\"\nsubject = \"sheet\"");
@@ -200,11 +200,11 @@
     assert_eq!(client.read().status(), 200);
 }
 
-// ---- Terms ---------------------------------------------------------------------------------------
+// ---- Time limits and retries ---------------------------------------------------------------------
 
-/// The whole time, the time of an attempt and the client's own, each with backends that never answer.
+/// The time limits of a request, of an attempt, and of the client, each with backends that do not respond.
 #[test]
-fn times_of_a_class_are_held() {
+fn time_limits_of_a_class_are_kept() {
     let backends = Backends::with_faults(3, &fault_for_each(3, "stall", "time = \"1h\""));
     let executions = &backends.execution_log;
     let addresses: Vec<_> = backends.addresses.iter().map(|address| (*address, "east")).collect();
@@ -232,9 +232,9 @@
     assert_eq!((executions.executions_of("s").len(), executions.executions_of("l").len()), (1, 1));
 }
 
-/// What an unsafe class may have: another attempt after what never ran, and none after anything else.
+/// An unsafe request is retried only if it did not run.
 #[test]
-fn two_thousand_unsafe_requests_and_none_runs_twice() {
+fn none_of_two_thousand_unsafe_requests_runs_twice() {
     const CLIENTS: u64 = 8;
     const EACH: u64 = 250;
     let faults = [
@@ -246,16 +246,16 @@
     ];
     let faults: String = faults.iter().map(|(what, more)| fault_for_each(4, what, more)).collect();
     let backends = Backends::with_faults(4, &faults);
-    // One more that refuses every connection.
+    // One more backend refuses every connection.
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-    let nobody = socket.local_addr().ok().and_then(|a| a.as_socket()).expect("an address");
+    let refusing = socket.local_addr().ok().and_then(|a| a.as_socket()).expect("an address");
     let mut addresses = backends.addresses.clone();
-    addresses.push(nobody);
+    addresses.push(refusing);
     let terms = format!(
         "{UNSAFE}\nattempts = 4\nback-off = {{ first = \"1ms\" }}\nbudget = {{ share = 1, floor = \"100/s\" }}"
     );
-    let node = Node::from_file(&simple(&addresses, &terms));
+    let node = Node::from_file(&file_with_one_class(&addresses, &terms));
     let address = node.address;
     let clients: Vec<_> = (0..CLIENTS)
         .map(|client| {
@@ -267,7 +267,7 @@
                     post(&mut peer, "/correct", &format!("X-Correlation-Id: {id}\r\n"));
                     let answer = peer.read();
                     if answer.status() == 200 {
-                        assert_eq!(answer.body, id.as_bytes(), "the answer made for this request");
+                        assert_eq!(answer.body, id.as_bytes(), "the response belongs to this request");
                     }
                     statuses.insert(id, answer.status());
                 }
@@ -277,34 +277,34 @@
         .collect();
     let statuses: HashMap<String, u16> =
         clients.into_iter().flat_map(|client| client.join().expect("a client")).collect();
-    assert_eq!(statuses.len() as u64, CLIENTS * EACH, "one answer each");
+    assert_eq!(statuses.len() as u64, CLIENTS * EACH, "one response each");
     let mut seen: HashMap<u16, usize> = HashMap::new();
     for (id, status) in &statuses {
         let runs = backends.execution_log.executions_of(id).len();
         assert!(runs <= 1, "{id} ran {runs} times");
         match status {
-            200 => assert_eq!(runs, 1, "{id} is served and has run"),
-            503 => assert_eq!(runs, 0, "{id} is refused, and ran"),
-            // Nothing came, or the backend's own word that something went wrong.
+            200 => assert_eq!(runs, 1, "{id} is served, and did not run once"),
+            503 => assert_eq!(runs, 0, "{id} is rejected, and ran"),
+            // No response arrived, or the backend responded with an error.
             500 | 502 => {}
             other => panic!("{id}: {other}"),
         }
         *seen.entry(*status).or_default() += 1;
     }
-    // The faults were there, and retries made up for those that are harmless.
+    // The faults took place, and retries compensated for the harmless ones.
     assert!(seen[&502] + seen[&500] > 100 && seen[&200] > 1000, "{seen:?}");
-    println!("answers by status: {seen:?}");
+    println!("responses by status: {seen:?}");
 }
 
-/// Keyed: repeats only in the zone of the first that may have run, within the window.
+/// A keyed request is retried only in the zone of the first attempt that may have run, and within the window.
 #[test]
-fn keyed_requests_repeat_within_their_zone_and_window() {
+fn keyed_requests_are_retried_only_within_their_zone_and_window() {
     let faults =
         fault_for_each(6, "error", "every = 3") + &fault_for_each(6, "reset-at", "every = 4\nbytes = 0");
     let backends = Backends::with_faults(6, &faults);
     let zones = ["east", "west"];
     let addresses: Vec<_> = backends.addresses.iter().enumerate().map(|(i, a)| (*a, zones[i % 2])).collect();
-    // The window is long beside what a slow machine may add; the order of things is what is tested.
+    // The window is much longer than delays of a slow machine, as the test is about the order of events.
     let keyed = "repeat = \"keyed\"\nscope = \"zone\"\nwindow = \"10s\"\nkey-header = \"idempotency-key\"\n\
         time = \"9s\"\nretry-on = [\"error\", \"reset\"]\nattempts = 3\nattempt-time = \"2s\"\n\
         budget = { share = 1 }";
@@ -323,8 +323,8 @@
             runs.iter().all(|run| run.received_at < runs[0].received_at + std::time::Duration::from_secs(10))
         );
         assert!(runs.iter().all(|run| run.key.as_deref() == Some(&format!("k{id}"))));
-        let met: std::collections::HashSet<_> = runs.iter().map(|run| &run.backend).collect();
-        assert_eq!(met.len(), runs.len(), "twice to one box: {runs:?}");
+        let distinct: std::collections::HashSet<_> = runs.iter().map(|run| &run.backend).collect();
+        assert_eq!(distinct.len(), runs.len(), "twice to one backend: {runs:?}");
     }
     assert!(served > 200 && repeated > 50, "{served} served, {repeated} repeated");
 }
@@ -332,22 +332,22 @@
 // ---- Limits --------------------------------------------------------------------------------------
 
 #[test]
-fn so_many_are_in_hand_the_next_wait_and_the_rest_are_refused_at_once() {
+fn requests_beyond_the_concurrency_limit_wait_and_those_beyond_the_queue_are_rejected() {
     let backend = Listener::new();
     let terms =
         format!("{SAFE}\nin-hand = 1\nqueue = {{ length = 1, time = \"15s\" }}\nretry-after = \"1.2s\"");
-    let node = Node::from_file(&simple(&[backend.address()], &terms));
+    let node = Node::from_file(&file_with_one_class(&[backend.address()], &terms));
     let (mut first, mut second, mut third) = (node.client(), node.client(), node.client());
     let send_request = |client: &mut Peer| client.write("GET /a HTTP/1.1\r\nHost: t\r\n\r\n");
     send_request(&mut first);
     let mut peer = backend.accept();
     peer.read();
-    // Whichever of these comes second waits, and the other one is refused while that does.
+    // The node queues one of these two and rejects the other, depending on which it reads first.
     send_request(&mut second);
     send_request(&mut third);
     let started = Instant::now();
     let waits = loop {
-        assert!(started.elapsed() < PEER_TIMEOUT, "nobody is refused");
+        assert!(started.elapsed() < PEER_TIMEOUT, "no request is rejected");
         if third.has_more() {
             break (&mut second, &mut third);
         }
@@ -366,9 +366,10 @@
     peer.answer("200 OK", "", "first");
     assert_eq!(first.read().body, b"first");
     peer.read();
-    // The one that waited is in hand now; a client that leaves while it waits makes room for nobody but the
-    // next. The node has seen it leave once it closes its own side: a place that comes free before that may
-    // be given to it, as `a_place_is_free_again_where_its_request_was_sent_before_its_client_left` shows.
+    // The queued request is in progress now. A client that disconnects while its request is queued only frees
+    // its place in the queue. The node has noticed that once it closes its own side: a place that becomes
+    // free before may still go to it, as in
+    // `a_place_is_free_again_if_its_client_disconnects_after_the_request_was_sent`.
     send_request(&mut first);
     first.stream.shutdown(std::net::Shutdown::Write).expect("closed");
     first.expect_end();
@@ -382,10 +383,10 @@
 }
 
 #[test]
-fn a_place_is_free_again_where_its_request_was_sent_before_its_client_left() {
+fn a_place_is_free_again_if_its_client_disconnects_after_the_request_was_sent() {
     let backend = Listener::new();
     let terms = format!("{SAFE}\nin-hand = 1\nqueue = {{ length = 1, time = \"15s\" }}");
-    let node = Node::from_file(&simple(&[backend.address()], &terms));
+    let node = Node::from_file(&file_with_one_class(&[backend.address()], &terms));
     let (mut first, mut leaves) = (node.client(), node.client());
     let send_request = |client: &mut Peer| client.write("GET /a HTTP/1.1\r\nHost: t\r\n\r\n");
     send_request(&mut first);
@@ -396,7 +397,7 @@
     assert_eq!(first.read().body, b"first");
     peer.read();
     drop(leaves);
-    // The attempt is called off with its connection, and the next request gets the place and another
+    // The attempt is cancelled by closing its connection, and the next request gets the place and another
     // connection.
     peer.expect_end();
     let mut next = node.client();
@@ -411,8 +412,8 @@
 fn a_tenant_beyond_its_rate_is_rejected_with_the_time_to_retry() {
     let backend = Listener::new();
     let terms = format!("{SAFE}\ntenant-rate = {{ rate = \"2/m\", burst = 2 }}\nbudget = {{ share = 0.2 }}");
-    let text =
-        simple(&[backend.address()], &terms) + "[[tenant]]\nname = \"pati\"\n[[tenant]]\nname = \"kudus\"\n";
+    let text = file_with_one_class(&[backend.address()], &terms)
+        + "[[tenant]]\nname = \"pati\"\n[[tenant]]\nname = \"kudus\"\n";
     let node = Node::from_file(&text);
     let mut client = node.client();
     let mut peer: Option<Peer> = None;
@@ -428,16 +429,16 @@
     let answer = get(&mut client, "/a", "X-Account: pati\r\n");
     assert_eq!(answer.status(), 429);
     let after: u64 = answer.header("retry-after").and_then(|t| t.parse().ok()).expect("a wait");
-    assert!((2..=30).contains(&after), "the next one is allowed 30 s after the first: {after}");
+    assert!((2..=30).contains(&after), "the next request is allowed 30 s after the first: {after}");
     served(&mut client, "kudus");
 }
 
-// ---- Files that change ---------------------------------------------------------------------------
+// ---- Reloads -------------------------------------------------------------------------------------
 
-/// A class turns from keyed into unsafe while one of its requests is in hand: that one is still sent again
-/// after an error, the next one is not; and the other way round.
+/// A class changes from keyed to unsafe while one of its requests is in progress: this one is still retried
+/// after an error, the next one is not.
 #[test]
-fn a_request_in_hand_keeps_the_terms_that_it_was_taken_under() {
+fn a_request_in_progress_keeps_the_settings_under_which_it_was_accepted() {
     let (one, other) = (Listener::new(), Listener::new());
     let backends = [(one.address(), "east"), (other.address(), "east")];
     let keyed = "repeat = \"keyed\"\nscope = \"zone\"\nwindow = \"19s\"\nkey-header = \"idempotency-key\"\n\
@@ -453,32 +454,32 @@
     node.logged("taken: 1 routes");
     peer.answer("500 Broken", "", "");
     let mut second = [&one, &other][1 - first].accept();
-    assert_eq!(second.read().header("idempotency-key"), Some("1"), "sent again, as it was promised");
-    // This one is taken under the new file: an error ends it, and its key means nothing.
+    assert_eq!(second.read().header("idempotency-key"), Some("1"), "retried under the old settings");
+    // This request is accepted under the new file: it is not retried after an error, and its key is ignored.
     let mut late = node.client();
     post(&mut late, "/submit", "");
     let mut peers = [peer, second];
     let started = Instant::now();
     let third = loop {
-        assert!(started.elapsed() < PEER_TIMEOUT, "the request reaches no box");
+        assert!(started.elapsed() < PEER_TIMEOUT, "the request reaches no backend");
         if let Some(found) = [0, 1].into_iter().find(|i| peers[*i].has_more()) {
             break found;
         }
         std::thread::sleep(std::time::Duration::from_millis(1));
     };
-    assert_eq!(third, 0, "the other connection has a request in hand");
+    assert_eq!(third, 0, "the other connection has a request in progress");
     peers[0].read();
     peers[0].answer("500 Broken", "", "");
-    assert_eq!(late.read().status(), 500, "unsafe: the box's own answer, and not sent again");
+    assert_eq!(late.read().status(), 500, "unsafe: the backend's own response, and no retry");
     peers[1].answer("200 OK", "", "kept");
     assert_eq!(client.read().body, b"kept");
     assert!(one.is_untouched() && other.is_untouched());
 }
 
-/// A copy is out when the file changes to one without copies and another cluster: the copy still brings the
-/// answer.
+/// A hedged copy of a request is at a backend when a reload removes copies and the cluster: the response of
+/// the copy must still reach the client.
 #[test]
-fn a_copy_that_is_out_outlives_its_file() {
+fn a_copy_in_progress_outlives_its_file() {
     let (one, other, new) = (Listener::new(), Listener::new(), Listener::new());
     let backends = [(one.address(), "east"), (other.address(), "east")];
     let copied = "repeat = \"safe\"\ntime = \"20s\"\ncopies = { after = \"5ms\", share = 1 }";
@@ -497,7 +498,7 @@
     node.reload(&text);
     node.logged("no longer in the file");
     node.logged("taken: 1 routes, 1 clusters, 1 boxes");
-    // The old cluster has ended only once what it had taken is answered.
+    // The old cluster ends only once its requests have responses.
     copy.answer("200 OK", "", "by the copy");
     assert_eq!(client.read().body, b"by the copy");
     peer.expect_end();
@@ -509,12 +510,12 @@
     assert_eq!(client.read().body, b"fresh");
 }
 
-/// Files change 200 times under traffic, every other one bad: each request has one answer, and each is served
-/// under one file: its cluster, its class and its path belong together.
+/// Every other of 200 reloads under traffic has an invalid file. Each request must have one response and must
+/// be handled under a single file: its cluster, its class and its path belong together.
 #[test]
-fn two_hundred_reloads_under_traffic_lose_and_mix_nothing() {
+fn two_hundred_reloads_under_traffic_lose_no_request_and_mix_no_files() {
     let backends = Backends::with_faults(4, "");
-    // Boxes 0 and 1 are cluster `a` and know `/a/…`, boxes 2 and 3 are `b` and know `/b/…`.
+    // Backends 0 and 1 are cluster `a` with paths `/a/…`, backends 2 and 3 are cluster `b` with paths `/b/…`.
     let of = |name: &str, backends: &[SocketAddr]| {
         let backends: Vec<_> = backends.iter().map(|address| (*address, "east")).collect();
         cluster(name, &backends)
@@ -559,7 +560,7 @@
             node.reload(&bad);
             node.logged("MW100");
         }
-        // Some traffic between any two.
+        // Some traffic between two reloads.
         let started = Instant::now();
         while requests.load(Ordering::Relaxed) < before + 8 {
             assert!(started.elapsed() < PEER_TIMEOUT, "no traffic");
@@ -569,22 +570,22 @@
     finished.store(true, Ordering::Relaxed);
     let sent: u64 = clients.into_iter().map(|client| client.join().expect("a client")).sum();
     let all = backends.execution_log.all_executions();
-    assert_eq!(all.len() as u64, sent, "each has run");
+    assert_eq!(all.len() as u64, sent, "each request ran");
     let mut by_cluster = [0, 0];
     for (id, runs) in &all {
         assert_eq!(runs.len(), 1, "{id}: {runs:?}");
         let cluster = backend_index(&runs[0].backend) / 2;
-        assert_eq!(runs[0].path, format!("/{}/{id}", ["a", "b"][cluster]), "a mixed configuration");
+        assert_eq!(runs[0].path, format!("/{}/{id}", ["a", "b"][cluster]), "two files are mixed");
         by_cluster[cluster] += 1;
     }
     assert!(by_cluster.iter().all(|n| *n > 100), "{by_cluster:?}");
 }
 
-/// A backend that the new file says drains gets nothing more; what it has in hand is answered.
+/// A reload sets a backend to draining while it has a request in progress.
 #[test]
-fn a_backend_that_drains_by_the_file_gets_nothing_new() {
+fn a_backend_that_the_file_drains_gets_no_new_requests() {
     let (one, other) = (Listener::new(), Listener::new());
-    let text = simple(&[one.address(), other.address()], SAFE);
+    let text = file_with_one_class(&[one.address(), other.address()], SAFE);
     let node = Node::from_file(&text);
     let mut client = node.client();
     client.write("GET /a HTTP/1.1\r\nHost: t\r\n\r\n");
@@ -609,12 +610,12 @@
     assert!([&one, &other][first].is_untouched());
 }
 
-/// Listeners may change with the file; one that can't be opened leaves everything as it was.
+/// If a new listener can't be opened, the reload changes nothing.
 #[test]
-fn listeners_change_with_the_file_or_nothing_does() {
+fn a_reload_changes_listeners_or_nothing() {
     let backend = Listener::new();
     let taken = Listener::new();
-    let text = simple(&[backend.address()], SAFE);
+    let text = file_with_one_class(&[backend.address()], SAFE);
     let node = Node::from_file(&text);
     node.reload(&text.replace("127.0.0.1:0", &taken.address().to_string()));
     node.logged("refused, going on with the file as it was");
@@ -624,7 +625,7 @@
     peer.read();
     peer.answer("200 OK", "", "");
     assert_eq!(client.read().status(), 200);
-    // Another address of loopback, at a port that was free a moment ago on all of them.
+    // Another loopback address, with a port that has just been free on all of them.
     let free = TcpStream::connect(node.address).expect("a connection").local_addr().expect("its port").port();
     let moved = SocketAddr::from(([127, 0, 0, 7], free));
     node.reload(&text.replace("127.0.0.1:0", &moved.to_string()));
@@ -639,9 +640,9 @@
 }
 
 #[test]
-fn sigterm_ends_it_once_all_is_answered() {
+fn after_sigterm_the_node_exits_once_all_requests_have_responses() {
     let backend = Listener::new();
-    let mut node = Node::from_file(&simple(&[backend.address()], SAFE));
+    let mut node = Node::from_file(&file_with_one_class(&[backend.address()], SAFE));
     let mut client = node.client();
     client.write("GET /a HTTP/1.1\r\nHost: t\r\n\r\n");
     let mut peer = backend.accept();
@@ -657,7 +658,7 @@
 // ---- The command line ----------------------------------------------------------------------------
 
 #[test]
-fn a_bad_file_does_not_start_and_exits_with_its_own_code() {
+fn run_and_check_of_an_invalid_file_exit_with_code_3() {
     let bad = OnDisk::new("[[listener]]\naddress = \"127.0.0.1:0\"\nport = 1\n");
     let folder = std::env::temp_dir();
     for command_name in ["run", "check"] {
@@ -676,9 +677,9 @@
     assert_eq!(command(&["swim"]).status.code(), Some(2));
 }
 
-/// A pipe in place of a file would hold up a check, or a node that reads it anew, for ever.
+/// Reading a pipe would block a check, or a node at a reload, forever.
 #[test]
-fn a_pipe_is_no_file() {
+fn a_pipe_is_rejected_as_a_file() {
     let path = std::env::temp_dir().join(format!("marlwinch-pipe-{}", std::process::id()));
     let made = std::process::Command::new("mkfifo").arg(&path).status().expect("mkfifo");
     assert!(made.success());
@@ -689,8 +690,8 @@
 }
 
 #[test]
-fn check_says_nothing_of_a_good_file_and_one_object_with_json() {
-    let good = OnDisk::new(&simple(&[SocketAddr::from(([127, 0, 0, 1], 9001))], SAFE));
+fn check_prints_nothing_for_a_valid_file_and_one_object_with_json() {
+    let good = OnDisk::new(&file_with_one_class(&[SocketAddr::from(([127, 0, 0, 1], 9001))], SAFE));
     let ended = command(&["check", good.path()]);
     assert_eq!((ended.status.code(), ended.stdout.len(), ended.stderr.len()), (Some(0), 0, 0));
     let json = |path: &str| -> (Option<i32>, serde_json::Value) {
@@ -702,7 +703,7 @@
         (code, &report["accepted"], &report["faults"]),
         (Some(0), &true.into(), &serde_json::json!([]))
     );
-    let bad = OnDisk::new(&simple(
+    let bad = OnDisk::new(&file_with_one_class(
         &[SocketAddr::from(([127, 0, 0, 1], 9001))],
         "repeat = \"unsafe\"\nretry-on = [\"error\"]",
     ));
@@ -740,7 +741,7 @@
     assert_eq!((code, String::from_utf8_lossy(&output).contains("400")), (Some(4), true));
 }
 
-/// The example of the README, with real backends behind it.
+/// The example of the README, with test backends.
 #[test]
 fn the_example_serves_each_of_its_classes() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/example.toml");
@@ -758,12 +759,12 @@
     assert_eq!(client.read().body, b"3");
 }
 
-/// What the node takes is written down and can be replayed; a file without a trace ends it.
+/// The node writes a trace that the load generator can replay. A reload of a file without `[trace]` ends it.
 #[test]
-fn what_is_taken_is_recorded_as_a_trace() {
+fn accepted_requests_are_recorded_as_a_trace() {
     let backends = Backends::with_faults(1, "");
     let trace = OnDisk::new("");
-    let text = simple(&backends.addresses, UNSAFE) + "[[tenant]]\nname = \"pati\"\n";
+    let text = file_with_one_class(&backends.addresses, UNSAFE) + "[[tenant]]\nname = \"pati\"\n";
     let traced = format!("{text}[trace]\nfile = \"{}\"\n", trace.path());
     let mut node = Node::from_file(&traced);
     let mut client = node.client();
@@ -771,7 +772,7 @@
         post(&mut client, &format!("/sheet/{number}?a=b"), "X-Account: pati\r\nIdempotency-Key: k\r\n");
         assert_eq!(client.read().status(), 200);
     }
-    // The size of a body in chunks is known when it has come.
+    // The size of a chunked body is known only at its end.
     let mut chunked = node.client();
     chunked.write(
         "POST /chunks HTTP/1.1\r\nHost: t.example\r\nX-Account: pati\r\nTransfer-Encoding: chunked\r\n\r\n\
--- a/crates/marlwinch/tests/golden_data_plane.rs
+++ b/crates/marlwinch/tests/golden_data_plane.rs
@@ -1,11 +1,10 @@
-//! The figures that the data plane tells, as its process tells them over HTTP, held against a golden file:
-//! names, helps, types and labels. Each value is replaced by `(value)`, the length by `(length)` and the date
-//! by `(time)`; lines of one family stand in the order of the alphabet. The test is the agent of the process,
-//! its clients and its backends, and brings about every cause that is a label.
+//! Compares the metrics of the data plane, as its process serves them over HTTP, with a golden file: names,
+//! descriptions, types and labels. `(value)` replaces each value, `(length)` the length and `(time)` the
+//! date; the lines of a family are sorted. The test acts as the agent, the clients and the backends of the
+//! process, and produces every cause that is a label.
 //!
-//! The golden file is written on purpose alone: `GOLDEN=write cargo test -p marlwinch --test
-//! golden_data_plane`. Without that, a file that is missing or differs fails the test with the place of the
-//! first difference.
+//! `GOLDEN=write cargo test -p marlwinch --test golden_data_plane` writes the golden file. Without that
+//! variable a missing or different file fails the test with the location of the first difference.
 
 #[path = "../../control-protocol/tests/golden/compare.rs"]
 mod compare;
@@ -30,8 +29,8 @@
 use std::process::{Child, Command, Stdio};
 
 const ORDER: &str = "POST /order/1";
-/// The causes for which the data plane answers by itself, as its figures label them, with the status of each.
-const OWN_ANSWERS: [(&str, u16); 9] = [
+/// The causes of responses that the data plane makes itself, by their labels, with the status of each.
+const OWN_RESPONSES: [(&str, u16); 9] = [
     ("refused", 503),
     ("bad", 400),
     ("unauthorized", 401),
@@ -43,31 +42,31 @@
     ("over_quota", 429),
 ];
 
-/// The agent's end of the link to the data plane.
+/// The agent's end of the connection to the data plane.
 struct AgentEnd {
     stream: TcpStream,
     read: BytesMut,
 }
 
 impl AgentEnd {
-    fn say(&mut self, message: &ToProxy) {
+    fn send(&mut self, message: &ToProxy) {
         self.stream.write_all(&control_protocol::encode(message).expect("a frame")).expect("written");
     }
 
-    fn hear(&mut self) -> FromProxy {
+    fn receive(&mut self) -> FromProxy {
         loop {
             if let Some(message) = control_protocol::decode(&mut self.read).expect("a message") {
                 return message;
             }
-            let mut piece = [0; 4096];
-            let count = self.stream.read(&mut piece).expect("it goes on");
-            assert!(count > 0, "the link has ended");
-            self.read.extend_from_slice(&piece[..count]);
+            let mut chunk = [0; 4096];
+            let count = self.stream.read(&mut chunk).expect("a message arrives");
+            assert!(count > 0, "the connection has ended");
+            self.read.extend_from_slice(&chunk[..count]);
         }
     }
 }
 
-/// A data plane that runs as a process. It is killed when dropped.
+/// The process of a data plane. It is killed when dropped.
 struct DataPlane {
     process: Child,
     agent: AgentEnd,
@@ -80,18 +79,18 @@
 
 impl DataPlane {
     fn start() -> Self {
-        // An address of this process alone, whose ports nobody else takes.
+        // An address that only this process uses, so that no other process takes its ports.
         let process = std::process::id();
         let ip = Ipv4Addr::new(127, 1 + ((process >> 8) % 250) as u8, process as u8, 201);
         let free = || TcpListener::bind((ip, 0)).expect("a free port");
         let agent = free();
-        let at_agent = agent.local_addr().expect("an address").port();
-        let first = at_agent - 1;
+        let agent_port = agent.local_addr().expect("an address").port();
+        let first = agent_port - 1;
         let [frontend, readiness, metrics] = ports_beside(first, free);
         let folder = Folder::new("golden-data-plane");
         let file = folder.file("node.yaml");
         let settings = format!(
-            "node_name: f-1\nip: {ip}\nzone: east\ninternal_port_range: [{first}, {at_agent}]\n\
+            "node_name: f-1\nip: {ip}\nzone: east\ninternal_port_range: [{first}, {agent_port}]\n\
              listen: {{frontend: '{ip}:{frontend}', readiness: '{ip}:{readiness}'}}\n\
              limits: {{cpu_share: 1, cores: 1, memory_mb: 200, max_fds: 1024, link_mbps: 1000, disk_mb: 0}}\n"
         );
@@ -111,16 +110,16 @@
         DataPlane { process, agent, frontend, metrics, sequence: 0, version: 0, _folder: folder }
     }
 
-    /// Gives it a newer list, and after that a newer configuration, and waits until that is in force.
-    fn serve(&mut self, configuration: &str, backends: Vec<Backend>) {
+    /// Sends a new list, then a new configuration, and waits until the configuration is applied.
+    fn update(&mut self, configuration: &str, backends: Vec<Backend>) {
         self.version += 1;
         self.agent
-            .say(&ToProxy::Backends(BackendList { version: BackendListVersion(self.version), backends }));
+            .send(&ToProxy::Backends(BackendList { version: BackendListVersion(self.version), backends }));
         self.sequence += 1;
         let sequence = self.sequence;
         let document = configuration.as_bytes().to_vec();
-        self.agent.say(&ToProxy::Configuration { sequence: ConfigurationSequence(sequence), document });
-        while self.agent.hear()
+        self.agent.send(&ToProxy::Configuration { sequence: ConfigurationSequence(sequence), document });
+        while self.agent.receive()
             != (FromProxy::ConfigurationApplied { sequence: ConfigurationSequence(sequence) })
         {}
     }
@@ -129,25 +128,25 @@
         Peer::connect(self.frontend)
     }
 
-    /// The status of the answer to this.
+    /// Sends a request and returns the status of the response.
     fn status(&self, text: &str) -> u16 {
         let mut client = self.client();
         client.write(text);
         client.read().status()
     }
 
-    /// The node's next question that names the tenant.
-    fn question(&mut self) -> QuotaRequest {
+    /// Waits for the next quota request that names the tenant.
+    fn next_quota_request(&mut self) -> QuotaRequest {
         loop {
-            let FromProxy::QuotaRequest(question) = self.agent.hear() else { continue };
-            if question.demands.iter().any(|demand| demand.tenant == "acme") {
-                return question;
+            let FromProxy::QuotaRequest(request) = self.agent.receive() else { continue };
+            if request.demands.iter().any(|demand| demand.tenant == "acme") {
+                return request;
             }
         }
     }
 
-    /// What its figures are told as, with the head of that answer.
-    fn figures(&self) -> String {
+    /// The response of the metrics endpoint, with its head.
+    fn metrics_response(&self) -> String {
         let mut client = Peer::connect(self.metrics);
         client.write("GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n");
         let answer = client.read();
@@ -170,7 +169,7 @@
     }
 }
 
-/// Three ports that are free, none of which is this one.
+/// Three free ports other than this one.
 fn ports_beside(taken: u16, free: impl Fn() -> TcpListener) -> [u16; 3] {
     let (mut held, mut ports) = (Vec::new(), Vec::new());
     while ports.len() < 3 {
@@ -188,32 +187,33 @@
     request(ORDER, "r-1", more, body)
 }
 
-/// A request for which some backend fails or refuses in a way of its own; each under another instance, so
-/// that nothing is known of it from before.
-fn ask_of_backend(plane: &mut DataPlane, instance: &str, answered: Option<String>) -> u16 {
-    let there = Listener::new();
-    plane.serve(&configuration(|_| {}), vec![backend(instance, &there)]);
+/// Sends a request to a backend that responds with this text or not at all, and returns the status. Each call
+/// needs a new instance id, so that the data plane knows nothing of the backend.
+fn status_with_backend(plane: &mut DataPlane, instance: &str, response: Option<String>) -> u16 {
+    let listener = Listener::new();
+    plane.update(&configuration(|_| {}), vec![backend(instance, &listener)]);
     let mut client = plane.client();
-    let patience = if answered.is_some() { "15000" } else { "300" };
-    client.write(order("", "x").replace("15000", patience));
-    let (_, mut peer) = next_request(&there, &mut Vec::new());
-    if let Some(answered) = answered {
-        peer.write(answered);
+    let time_limit_ms = if response.is_some() { "15000" } else { "300" };
+    client.write(order("", "x").replace("15000", time_limit_ms));
+    let (_, mut peer) = next_request(&listener, &mut Vec::new());
+    if let Some(response) = response {
+        peer.write(response);
     }
     client.read().status()
 }
 
-/// A request beyond its tenant's limit, once the node knows of a grantor.
-fn ask_beyond_limit(plane: &mut DataPlane) -> u16 {
+/// Sends a request beyond its tenant's quota, after the node has had a response of a grantor. Returns the
+/// status.
+fn status_over_quota(plane: &mut DataPlane) -> u16 {
     let limited = configuration(|c| {
         c["tenants"][0]["rate_per_s"] = 1.into();
         c["tenants"][0]["burst"] = 0.into();
     });
-    plane.serve(&limited, Vec::new());
-    let allotment = |number: u64, question: u64, amount: f64| {
+    plane.update(&limited, Vec::new());
+    let quota_response = |number: u64, request_id: u64, amount: f64| {
         let tenant = "acme".to_owned();
         let (wait_ms, retry_ms) = (500, 700);
-        let allotments = vec![QuotaGrant {
+        let grants = vec![QuotaGrant {
             tenant,
             amount,
             fallback_rate: 0.0,
@@ -222,33 +222,27 @@
             retry_ms,
             pressure: 0.0,
         }];
-        ToProxy::QuotaResponse(QuotaResponse {
-            request_id: question,
-            epoch: 1,
-            number,
-            nodes: 4,
-            grants: allotments,
-        })
+        ToProxy::QuotaResponse(QuotaResponse { request_id, epoch: 1, number, nodes: 4, grants })
     };
-    let first = plane.question().number;
-    plane.agent.say(&allotment(1, first, 0.001));
-    while plane.question().last_answered < first {}
+    let first = plane.next_quota_request().number;
+    plane.agent.send(&quota_response(1, first, 0.001));
+    while plane.next_quota_request().last_answered < first {}
     let mut client = plane.client();
     client.write(order("", "x"));
     let mut number = 1;
     while !client.has_more() {
-        let asked = plane.question();
+        let request = plane.next_quota_request();
         number += 1;
-        plane.agent.say(&allotment(number, asked.number, 0.0));
+        plane.agent.send(&quota_response(number, request.number, 0.0));
     }
     client.read().status()
 }
 
-/// Brings about what the data plane answers by itself for a cause.
-fn bring_about(plane: &mut DataPlane, cause: &str) -> u16 {
+/// Causes a response of the data plane itself with this cause, and returns its status.
+fn status_for_cause(plane: &mut DataPlane, cause: &str) -> u16 {
     match cause {
         "refused" => {
-            plane.serve(&configuration(|_| {}), Vec::new());
+            plane.update(&configuration(|_| {}), Vec::new());
             plane.status(&order("", "x"))
         }
         "bad" => plane.status(&order("Content-Length: 1\r\n", "x")),
@@ -257,37 +251,37 @@
         "too_large" => plane.status(&order("", &"x".repeat(100_001))),
         "slow_body" => plane.status(&order("", "x").replace("Content-Length: 1", "Content-Length: 2")),
         "failed" => {
-            ask_of_backend(plane, "i-1", Some(response("503 Service Unavailable", "r-1", "", "full")))
+            status_with_backend(plane, "i-1", Some(response("503 Service Unavailable", "r-1", "", "full")))
         }
-        "timed_out" => ask_of_backend(plane, "i-2", None),
-        "over_quota" => ask_beyond_limit(plane),
-        other => panic!("nothing is known of {other}"),
+        "timed_out" => status_with_backend(plane, "i-2", None),
+        "over_quota" => status_over_quota(plane),
+        other => panic!("unknown cause {other}"),
     }
 }
 
 #[test]
-fn the_figures_of_a_data_plane() {
+fn metrics_of_a_data_plane_match_the_golden_file() {
     let mut plane = DataPlane::start();
-    for (cause, status) in OWN_ANSWERS {
-        assert_eq!(bring_about(&mut plane, cause), status, "{cause}");
+    for (cause, status) in OWN_RESPONSES {
+        assert_eq!(status_for_cause(&mut plane, cause), status, "{cause}");
     }
-    // What sends prove, beside that a request may have run.
+    // Attempts by what they prove, besides that a request may have run.
     let rejected = response("503 Service Unavailable", "r-1", "X-Not-Executed: 1\r\n", "full");
-    assert_eq!(ask_of_backend(&mut plane, "i-3", Some(rejected)), 503);
+    assert_eq!(status_with_backend(&mut plane, "i-3", Some(rejected)), 503);
     let misdirected = response("421 Misdirected Request", "r-1", "X-Instance-Id: i-7\r\n", "");
-    assert_eq!(ask_of_backend(&mut plane, "i-4", Some(misdirected)), 503);
+    assert_eq!(status_with_backend(&mut plane, "i-4", Some(misdirected)), 503);
     let gone = ClosedPort::new();
-    plane.serve(&configuration(|_| {}), vec![backend_at("i-5", gone.address())]);
+    plane.update(&configuration(|_| {}), vec![backend_at("i-5", gone.address())]);
     assert_eq!(plane.status(&order("", "x")), 503);
-    let figures = plane.figures();
-    let told = |family: &str, cause: &str| {
-        figures.contains(&format!("\nmarlwinch_data_plane_{family}_total{{cause=\"{cause}\"}} "))
+    let metrics = plane.metrics_response();
+    let has_cause = |family: &str, cause: &str| {
+        metrics.contains(&format!("\nmarlwinch_data_plane_{family}_total{{cause=\"{cause}\"}} "))
     };
-    for (cause, _) in OWN_ANSWERS {
-        assert!(told("own_answers", cause), "{cause}: {figures}");
+    for (cause, _) in OWN_RESPONSES {
+        assert!(has_cause("own_answers", cause), "{cause}: {metrics}");
     }
     for proof in ["not_written", "rejected", "misdirected", "may_have_run"] {
-        assert!(told("sends", proof), "{proof}: {figures}");
+        assert!(has_cause("sends", proof), "{proof}: {metrics}");
     }
-    compare::assert_matches_golden("golden_data_plane_metrics.txt", &figures);
+    compare::assert_matches_golden("golden_data_plane_metrics.txt", &metrics);
 }
--- a/crates/marlwinch/tests/leaving.rs
+++ b/crates/marlwinch/tests/leaving.rs
@@ -1,5 +1,5 @@
-//! Clients that leave while their request waits, at each point at which one can: what waited is not sent on
-//! 0.3 s later, however they leave and whatever they had sent ahead.
+//! Clients that disconnect while their request waits, at each point where a request can wait. 0.3 s later the
+//! request must not be sent, however the client disconnected and whatever it had sent behind its request.
 
 mod peers;
 mod sockets;
@@ -10,25 +10,25 @@
 use std::net::Shutdown;
 use std::time::{Duration, Instant};
 
-/// From then on nothing may be sent on for a client that has left.
-const TERM: Duration = Duration::from_millis(300);
+/// The node must notice a disconnect within this time.
+const DETECTION_TIME: Duration = Duration::from_millis(300);
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum How {
-    Closes,
-    Resets,
-    /// It ends its sending and goes on reading, which can't be told from a close.
-    EndsSending,
+enum Disconnect {
+    Close,
+    Reset,
+    /// It closes its sending side and continues to read, which can't be distinguished from a close.
+    ShutdownWrite,
 }
 
-const HOWS: [How; 3] = [How::Closes, How::Resets, How::EndsSending];
+const DISCONNECTS: [Disconnect; 3] = [Disconnect::Close, Disconnect::Reset, Disconnect::ShutdownWrite];
 
-/// What a client has sent behind its request.
+/// What a client has sent behind its request: a text and its number of repetitions.
 const AHEAD: [(&str, usize); 4] =
     [("", 0), ("GET /look/7f", 1), ("POST /correct/a HTTP/1.1\r\nX: y\r\n", 1), ("x", 300_000)];
 
-/// Sends a request that is never to be seen by a backend, and what comes behind it.
+/// Sends a request that no backend must receive, and the bytes behind it.
 fn ask(node: &Node, class: &str, ahead: (&str, usize)) -> Peer {
     let mut client = node.client();
     client.request(class, "X-Correlation-Id: left\r\n", "x");
@@ -37,42 +37,42 @@
 }
 
 fn send_ahead(client: &mut Peer, (ahead, times): (&str, usize)) {
-    // As much as the node's system takes: it may read none of it.
+    // As much as the kernel takes, as the node may not read it.
     client.stream.set_nonblocking(true).expect("a socket");
     let _ = std::io::Write::write(&mut client.stream, ahead.repeat(times).as_bytes());
     client.stream.set_nonblocking(false).expect("a socket");
 }
 
-/// Leaves. What is returned holds a socket open that is still the client's.
-fn leave(client: Peer, how: How) -> Option<Peer> {
+/// Disconnects. The returned peer keeps the socket open if only the sending side was closed.
+fn leave(client: Peer, how: Disconnect) -> Option<Peer> {
     match how {
-        How::Closes => None,
-        How::Resets => {
+        Disconnect::Close => None,
+        Disconnect::Reset => {
             socket2::SockRef::from(&client.stream).set_linger(Some(Duration::ZERO)).expect("a socket");
             None
         }
-        How::EndsSending => {
+        Disconnect::ShutdownWrite => {
             client.stream.shutdown(Shutdown::Write).expect("closed");
             Some(client)
         }
     }
 }
 
-/// A client that asks behind the one that leaves, and stays: what waits is sent on in the order in which it
-/// came, so that its request would come to a backend second.
-fn stay(node: &Node) -> Peer {
+/// Sends the request of a client that stays, behind that of a client that disconnects. Waiting requests are
+/// sent in the order of their arrival, so this one would reach a backend second.
+fn send_staying_request(node: &Node) -> Peer {
     let mut client = node.client();
     client.request("correct", "X-Correlation-Id: stays\r\n", "x");
-    // Both are with the node by the time at which it answers one that came behind them.
+    // The response to a later request shows that the node has read both.
     let mut other = node.client();
     other.request("nothing", "", "");
     assert_eq!(other.read().status(), 404);
     client
 }
 
-/// The request of the client that stays has to be the first that a backend gets, on a connection that is open
-/// or a new one.
-fn first_is_who_stays(mut client: Peer, backend: &Listener, peers: &mut Vec<Peer>) {
+/// Asserts that the first request at a backend is that of the client that stays, on an open or a new
+/// connection.
+fn assert_first_is_staying(mut client: Peer, backend: &Listener, peers: &mut Vec<Peer>) {
     let started = Instant::now();
     loop {
         if let Some(peer) = backend.try_accept() {
@@ -83,38 +83,41 @@
             peer.answer("200 OK", "", "done");
             break;
         }
-        assert!(started.elapsed() < PEER_TIMEOUT, "nobody asks");
+        assert!(started.elapsed() < PEER_TIMEOUT, "no request arrives");
         std::thread::sleep(Duration::from_millis(1));
     }
     assert_eq!(client.read().status(), 200);
 }
 
-/// It waits as no backend is listed. Then one is.
+/// The request waits until a backend is listed.
 #[test]
-fn what_waits_for_a_backend_is_not_sent_once_its_client_has_left() {
-    for how in HOWS {
+fn a_request_waiting_for_a_backend_is_not_sent_after_a_disconnect() {
+    for how in DISCONNECTS {
         for ahead in AHEAD {
             let (backend, discovery) = (Listener::new(), Listener::new());
             let node = Node::start(&config(discovery.address(), &list(41, true, &[]), |_| {}));
             let mut watch = discovery.open_watch();
             let client = ask(&node, "correct", ahead);
             println!("{how:?} ahead {} x {}", ahead.0.len(), ahead.1);
-            let stays = stay(&node);
+            let stays = send_staying_request(&node);
             let rest = leave(client, how);
-            std::thread::sleep(TERM);
+            std::thread::sleep(DETECTION_TIME);
             watch.line(&list(42, true, &[("s-1", backend.address(), "east", "in_service")]));
-            first_is_who_stays(stays, &backend, &mut Vec::new());
+            assert_first_is_staying(stays, &backend, &mut Vec::new());
             drop(rest);
         }
     }
 }
 
-/// It has been picked for a backend, and the connection there is not up yet. Then it comes up. Whether the
-/// settings allow attempts to be called off or not: nothing has gone out that could be.
+/// The request waits for the connection to its backend. This holds also if the settings forbid to cancel
+/// attempts, as nothing has been sent.
 #[test]
-fn what_waits_for_a_connection_is_not_written_once_its_client_has_left() {
-    let cases =
-        [(true, How::Closes, AHEAD[0]), (false, How::Resets, AHEAD[1]), (false, How::EndsSending, AHEAD[3])];
+fn a_request_waiting_for_a_connection_is_not_sent_after_a_disconnect() {
+    let cases = [
+        (true, Disconnect::Close, AHEAD[0]),
+        (false, Disconnect::Reset, AHEAD[1]),
+        (false, Disconnect::ShutdownWrite, AHEAD[3]),
+    ];
     for (cancel, how, ahead) in cases {
         let (backend, full) = Listener::full();
         let discovery = Listener::new();
@@ -124,27 +127,27 @@
             c["settings"]["Permissions"]["Cancel"] = cancel.into();
         }));
         let client = ask(&node, "correct", ahead);
-        let stays = stay(&node);
+        let stays = send_staying_request(&node);
         let rest = leave(client, how);
-        std::thread::sleep(TERM);
-        // Once those that filled its queue are out of it, the system tries again by itself, after a second.
+        std::thread::sleep(DETECTION_TIME);
+        // Once the backlog has room, the kernel retries the connect, after a second.
         let mut peers = Vec::new();
         full.into_iter().for_each(|_| drop(backend.accept()));
-        first_is_who_stays(stays, &backend, &mut peers);
-        // What can't be called off comes up all the same, and is there for whoever asks next.
-        first_is_who_stays(stay(&node), &backend, &mut peers);
+        assert_first_is_staying(stays, &backend, &mut peers);
+        // A connection that must not be cancelled is established nevertheless, and serves the next request.
+        assert_first_is_staying(send_staying_request(&node), &backend, &mut peers);
         drop(rest);
     }
 }
 
-/// It is out at a backend, which is told by the end of its connection.
+/// The request is at a backend, whose connection must be closed.
 #[test]
-fn what_is_out_is_called_off_once_its_client_has_left_behind_bytes_sent_ahead() {
-    for how in HOWS {
+fn an_attempt_is_cancelled_after_a_disconnect_behind_pipelined_bytes() {
+    for how in DISCONNECTS {
         for ahead in AHEAD {
             let (backend, discovery) = (Listener::new(), Listener::new());
             let known = list(1, true, &[("s-1", backend.address(), "east", "in_service")]);
-            // Its time is longer than the test waits: only its client's leaving ends it.
+            // The time limit is longer than the test waits: only the disconnect ends the request.
             let node = Node::start(&config(discovery.address(), &known, |c| {
                 c["settings"]["Classes"][2]["Target"] = 90_000.0.into();
                 c["settings"]["Classes"][2]["GiveUp"] = 90_000.0.into();
@@ -154,7 +157,7 @@
             assert_eq!(request.header("x-correlation-id"), Some("left"));
             let rest = leave(client, how);
             peer.expect_end();
-            // Its id is free again.
+            // The id is free again.
             let mut again = node.client();
             again.request("correct", "X-Correlation-Id: left\r\n", "x");
             let mut peer = backend.next_request(&mut Vec::new());
@@ -165,15 +168,15 @@
     }
 }
 
-/// What the node finds first of a client that has left and of the place that has come free for its request.
+/// Which of two events reaches the node first: the disconnect, or the free place for its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum First {
     Close,
     Place,
 }
 
-/// A node whose one class allows one request at a time, before one backend.
-fn one_at_a_time(backend: &Listener) -> Node {
+/// Starts a node with one backend and one class, which allows one request at a time.
+fn node_with_one_place(backend: &Listener) -> Node {
     Node::from_file(&format!(
         "[[listener]]\naddress = \"127.0.0.1:0\"\n[[cluster]]\nname = \"b\"\n[[cluster.box]]\n\
          name = \"b-1\"\naddress = \"{}\"\n[[class]]\nname = \"c\"\nrepeat = \"safe\"\ntime = \"25s\"\n\
@@ -189,24 +192,25 @@
     client
 }
 
-/// What was sent before is in the queue by the time at which a later request is refused.
+/// Waits for the rejection of an invalid request, which shows that earlier requests are in the queue.
 fn wait_until_queued(node: &Node) {
     let mut fence = node.client();
     fence.write("BREW / HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n");
     assert_eq!(fence.read().status(), 400);
 }
 
-/// Clients leave and the place of their requests comes free while the node does not run, so that it finds
-/// both in one turn, in either order: none of these requests is sent.
+/// Clients disconnect and the place becomes free while the node is stopped, so that it finds both in one
+/// iteration of its event loop, in either order.
 #[test]
-fn what_waits_in_a_queue_is_not_sent_where_its_client_leaves_in_the_turn_of_its_place() {
-    for how in HOWS {
-        // Of more than the system's buffers hold the close does not arrive before the node reads.
+fn a_queued_request_is_not_sent_if_its_client_disconnects_in_the_iteration_of_its_place() {
+    for how in DISCONNECTS {
+        // Without the last: behind more bytes than the kernel buffers, the close arrives only when the node
+        // reads.
         for (ahead, times) in &AHEAD[..3] {
             for first in [First::Close, First::Place] {
                 println!("{how:?} ahead {} x {times}, {first:?} first", ahead.len());
                 let backend = Listener::new();
-                let node = one_at_a_time(&backend);
+                let node = node_with_one_place(&backend);
                 let mut served = get(&node, "first");
                 let mut peer = backend.next_request(&mut Vec::new());
                 let leaving: Vec<Peer> = (0..4)
@@ -244,13 +248,13 @@
     }
 }
 
-/// It waits for a place that its class allows only one request at a time. Then the place is free.
+/// The request waits for the only place of its class, which becomes free later.
 #[test]
-fn what_waits_in_a_queue_is_not_sent_once_its_client_has_left() {
-    for how in HOWS {
+fn a_queued_request_is_not_sent_after_a_disconnect() {
+    for how in DISCONNECTS {
         for (ahead, times) in AHEAD {
             let backend = Listener::new();
-            let node = one_at_a_time(&backend);
+            let node = node_with_one_place(&backend);
             let mut first = get(&node, "first");
             let mut peer = backend.next_request(&mut Vec::new());
             let mut leaves = get(&node, "leaves");
@@ -258,7 +262,7 @@
             let mut stays = get(&node, "stays");
             wait_until_queued(&node);
             let rest = leave(leaves, how);
-            std::thread::sleep(TERM);
+            std::thread::sleep(DETECTION_TIME);
             peer.answer("200 OK", "", "done");
             assert_eq!(first.read().status(), 200);
             let mut peers = vec![peer];
@@ -270,10 +274,10 @@
     }
 }
 
-/// Hundreds at once, at drawn times around the moment at which a backend comes on the list: whoever left long
-/// enough before is not sent on, and all that they held is free again.
+/// 250 clients disconnect at random times before a backend is listed. None of their requests may be sent, and
+/// their resources must be free again.
 #[test]
-fn a_burst_that_leaves_is_not_sent_on() {
+fn requests_of_a_burst_of_disconnected_clients_are_not_sent() {
     for seed in 0..4 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (backend, discovery) = (Listener::new(), Listener::new());
@@ -286,18 +290,18 @@
                 (rng.random_range(0..40u64), client)
             })
             .collect();
-        let stays = stay(&node);
+        let stays = send_staying_request(&node);
         let mut clients = clients;
         clients.sort_by_key(|(at, _)| *at);
         let mut last = 0;
         for (at, client) in clients {
             std::thread::sleep(Duration::from_millis(at - last));
             last = at;
-            leave(client, HOWS[rng.random_range(0..2)]);
+            leave(client, DISCONNECTS[rng.random_range(0..2)]);
         }
-        std::thread::sleep(TERM);
+        std::thread::sleep(DETECTION_TIME);
         watch.line(&list(42, true, &[("s-1", backend.address(), "east", "in_service")]));
         println!("seed {seed}");
-        first_is_who_stays(stays, &backend, &mut Vec::new());
+        assert_first_is_staying(stays, &backend, &mut Vec::new());
     }
 }
--- a/crates/marlwinch/tests/leaving_drawn.rs
+++ b/crates/marlwinch/tests/leaving_drawn.rs
@@ -1,6 +1,6 @@
-//! Clients that leave at drawn times around the moment at which what their requests wait for is there, at
-//! each point at which one can wait: whoever left 0.3 s before it or earlier is not sent on. Those that left
-//! later may be.
+//! Clients that disconnect at random times around the release of their waiting requests, at each point where
+//! a request can wait. The request of a client that disconnected at least 0.3 s before the release must not
+//! be sent; others may be.
 
 mod peers;
 
@@ -10,20 +10,19 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// From then on nothing may be sent on for a client that has left.
-const TERM: Duration = Duration::from_millis(300);
-/// The times at which clients leave are drawn over this span; what they wait for is there at two thirds of
-/// it.
+/// The node must notice a disconnect within this time.
+const DETECTION_TIME: Duration = Duration::from_millis(300);
+/// Clients disconnect at random times within this span. Their requests are released at two thirds of it.
 const SPAN: Duration = Duration::from_millis(900);
 const CLIENTS: usize = 60;
 const SEEDS: u64 = 3;
 
-/// When each client left, by its id.
+/// When each client disconnected, by its id.
 type Left = BTreeMap<String, Instant>;
 
-/// Lets clients that wait leave at drawn times, by a close or a reset, some behind bytes sent ahead. Calls
-/// `release` within that time, and returns when it did.
-fn leave_around(seed: u64, clients: Vec<(String, Peer)>, release: impl FnOnce()) -> (Left, Instant) {
+/// Disconnects waiting clients at random times, by a close or a reset, some behind pipelined bytes. Calls
+/// `release` within that time. Returns the times of the disconnects and of the release.
+fn disconnect_around(seed: u64, clients: Vec<(String, Peer)>, release: impl FnOnce()) -> (Left, Instant) {
     println!("seed {seed}");
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut drawn: Vec<_> =
@@ -49,62 +48,69 @@
     (left, released)
 }
 
-/// Answers what comes to a box until a client that stays has its answer. Nobody who left [`TERM`] before
-/// `there` says that what it waits for was there may be among them.
+/// Responds to requests at the backends until a client that stays has its response. Asserts that no client is
+/// among them that disconnected [`DETECTION_TIME`] or more before its request was released, as `released_at`
+/// returns it.
 fn answer_until_served(
     backends: &[Listener],
     peers: &mut Vec<Peer>,
     ask: impl Fn() -> Peer,
     left: &Left,
-    there: impl Fn(&str) -> Option<Instant>,
+    released_at: impl Fn(&str) -> Option<Instant>,
 ) {
     let (started, mut sent_on, mut stays) = (Instant::now(), 0, ask());
     loop {
         if stays.has_more() {
             match stays.read().status() {
                 200 => break,
-                // What can't be called off is out there still, and nobody else is sent to a crowded backend.
+                // Attempts that must not be cancelled are still at the backend, whose concurrency limit is
+                // reached.
                 503 => stays = ask(),
-                other => panic!("who stays is answered {other}"),
+                other => panic!("the client that stays has the status {other}"),
             }
         }
         peers.extend(backends.iter().filter_map(Listener::try_accept));
         for peer in peers.iter_mut().filter(|peer| peer.has_more()) {
             let Some(request) = peer.try_read() else { continue };
             let id = id_of(&request);
-            if let (Some(left), Some(there)) = (left.get(&id), there(&id)) {
-                let ago = there.saturating_duration_since(*left);
-                assert!(ago < TERM, "{id} had left {ago:?} before, and is sent on");
+            if let (Some(left), Some(released)) = (left.get(&id), released_at(&id)) {
+                let ago = released.saturating_duration_since(*left);
+                assert!(
+                    ago < DETECTION_TIME,
+                    "{id} had disconnected {ago:?} before its release, and was sent"
+                );
                 sent_on += 1;
             }
             let _ = std::io::Write::write(&mut peer.stream, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
-        assert!(started.elapsed() < PEER_TIMEOUT, "who stays is not served");
+        assert!(started.elapsed() < PEER_TIMEOUT, "the client that stays is not served");
         std::thread::sleep(Duration::from_millis(1));
     }
-    let in_time = |(id, at): &(&String, &Instant)| there(id).is_some_and(|there| **at + TERM <= there);
+    let in_time = |(id, at): &(&String, &Instant)| {
+        released_at(id).is_some_and(|released| **at + DETECTION_TIME <= released)
+    };
     let left_in_time = left.iter().filter(in_time).count();
-    println!("{left_in_time} had left in time, {sent_on} of the others were sent on");
+    println!("{left_in_time} disconnected in time, {sent_on} of the others were sent");
 }
 
 fn id_of(request: &Message) -> String {
     request.header("x-correlation-id").unwrap_or_default().to_string()
 }
 
-/// Clients that ask, each with an id of its own, and are with the node by the time at which this returns.
-fn ask(node: &Node, text: impl Fn(&str) -> String) -> Vec<(String, Peer)> {
+/// Sends a request of each client, each with its own id, and waits until the node has read them.
+fn send_requests(node: &Node, text: impl Fn(&str) -> String) -> Vec<(String, Peer)> {
     let client = |i| {
         let (id, mut client) = (format!("leaves-{i}"), node.client());
         client.write(text(&id));
         (id, client)
     };
     let clients = (0..CLIENTS).map(client).collect();
-    fence(node);
+    wait_until_read(node);
     clients
 }
 
-/// Whatever came before is with the node once this has its answer.
-fn fence(node: &Node) {
+/// Waits for the response to an invalid request, which shows that the node has read the requests before it.
+fn wait_until_read(node: &Node) {
     let mut other = node.client();
     other.write("BREW / HTTP/1.1\r\nHost: a\r\nContent-Length: x\r\n\r\n");
     assert_eq!(other.read().status(), 400);
@@ -138,9 +144,9 @@
             c["settings"]["Classes"][2]["Target"] = 1600.0.into();
         }));
         let mut watch = discovery.open_watch();
-        let clients = ask(&node, post);
+        let clients = send_requests(&node, post);
         let lists = list(42, true, &[("s-1", backend.address(), "east", "in_service")]);
-        let (left, released) = leave_around(seed, clients, || watch.line(&lists));
+        let (left, released) = disconnect_around(seed, clients, || watch.line(&lists));
         answer_until_served(&[backend], &mut Vec::new(), || stays(&node, post), &left, |_| Some(released));
     }
 }
@@ -156,10 +162,10 @@
             c["settings"]["Permissions"]["ConnectTimeout"] = 20_000.0.into();
             c["settings"]["Permissions"]["Cancel"] = (seed % 2 == 0).into();
         }));
-        let clients = ask(&node, post);
+        let clients = send_requests(&node, post);
         // The system tries again by itself once those that filled its queue are out of it.
         let (left, released) =
-            leave_around(seed, clients, || full.into_iter().for_each(|_| drop(backend.accept())));
+            disconnect_around(seed, clients, || full.into_iter().for_each(|_| drop(backend.accept())));
         answer_until_served(&[backend], &mut Vec::new(), || stays(&node, post), &left, |_| Some(released));
     }
 }
@@ -184,14 +190,14 @@
         let mut first = node.client();
         first.write(get("first"));
         let mut peer = backends[0].next_request(&mut Vec::new());
-        let clients = ask(&node, get);
-        let (left, released) = leave_around(seed, clients, || peer.answer("200 OK", "", "done"));
+        let clients = send_requests(&node, get);
+        let (left, released) = disconnect_around(seed, clients, || peer.answer("200 OK", "", "done"));
         assert_eq!(first.read().status(), 200);
         answer_until_served(&backends, &mut vec![peer], || stays(&node, get), &left, |_| Some(released));
     }
 }
 
-/// Each has had an attempt that never ran and waits 600 ms for another one.
+/// Each request has had an attempt that did not run, and waits 600 ms for the next one.
 #[test]
 fn around_the_end_of_a_back_off() {
     const BACK_OFF: Duration = Duration::from_millis(600);
@@ -201,7 +207,7 @@
         let terms = "attempts = 2\nback-off = { first = \"600ms\", jitter = 0 }\n\
                      budget = { share = 1, floor = \"1000/s\" }";
         let node = Node::from_file(&file(&backends, terms));
-        let clients = ask(&node, get);
+        let clients = send_requests(&node, get);
         let (started, mut peers, mut rejected_at) = (Instant::now(), Vec::new(), Left::new());
         while rejected_at.len() < CLIENTS {
             peers.extend(backends.iter().filter_map(Listener::try_accept));
@@ -212,8 +218,8 @@
             assert!(started.elapsed() < PEER_TIMEOUT, "{} have asked", rejected_at.len());
             std::thread::sleep(Duration::from_millis(1));
         }
-        let (left, _) = leave_around(seed, clients, || {});
-        let there = |id: &str| rejected_at.get(id).map(|at| *at + BACK_OFF);
-        answer_until_served(&backends, &mut peers, || stays(&node, get), &left, there);
+        let (left, _) = disconnect_around(seed, clients, || {});
+        let released_at = |id: &str| rejected_at.get(id).map(|at| *at + BACK_OFF);
+        answer_until_served(&backends, &mut peers, || stays(&node, get), &left, released_at);
     }
 }
--- a/crates/marlwinch/tests/node.rs
+++ b/crates/marlwinch/tests/node.rs
@@ -1,5 +1,5 @@
-//! The node as a process on loopback sockets: what it answers, what reaches a backend, and what each failure
-//! becomes.
+//! The platform's node as a process on loopback sockets: its responses, the requests that reach a backend,
+//! and the outcome of each failure.
 
 mod peers;
 
@@ -9,9 +9,9 @@
 };
 use std::net::SocketAddr;
 
-/// An address that refuses connections for as long as the socket is held: it is bound and does not listen, so
-/// that no other test is given its port.
-fn nobody() -> (socket2::Socket, SocketAddr) {
+/// An address that refuses connections as long as the socket is held: it is bound and does not listen, so
+/// that no other test gets its port.
+fn refusing_address() -> (socket2::Socket, SocketAddr) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
     let address = socket.local_addr().ok().and_then(|address| address.as_socket()).expect("an address");
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_request_is_passed_on_unchanged_and_its_answer_comes_back() {
+fn a_request_and_its_response_are_forwarded_unchanged() {
     let backend = Listener::new();
     let (node, _discovery) = node_with(&[&backend]);
     let mut client = node.client();
@@ -35,14 +35,14 @@
     assert_eq!(request.header("x-correlation-id"), Some("9b1f"));
     assert_eq!(request.header("idempotency-key"), Some("5c0f"));
     assert_eq!(request.header("x-facts"), Some("a=1"));
-    assert_eq!(request.header("x-hop"), None, "a header of one connection is not passed on");
+    assert_eq!(request.header("x-hop"), None, "a hop-by-hop header is not forwarded");
     let left: f64 = request.header("x-time-left").and_then(|t| t.parse().ok()).expect("the time left");
     assert!(left > 0.0 && left <= 9.5, "{left}");
     peer.answer("200 OK", "X-Backend-Load: inflight=1,queue=0\r\nContent-Type: text/plain\r\n", "counted");
     let answer = client.read();
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"counted"[..]));
     assert_eq!((answer.header("content-type"), answer.header("x-backend-load")), (Some("text/plain"), None));
-    // The next one takes the same connection on both sides.
+    // The next request uses the same connection on both sides.
     client.request("look", "", "");
     assert_eq!(peer.read().first, "GET /look/7f3a?x=1 HTTP/1.1");
     peer.answer("200 OK", "Transfer-Encoding-Not: 1\r\n", "");
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn a_refused_connection_never_ran_so_the_request_goes_elsewhere_or_is_refused() {
-    let (backend, (_socket, refusing)) = (Listener::new(), nobody());
+fn after_a_refused_connection_the_request_is_retried_elsewhere_or_rejected() {
+    let (backend, (_socket, refusing)) = (Listener::new(), refusing_address());
     let (node, _discovery) = node_at(&[refusing, backend.address()], "east");
     let mut client = node.client();
     let mut peer: Option<Peer> = None;
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn what_was_rejected_unseen_may_be_sent_again() {
+fn a_request_rejected_before_execution_is_retried() {
     let (one, other) = (Listener::new(), Listener::new());
     let (node, _discovery) = node_with(&[&one, &other]);
     let mut client = node.client();
@@ -85,10 +85,11 @@
     assert_eq!(client.read().body, b"done");
 }
 
-/// What may have run: an error, a break after the last byte, bytes that are no answer, one without end, a 503
-/// that does not say that it never ran. An unsafe request ends there, and not as a refusal.
+/// A request may have run after an error, a close behind its last byte, an invalid response, one without end,
+/// or a 503 that does not say that it did not run. An unsafe request then fails with 502 and no hint to
+/// retry.
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
+fn an_unsafe_request_that_may_have_run_fails_and_is_not_retried() {
     let flood = "HTTP/1.1 100 Continue\r\n\r\n".repeat(40);
     let ends: [&dyn Fn(&mut Peer); 15] = [
         &|peer| peer.answer("500 Internal Server Error", "", "broken"),
@@ -96,7 +97,7 @@
         &|peer| peer.stream.shutdown(std::net::Shutdown::Both).expect("closed"),
         &|peer| peer.write("SSH-2.0-nothing of the kind\r\n\r\n"),
         &|peer| peer.write("HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\n"),
-        // Where it ends is not said, or twice; or it never does. The connection stays open.
+        // The end of the body is unknown, ambiguous or never reached. The connection stays open.
         &|peer| peer.write("HTTP/1.1 200 OK\r\nX: y\r\n\r\nwhole?"),
         &|peer| peer.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"),
         &|peer| peer.write("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\ndone"),
@@ -125,7 +126,7 @@
         assert_eq!((answer.status(), answer.header("retry-after")), (502, None), "end {i}");
         assert!([&one, &other][1 - first].is_untouched(), "end {i}");
         assert!(node.is_running(), "end {i}");
-        // An answer that is understood leaves its connection of use.
+        // Only after a valid response is the connection reused.
         if i > 1 {
             peer.expect_end();
         }
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_has_its_attempt_called_off() {
+fn a_disconnect_of_the_client_cancels_its_attempt() {
     let backend = Listener::new();
     let (node, _discovery) = node_with(&[&backend]);
     let mut client = node.client();
@@ -153,7 +154,7 @@
     let mut peer = backend.next_request(&mut Vec::new());
     drop(client);
     peer.expect_end();
-    // The node goes on.
+    // The node continues to serve.
     let mut client = node.client();
     client.request("look", "", "");
     let mut peer = backend.next_request(&mut Vec::new());
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_backend_and_what_it_has_is_finished() {
+fn a_draining_backend_gets_no_new_requests_and_finishes_its_own() {
     let (old, new) = (Listener::new(), Listener::new());
     let (node, discovery) = node_with(&[&old]);
     let mut watch = begin_watch(&discovery, 41);
@@ -179,7 +180,7 @@
         false,
         &[("s-1", old.address(), "east", "terminating"), ("s-2", new.address(), "east", "in_service")],
     ));
-    // It has no use for an idle connection any more: then it knows.
+    // The node closes the idle connection once it knows of the drain.
     resting.expect_end();
     let mut fresh: Option<Peer> = None;
     for _ in 0..10 {
@@ -194,7 +195,7 @@
 }
 
 #[test]
-fn a_lost_or_silent_watch_is_reopened_from_where_it_was_and_the_list_stays() {
+fn a_lost_or_silent_watch_is_reopened_from_its_generation_and_the_list_stays() {
     let backend = Listener::new();
     let (node, discovery) = node_with(&[&backend]);
     let mut watch = begin_watch(&discovery, 41);
@@ -202,12 +203,12 @@
     drop(watch);
     let mut watch = discovery.accept();
     assert_eq!(watch.read().first, "GET /v1/endpoints?watch=1&from=57 HTTP/1.1");
-    // Refused is lost as well.
+    // A rejected watch counts as lost.
     watch.answer("503 Service Unavailable", "", "");
     drop(watch);
     let mut watch = begin_watch(&discovery, 57);
     watch.line("");
-    // From here it says nothing, and its connection stays.
+    // From here on it is silent, and its connection stays open.
     let mut next = discovery.accept();
     assert_eq!(next.read().first, "GET /v1/endpoints?watch=1&from=57 HTTP/1.1");
     let mut client = node.client();
@@ -215,16 +216,16 @@
 }
 
 #[test]
-fn bad_lines_of_discovery_and_bad_load_reports_are_skipped() {
+fn invalid_lists_entries_and_load_reports_are_skipped() {
     let (old, new) = (Listener::new(), Listener::new());
     let (mut node, discovery) = node_with(&[&old]);
     let mut watch = begin_watch(&discovery, 41);
-    // A list may go on over several lines. One that was cut short ends with the next empty line.
+    // A list may have several lines. An empty line ends an incomplete one.
     watch.line("{\"generation\":");
     watch.line("");
     node.logged("line skipped");
     watch.line("[1, 2]");
-    // A bad entry leaves its backend as it was, also in a whole list; the others of the line count.
+    // An invalid entry leaves its backend unchanged, also in a full list; the other entries are applied.
     let good = list(50, true, &[("s-2", new.address(), "east", "in_service")]);
     let mixed = good
         .replace("\"instances\":[", "\"instances\":[{\"instanceId\":\"s-1\",\"hostPort\":\"nowhere\"},7,");
@@ -233,7 +234,7 @@
     let mut peers: [Option<Peer>; 2] = [None, None];
     let mut both = |client: &mut Peer, report: &str| {
         client.request("correct", "", "x");
-        // An attempt goes to either; whichever it is gets it on a connection of its own each time.
+        // The attempt goes to one of the two, each time on a new connection.
         let (at, mut peer) = Listener::accept_any(&[&old, &new]);
         peer.read();
         peer.answer("200 OK", &format!("Connection: close\r\n{report}"), "done");
@@ -250,7 +251,7 @@
 }
 
 #[test]
-fn bad_requests_are_answered_and_reach_no_backend() {
+fn invalid_requests_are_rejected_and_reach_no_backend() {
     let backend = Listener::new();
     let (node, _discovery) = node_with(&[&backend]);
     let ok = "Host: b\r\nX-Correlation-Id: 9b1f\r\nX-Account: acme\r\n";
@@ -281,7 +282,7 @@
     ];
     for (text, status) in cases {
         let mut client = node.client();
-        // It may answer and close before all is written.
+        // The node may respond and close before all is written.
         let _ = std::io::Write::write_all(&mut client.stream, text.as_bytes());
         assert_eq!(client.read().status(), status, "{}", text.lines().next().unwrap_or_default());
     }
@@ -289,7 +290,7 @@
 }
 
 #[test]
-fn a_node_that_can_not_run_says_why_in_one_line() {
+fn a_node_with_an_invalid_configuration_logs_one_line_and_exits() {
     let discovery = SocketAddr::from(([127, 0, 0, 1], 9));
     let good = || config(discovery, &list(1, true, &[]), |_| {});
     let field = |change: fn(&mut serde_json::Value)| config(discovery, &list(1, true, &[]), change);
@@ -314,7 +315,7 @@
 }
 
 #[test]
-fn sigterm_ends_the_node_once_all_that_it_took_is_answered() {
+fn after_sigterm_the_node_exits_once_all_accepted_requests_have_responses() {
     let backend = Listener::new();
     let (mut node, _discovery) = node_with(&[&backend]);
     let (mut busy, mut idle) = (node.client(), node.client());
@@ -326,7 +327,7 @@
     peer.read();
     node.terminate();
     node.logged("told to end");
-    // It still takes what comes, ...
+    // It still accepts connections, ...
     let mut late = node.client();
     late.request("correct", "", "x");
     let mut second = backend.next_request(&mut Vec::new());
@@ -334,7 +335,7 @@
     let answer = late.read();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     late.expect_end();
-    // ... lets go of who asks for nothing, and answers what it had.
+    // ... closes idle ones, and responds to the requests in progress.
     idle.expect_end();
     assert!(node.is_running());
     peer.answer("200 OK", "", "in the end");
@@ -345,21 +346,22 @@
 }
 
 #[test]
-fn clients_that_hold_connections_leave_room_for_others() {
+fn idle_connections_leave_room_for_other_clients() {
     let backend = Listener::new();
     let discovery = Listener::new();
     let known = list(1, true, &[("s-1", backend.address(), "east", "in_service")]);
     let node = Node::start(&config(discovery.address(), &known, |c| c["limits"]["sockets"] = 96.into()));
-    // More than the node has descriptors for, none of them with a request.
+    // More connections than the node has descriptors, without a request.
     let crowd: Vec<Peer> = (0..150).map(|_| node.client()).collect();
     let mut client = node.client();
     serve_on_new_connection(&backend, &mut client);
     drop(crowd);
 }
 
-/// Where clients hold more than a third of the descriptors, others are turned away on the way to the node.
+/// If clients held more than a third of the descriptors, further connections would be rejected before the
+/// node accepts them.
 #[test]
-fn clients_that_ask_once_and_stay_are_let_go_before_they_hold_more_than_a_third() {
+fn idle_connections_are_closed_before_they_hold_more_than_a_third_of_the_descriptors() {
     let discovery = Listener::new();
     let change = |c: &mut serde_json::Value| c["limits"]["sockets"] = 192.into();
     let node = Node::start(&config(discovery.address(), &list(1, true, &[]), change));
@@ -372,7 +374,7 @@
     crowd[..100 - 192 / 3].iter_mut().for_each(Peer::expect_end);
 }
 
-/// Asks a node whether it is ready until it is.
+/// Requests `/ready` until the node is ready.
 fn wait_until_ready(client: &mut Peer) {
     let started = std::time::Instant::now();
     while !is_ready(client) {
@@ -386,7 +388,7 @@
 }
 
 #[test]
-fn ready_is_answered_once_a_backend_is_known() {
+fn the_node_is_ready_once_a_backend_is_known() {
     let discovery = Listener::new();
     let node = Node::start(&config(discovery.address(), &list(0, true, &[]), |_| {}));
     let mut client = node.client();
@@ -396,9 +398,9 @@
     wait_until_ready(&mut client);
 }
 
-/// The list from before a restart may be old, but with discovery silent there is no better one.
+/// The list in the configuration may be old, but while discovery is silent there is no better one.
 #[test]
-fn a_node_is_ready_with_the_list_it_was_started_with_when_discovery_is_silent() {
+fn a_node_is_ready_with_the_list_of_its_configuration_while_discovery_is_silent() {
     let backend = Listener::new();
     let (node, discovery) = node_with(&[&backend]);
     let _silent = discovery.accept();
@@ -406,7 +408,7 @@
 }
 
 #[test]
-fn an_older_list_is_passed_over_by_the_connections_too() {
+fn an_older_list_does_not_affect_connections() {
     let backend = Listener::new();
     let (node, discovery) = node_with(&[&backend]);
     let mut watch = begin_watch(&discovery, 41);
@@ -416,9 +418,9 @@
     serve_on_new_connection(&backend, &mut client);
 }
 
-/// The file wins over `ROUTER_DISCOVERY` then. The other discovery counts its generations in its own way.
+/// At a reload the file overrides `ROUTER_DISCOVERY`. The other discovery has generations of its own.
 #[test]
-fn sighup_brings_the_watch_to_the_discovery_that_the_file_names_now() {
+fn a_reload_moves_the_watch_to_the_discovery_in_the_file() {
     let (old, new) = (Listener::new(), Listener::new());
     let (before, after) = (Listener::new(), Listener::new());
     let config_of = |discovery: &Listener| {
@@ -431,7 +433,7 @@
     let mut peer = serve_on_new_connection(&old, &mut client);
     node.reload(&config_of(&after));
     let mut watch = begin_watch(&after, 0);
-    // The old watch goes on until the first list comes from the new one.
+    // The old watch applies until the first list of the new one arrives.
     first.line(&list(42, false, &[("s-1", old.address(), "east", "terminating")]));
     peer.expect_end();
     watch.line(&list(7, true, &[("s-2", new.address(), "east", "in_service")]));
@@ -440,13 +442,13 @@
     watch.line(&list(8, false, &[("s-2", new.address(), "east", "terminating")]));
     peer.expect_end();
     drop(watch);
-    // What it asks for after that is in the new numbers.
+    // A later watch starts from a generation of the new discovery.
     begin_watch(&after, 8);
     assert!(node.is_running());
 }
 
 #[test]
-fn a_bad_file_at_sighup_leaves_all_as_it_was() {
+fn a_reload_of_an_invalid_file_changes_nothing() {
     let backend = Listener::new();
     let (mut node, discovery) = node_with(&[&backend]);
     let mut watch = begin_watch(&discovery, 41);
@@ -461,9 +463,8 @@
     assert!(node.is_running() && discovery.is_untouched());
 }
 
-/// Nobody waits for those that say nothing or stop halfway through a head.
 #[test]
-fn a_client_that_sends_no_whole_head_is_let_go() {
+fn a_client_without_a_complete_head_is_disconnected() {
     let backend = Listener::new();
     let (node, _discovery) = node_with(&[&backend]);
     let mut good = node.client();
@@ -472,12 +473,12 @@
     half.write("POST /correct/1 HTTP/1.1\r\nHost: b\r\n");
     silent.expect_end();
     half.expect_end();
-    // One that has asked may rest for longer.
+    // A connection that has had a request may be idle for longer.
     serve_on(&mut peer, &mut good);
 }
 
 #[test]
-fn the_id_of_a_request_in_hand_is_not_taken_again() {
+fn the_id_of_a_request_in_progress_is_rejected() {
     let backend = Listener::new();
     let (node, _discovery) = node_with(&[&backend]);
     let (mut first, mut second) = (node.client(), node.client());
@@ -487,7 +488,7 @@
     assert_eq!(second.read().status(), 409);
     peer.answer("200 OK", "", "done");
     assert_eq!(first.read().body, b"done");
-    // Once it is answered the id is free.
+    // After the response the id is free.
     first.request("correct", "X-Correlation-Id: 9b1f\r\n", "x");
     peer.read();
     peer.answer("200 OK", "", "again");
@@ -495,9 +496,8 @@
     assert!(backend.is_untouched());
 }
 
-/// A client's time is its class's at the most.
 #[test]
-fn no_client_waits_longer_than_its_class() {
+fn the_time_limit_of_the_class_bounds_that_of_the_client() {
     let (backend, discovery) = (Listener::new(), Listener::new());
     let known = list(1, true, &[("s-1", backend.address(), "east", "in_service")]);
     let change = |c: &mut serde_json::Value| c["settings"]["Classes"][2]["GiveUp"] = 300.0.into();
@@ -511,10 +511,10 @@
     assert_eq!(client.read().status(), 504);
 }
 
-/// With memory for the bodies and answers of four requests a fifth is turned away before it has gone
-/// anywhere.
+/// The memory limit allows the bodies and responses of four requests; a fifth is rejected before it is sent
+/// to a backend.
 #[test]
-fn what_there_is_no_memory_for_is_refused() {
+fn a_request_beyond_the_memory_limit_is_rejected() {
     let (one, other, discovery) = (Listener::new(), Listener::new(), Listener::new());
     let backends = [&one, &other].map(|b| b.address());
     let known = list(
@@ -525,13 +525,13 @@
     let change = |c: &mut serde_json::Value| c["limits"]["memory_mb"] = 1.into();
     let node = Node::start(&config(discovery.address(), &known, change));
     let body = "x".repeat(64 << 10);
-    let mut at_work = Vec::new();
+    let mut in_progress = Vec::new();
     for _ in 0..4 {
         let mut client = node.client();
         client.request("correct", "", &body);
         let (_, mut peer) = Listener::accept_any(&[&one, &other]);
         assert_eq!(peer.read().body.len(), body.len());
-        at_work.push((client, peer));
+        in_progress.push((client, peer));
     }
     let mut client = node.client();
     client.request("correct", "", &body);
--- a/crates/marlwinch/tests/overload.rs
+++ b/crates/marlwinch/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Overload on sockets: a node from an operator's file before stand-in backends, with clients that ask as
-//! soon as they have their answer. Who is served, who is refused, and what the backends' ledger says of it.
+//! Overload over sockets: a node with an operator's file, test backends, and closed-loop clients. Checks
+//! which requests are served and rejected, and compares that with the execution log of the backends.
 
 mod backends;
 mod peers;
@@ -15,9 +15,9 @@
 use std::sync::Barrier;
 use std::time::{Duration, Instant};
 
-/// An answer as a client sees it.
+/// A response as the client received it.
 #[derive(Clone, Debug)]
-struct Seen {
+struct ClientResponse {
     id: String,
     status: u16,
     retry_after: Option<u64>,
@@ -26,7 +26,8 @@
     at: Duration,
 }
 
-/// One client: asks, and asks again once it has its answer, for so long; after a refusal it waits a moment.
+/// A closed-loop client: sends requests for this time, each after the response to the previous one, with a
+/// pause after a rejection.
 fn client(
     address: SocketAddr,
     name: &str,
@@ -34,7 +35,7 @@
     start: Instant,
     length: Duration,
     pause: Duration,
-) -> Vec<Seen> {
+) -> Vec<ClientResponse> {
     let stream = TcpStream::connect(address).expect("a connection");
     stream.set_nodelay(true).expect("no delay");
     stream.set_read_timeout(Some(Duration::from_secs(60))).expect("a limit");
@@ -43,7 +44,7 @@
     let mut seen = Vec::new();
     while seen.is_empty() || start.elapsed() < length {
         let id = format!("{name}-{}", seen.len());
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         write!(writer, "{}", head.replace("{id}", &id)).expect("written");
         let mut line = String::new();
         reader.read_line(&mut line).expect("a status line");
@@ -63,7 +64,14 @@
         let mut body = vec![0; length];
         reader.read_exact(&mut body).expect("a body");
         let body = String::from_utf8_lossy(&body).into_owned();
-        seen.push(Seen { id, status, retry_after, body, took: asked.elapsed(), at: start.elapsed() });
+        seen.push(ClientResponse {
+            id,
+            status,
+            retry_after,
+            body,
+            took: sent_at.elapsed(),
+            at: start.elapsed(),
+        });
         if status == 503 {
             std::thread::sleep(pause);
         }
@@ -71,14 +79,15 @@
     seen
 }
 
-/// So many clients at once, each with the head that `head` makes of its number; what each has seen.
+/// Runs this number of clients at once, each with the request of `head` for its number. Returns the responses
+/// of each.
 fn clients(
     count: usize,
     address: impl Fn(usize) -> SocketAddr,
     head: impl Fn(usize) -> String,
     length: Duration,
     pause: Duration,
-) -> Vec<Vec<Seen>> {
+) -> Vec<Vec<ClientResponse>> {
     let barrier = Arc::new(Barrier::new(count));
     let start = |number: usize| {
         let (barrier, address, head) = (barrier.clone(), address(number), head(number));
@@ -108,18 +117,18 @@
     text + more
 }
 
-fn of(seen: &[Vec<Seen>], status: u16) -> usize {
+fn count_status(seen: &[Vec<ClientResponse>], status: u16) -> usize {
     seen.iter().flatten().filter(|one| one.status == status).count()
 }
 
-fn p99(seen: &[Vec<Seen>]) -> Duration {
+fn p99(seen: &[Vec<ClientResponse>]) -> Duration {
     let mut all: Vec<_> = seen.iter().flatten().filter(|one| one.status == 200).map(|one| one.took).collect();
     all.sort_unstable();
     all[all.len() * 99 / 100]
 }
 
-/// What was refused never ran, what was served ran once, and nothing ran twice.
-fn keeps_the_rules(backends: &Backends, seen: &[Vec<Seen>]) {
+/// Asserts that rejected requests did not run, that served ones ran once, and that none ran twice.
+fn assert_rules_are_kept(backends: &Backends, seen: &[Vec<ClientResponse>]) {
     let ran: HashMap<_, _> =
         backends.execution_log.all_executions().into_iter().map(|(id, runs)| (id, runs.len())).collect();
     for one in seen.iter().flatten() {
@@ -133,15 +142,14 @@
 
 const PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The trials of a new user: backends of which nothing is known, that answer after 180 ms and serve many at
-/// once. That is long beside the moments for which a shared machine takes a processor away, so that figures
-/// are those of the node.
+/// A first trial of a new user: backends without any settings, which respond after 180 ms and serve many
+/// requests at once. 180 ms is long compared with the times for which a shared machine takes a CPU away, so
+/// the results are those of the node.
 #[test]
-fn plain_backends_are_used_from_the_first_second_as_round_robin_would() {
+fn backends_without_settings_are_used_as_well_as_by_round_robin_from_the_first_second() {
     const LENGTH: Duration = Duration::from_secs(6);
-    /// What the node may add after the first second to all but one answer in a hundred, however long services
-    /// take.
-    const MOST_ADDED: Duration = Duration::from_millis(90);
+    /// The latency that the node may add at p99 after the first second, whatever the service time.
+    const MAX_ADDED_LATENCY: Duration = Duration::from_millis(90);
     let script = "[[box]]\nname = \"b\"\ncount = 3\ncores = 1000\nservice = { fixed = \"180ms\" }\n";
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/example.toml");
     let mut text =
@@ -152,8 +160,8 @@
     }
     for (count, head) in [(60, get("/tally/1", "")), (8, post("/tally-correct/1", ""))] {
         let (direct, seen) = undisturbed(|| {
-            // Round robin over other backends like these, each of which queues for itself, in the same
-            // seconds as the node: a machine that is slow is so for both.
+            // The reference is round robin over other backends like these at the same time, so that a slow
+            // machine affects both.
             let others = Backends::start(script);
             let node = Node::from_file(&text);
             let disturbance = Disturbance::of(node.process());
@@ -161,71 +169,76 @@
                 let direct = scope
                     .spawn(|| clients(count, |n| others.addresses[n % 3], |_| head.clone(), LENGTH, LENGTH));
                 let seen = clients(count, |_| node.address, |_| head.clone(), LENGTH, Duration::ZERO);
-                (direct.join().expect("the clients of the boxes themselves"), seen)
+                (direct.join().expect("the clients without a node"), seen)
             });
             (disturbance.was_small(), (direct, seen))
         });
-        let (served, rejected, best) = (of(&seen, 200), of(&seen, 503), of(&direct, 200));
-        assert!(rejected * 100 <= served, "{rejected} refused and {served} served");
-        // In a release build 0.95 and more (docs/performance.md); here tests run beside each other, without
+        let (served, rejected, best) =
+            (count_status(&seen, 200), count_status(&seen, 503), count_status(&direct, 200));
+        assert!(rejected * 100 <= served, "{rejected} rejected and {served} served");
+        // A release build reaches 0.95 and more (docs/performance.md); here tests run in parallel and without
         // optimisation.
         assert!(served as f64 >= 0.85 * best as f64, "{served} served, round robin {best}");
         let (ours, theirs) = (p99(&seen), p99(&direct));
         assert!(ours <= theirs * 2 + Duration::from_millis(50), "p99 {ours:?}, round robin {theirs:?}");
-        // The first burst waits for one service while the node learns what the backends hold; later nothing
-        // does.
-        let settled = |one: &&Seen| one.at > Duration::from_secs(1);
-        let later: Vec<Vec<Seen>> =
+        // The first burst waits for one service time while the concurrency limits adapt; later requests do
+        // not wait.
+        let settled = |one: &&ClientResponse| one.at > Duration::from_secs(1);
+        let later: Vec<Vec<ClientResponse>> =
             seen.iter().map(|of_one| of_one.iter().filter(settled).cloned().collect()).collect();
         let ours = p99(&later);
         println!("p99 after the first second {ours:?}, round robin {theirs:?}");
-        assert!(ours <= theirs + MOST_ADDED, "p99 {ours:?} after the first second, round robin {theirs:?}");
+        assert!(
+            ours <= theirs + MAX_ADDED_LATENCY,
+            "p99 {ours:?} after the first second, round robin {theirs:?}"
+        );
     }
 }
 
-/// With a limit that fits nothing has to be learnt, and all of it holds from the first second on.
+/// With a fixed concurrency limit nothing has to adapt, so the checks hold from the first seconds on.
 #[test]
-fn at_many_times_the_capacity_tenants_have_their_shares_and_boxes_their_best() {
-    many_times_the_capacity("limit = { fixed = 3 }\n", Duration::from_secs(24), Duration::from_secs(3));
+fn overload_with_a_fixed_limit_keeps_tenant_shares_and_full_throughput() {
+    check_overload("limit = { fixed = 3 }\n", Duration::from_secs(24), Duration::from_secs(3));
 }
 
-/// The same with limits that adapt. Played in virtual time by the package `surge`; here it depends on the
-/// machine, and failed in 5 of 13 runs on a busy one: `cargo test -p marlwinch --test overload -- --ignored`.
+/// The same with adaptive limits. The package `overload-simulation` tests this in virtual time; here it
+/// depends on the machine, and failed in 5 of 13 runs on a busy one: `cargo test -p marlwinch --test overload
+/// -- --ignored`.
 #[test]
 #[ignore = "depends on the machine's speed"]
-fn at_many_times_the_capacity_limits_are_learnt() {
-    many_times_the_capacity("", Duration::from_secs(48), Duration::from_secs(33));
+fn overload_with_adaptive_limits_keeps_tenant_shares_and_full_throughput() {
+    check_overload("", Duration::from_secs(48), Duration::from_secs(33));
 }
 
-/// Two backends of two cores at 60 ms, twice as slow when crowded. One request that waits keeps a core busy
-/// for longer than a shared machine takes a processor away.
+/// Two backends of two cores with a service time of 60 ms, which doubles under overload. A single waiting
+/// request keeps a core busy for longer than a shared machine takes a CPU away.
 const FOUR_CORES: &str = "[[box]]\nname = \"b\"\ncount = 2\ncores = 2\nqueue = 1000\nservice = { fixed = \"60ms\" }\n\
     choke = { waiting = 6, after = \"300ms\", factor = 2, recovers = \"1500ms\" }\n";
 
-/// What [`FOUR_CORES`] serve in a second.
+/// The capacity of [`FOUR_CORES`], in requests per second.
 const CAPACITY: f64 = 4.0 / 0.060;
 
-/// What a trial has shown.
-struct Surge {
-    /// What the 90 clients without an allowance saw.
-    seen: Vec<Vec<Seen>>,
-    /// What the one with an allowance saw.
-    allowed: Vec<Seen>,
-    /// What clients saw that kept backends like these busy without a node, in the same seconds.
-    direct: Vec<Vec<Seen>>,
+/// The responses of a trial.
+struct SurgeResponses {
+    /// Those of the 90 clients without an allowance.
+    seen: Vec<Vec<ClientResponse>>,
+    /// Those of the client with an allowance.
+    allowed: Vec<ClientResponse>,
+    /// Those of clients that kept such backends busy without a node, at the same time.
+    direct: Vec<Vec<ClientResponse>>,
 }
 
-/// [`FOUR_CORES`] and 90 clients that never let up. What is asked of them holds from `settled_at` on.
-fn many_times_the_capacity(limit: &str, length: Duration, settled_at: Duration) {
+/// Runs 90 closed-loop clients against [`FOUR_CORES`]. The checks apply from `settled_at` on.
+fn check_overload(limit: &str, length: Duration, settled_at: Duration) {
     let surge = undisturbed(|| surge_of_tenants(limit, length));
-    is_shared_out(&surge, length, settled_at);
+    assert_fair_shares(&surge, length, settled_at);
 }
 
-/// Whether the trial was undisturbed, and what it has shown. The rules hold however fast the machine is.
-fn surge_of_tenants(limit: &str, length: Duration) -> (bool, Surge) {
+/// Runs a trial. Returns whether it was undisturbed, and its responses. The rules are checked in every trial,
+/// as they hold at any speed of the machine.
+fn surge_of_tenants(limit: &str, length: Duration) -> (bool, SurgeResponses) {
     let backends = Backends::start(FOUR_CORES);
-    // Three clients for each of these: both cores are busy and one request waits, which never crowds a
-    // backend.
+    // Three clients for each backend: both cores are busy and one request waits, which is no overload.
     let others = Backends::start(FOUR_CORES);
     let direct = {
         let addresses = others.addresses.clone();
@@ -238,7 +251,7 @@
     let node = Node::from_file(&file(&backends.addresses, limit, &(class.to_string() + tenants)));
     let name = |number: usize| if number == 90 { "d" } else { ["a", "b", "c"][number % 3] };
     let head = |number| post("/sheet", &format!("X-Account: {}\r\n", name(number)));
-    // The last client is within its allowance: one at a time, with a pause that its slow writing makes.
+    // The last client stays within its allowance: one request at a time, with a pause.
     let allowed = {
         let (address, head) = (node.address, head(90));
         std::thread::spawn(move || {
@@ -246,7 +259,7 @@
             while start.elapsed() < length {
                 let (name, at) = (format!("d{}", seen.len()), start.elapsed());
                 let one = client(address, &name, &head, Instant::now(), Duration::ZERO, Duration::ZERO);
-                seen.extend(one.into_iter().map(|one| Seen { at, ..one }));
+                seen.extend(one.into_iter().map(|one| ClientResponse { at, ..one }));
                 std::thread::sleep(Duration::from_millis(300));
             }
             seen
@@ -257,28 +270,28 @@
     let is_undisturbed = disturbance.was_small();
     let allowed = allowed.join().expect("the client within its allowance");
     seen.push(allowed.clone());
-    keeps_the_rules(&backends, &seen);
+    assert_rules_are_kept(&backends, &seen);
     seen.pop();
-    let direct = direct.join().expect("the clients of the boxes themselves");
-    (is_undisturbed, Surge { seen, allowed, direct })
+    let direct = direct.join().expect("the clients without a node");
+    (is_undisturbed, SurgeResponses { seen, allowed, direct })
 }
 
 /// The latest time for a rejection over sockets: half of what a client waits for its response, and twice what
 /// a request waits in the queue at most.
 const SLOWEST_REJECTION: Duration = Duration::from_millis(1_500);
 
-/// The backends did what they can, tenants had their shares, the allowance was kept, and refusals came at
-/// once.
-fn is_shared_out(surge: &Surge, length: Duration, settled_at: Duration) {
-    let Surge { seen, allowed, direct } = surge;
+/// Asserts that the backends were used to capacity, that tenants had their shares and the allowance, and that
+/// rejections were fast.
+fn assert_fair_shares(surge: &SurgeResponses, length: Duration, settled_at: Duration) {
+    let SurgeResponses { seen, allowed, direct } = surge;
     assert!(allowed.len() > 20, "{}", allowed.len());
-    // Until limits are learnt, backends hold more than they can answer in time, and an allowance does not
-    // help within a backend.
+    // Until limits have adapted, backends hold more requests than they can serve in time, and an allowance
+    // has no effect within a backend.
     let late: Vec<_> = allowed.iter().filter(|one| one.at > settled_at).collect();
     let rejected: Vec<_> = late.iter().filter(|one| one.status != 200).collect();
     assert!(late.len() > 10 && rejected.is_empty(), "of {}: {rejected:?}", late.len());
-    // A backend that is crowded from its first second on shows what it can do only bit by bit.
-    let settled = |one: &&Seen| one.status == 200 && one.at > settled_at && one.at < length;
+    // A backend that is overloaded from its first second on shows its capacity only gradually.
+    let settled = |one: &&ClientResponse| one.status == 200 && one.at > settled_at && one.at < length;
     let seconds = (length - settled_at).as_secs_f64();
     let served: Vec<_> = (0..3)
         .map(|tenant| {
@@ -291,7 +304,7 @@
         })
         .collect();
     let all: usize = served.iter().sum();
-    // What the backends can serve, less what the machine has just kept them from.
+    // The throughput that backends reach on this machine at this time.
     let possible = direct.iter().flatten().filter(settled).count() as f64 / seconds;
     let rate = all as f64 / seconds;
     assert!(rate + 3.0 > 0.9 * possible.min(CAPACITY), "{rate} a second, {possible} without a node");
@@ -299,16 +312,19 @@
         let got = *served as f64 / all as f64;
         assert!((got / share - 1.0).abs() < 0.06, "{got} of {share}: {served} of {all}");
     }
-    let told: Vec<_> = seen.iter().flatten().filter_map(|one| one.retry_after).collect();
-    assert!(told.iter().all(|s| (1..=8).contains(s)) && told.iter().any(|s| *s > 1), "refusals are spread");
-    // By the clock of a busy machine, so with room; `rejections_come_when_the_time_in_the_queue_is_over`
-    // (overload-simulation) holds the 750 ms.
+    let retry_after: Vec<_> = seen.iter().flatten().filter_map(|one| one.retry_after).collect();
+    assert!(
+        retry_after.iter().all(|s| (1..=8).contains(s)) && retry_after.iter().any(|s| *s > 1),
+        "`Retry-After` is not spread: {retry_after:?}"
+    );
+    // With a tolerance for a busy machine; `rejections_come_when_the_time_in_the_queue_is_over`
+    // (overload-simulation) checks the 750 ms.
     let slowest = seen.iter().flatten().filter(|one| one.status == 503).map(|one| one.took).max();
-    assert!(slowest.is_some_and(|took| took < SLOWEST_REJECTION), "not held back: {slowest:?}");
+    assert!(slowest.is_some_and(|took| took < SLOWEST_REJECTION), "the slowest rejection took {slowest:?}");
 }
 
 #[test]
-fn an_overloaded_cluster_answers_with_fallbacks_and_sheds_as_its_steps_say() {
+fn brownout_steps_respond_with_fallbacks_and_shed_classes() {
     let backends = Backends::start("[[box]]\nname = \"b-1\"\ncores = 1\nservice = { fixed = \"50ms\" }\n");
     let steps = "limit = { fixed = 1 }\n[[cluster.step]]\nat = \"5%\"\nback = \"1%\"\nafter = \"200ms\"\ndoes = \"fallback\"\n\
         [[cluster.step]]\nat = \"10%\"\nback = \"2%\"\nafter = \"200ms\"\ndoes = \"shed\"\nclasses = [\"look\"]\n";
@@ -319,20 +335,20 @@
     let node = Node::from_file(&file(&backends.addresses, steps, classes));
     let head = |number: usize| if number.is_multiple_of(2) { get("/look", "") } else { post("/correct", "") };
     let seen = clients(8, |_| node.address, head, PEER_TIMEOUT, Duration::from_millis(20));
-    let late = |one: &&Seen| one.at > Duration::from_millis(2000);
+    let late = |one: &&ClientResponse| one.at > Duration::from_millis(2000);
     let looks: Vec<_> = seen.iter().step_by(2).flatten().filter(late).collect();
     assert!(looks.len() > 20);
     assert!(looks.iter().all(|one| one.status == 200 && one.body == "notice"), "{:?}", looks.first());
     let corrections: Vec<_> = seen.iter().skip(1).step_by(2).flatten().filter(late).collect();
-    assert!(corrections.iter().all(|one| one.body != "notice"), "what has effects never has a fallback");
+    assert!(corrections.iter().all(|one| one.body != "notice"), "an unsafe class never has a fallback");
     assert!(
         corrections.iter().filter(|one| one.status == 200).count() >= 10,
-        "they have the box for themselves"
+        "few corrections are served although looks are shed"
     );
-    keeps_the_rules(&backends, &seen);
-    // It is quiet: the steps are taken back, one after the other. The gate counts what it sheds by the time
-    // that requests took at the backend until now, which on a busy machine is a multiple of the 50 ms: more
-    // often than this, shed requests would be more work than the backend could do, and the steps would stay.
+    assert_rules_are_kept(&backends, &seen);
+    // After the load, the steps are reverted one after the other. The gate counts shed requests as load, by
+    // the service time that it has measured, which is a multiple of the 50 ms on a busy machine. With shorter
+    // intervals the shed requests would count as overload, and the steps would stay.
     const QUIET_INTERVAL: Duration = Duration::from_secs(1);
     let start = Instant::now();
     loop {
@@ -347,15 +363,14 @@
         if one[0].body != "notice" {
             break;
         }
-        assert!(start.elapsed() < Duration::from_secs(30), "the steps stay taken");
+        assert!(start.elapsed() < Duration::from_secs(30), "the steps are not reverted");
         std::thread::sleep(QUIET_INTERVAL);
     }
 }
 
-/// A backend with twice the weight gets about twice the traffic, and one that turns out slow gets less than
-/// its weight says.
+/// A backend with three times the weight gets about three quarters of the traffic.
 #[test]
-fn weights_weigh() {
+fn traffic_follows_the_weights() {
     let backends =
         Backends::start("[[box]]\nname = \"b\"\ncount = 2\ncores = 1000\nservice = { fixed = \"20ms\" }\n");
     let class = "[[class]]\nname = \"c\"\nrepeat = \"safe\"\n[[route]]\nprefix = \"/\"\nclass = \"c\"\ncluster = \"tally\"\n";
@@ -363,14 +378,14 @@
         file(&backends.addresses, "", class).replacen("name = \"b-0\"\n", "name = \"b-0\"\nweight = 3\n", 1);
     let node = Node::from_file(&text);
     let seen = clients(12, |_| node.address, |_| get("/", ""), PEER_TIMEOUT, PEER_TIMEOUT);
-    assert_eq!(of(&seen, 200), seen.iter().map(Vec::len).sum::<usize>());
+    assert_eq!(count_status(&seen, 200), seen.iter().map(Vec::len).sum::<usize>());
     let runs = backends.execution_log.all_executions();
     let first = runs.values().flatten().filter(|run| run.backend == "b-1").count() as f64 / runs.len() as f64;
     assert!((0.65..0.85).contains(&first), "{first} of the traffic at three quarters of the weight");
 }
 
 #[test]
-fn explain_shows_who_would_be_served_in_a_surge() {
+fn explain_overload_shows_which_requests_would_be_served() {
     let backends = [SocketAddr::from(([127, 0, 0, 1], 9001)), SocketAddr::from(([127, 0, 0, 1], 9002))];
     let more = "[[tenant]]\nname = \"pati\"\nshare = 0.75\n[[tenant]]\nname = \"kudus\"\nshare = 0.25\n\
         [[class]]\nname = \"look\"\nrepeat = \"safe\"\n[[class]]\nname = \"correct\"\nrepeat = \"unsafe\"\nworth = 10\n\
@@ -382,7 +397,7 @@
         let said = String::from_utf8_lossy(&ended.stderr).into_owned();
         (ended.status.code(), String::from_utf8_lossy(&ended.stdout).into_owned(), said)
     };
-    // 8 at once at 20 ms: 400 a second.
+    // 8 concurrent requests of 20 ms: 400 requests per second.
     let mix = "look@pati=4,look@kudus=4,correct@pati=1,correct@kudus=1";
     let (code, text, said) = explained(&["--rate", "2000/s", "--mix", mix, "--again", "never"]);
     assert_eq!(code, Some(0), "{said}");
@@ -396,7 +411,7 @@
     let pati = served("look", "pati") + served("correct", "pati");
     let kudus = served("look", "kudus") + served("correct", "kudus");
     assert!((pati / (pati + kudus) - 0.75).abs() < 0.04, "{text}");
-    assert!(served("correct", "pati") > 190.0, "what is worth more goes first\n{text}");
+    assert!(served("correct", "pati") > 190.0, "the class with the higher worth is not preferred\n{text}");
     for (rest, what) in [
         (&["--mix", "look=1"][..], "--rate"),
         (&["--rate", "10/s", "--mix", "lok=1"], "no route has the class `lok`"),
--- a/crates/marlwinch/tests/pools.rs
+++ b/crates/marlwinch/tests/pools.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// An answer that has started and does not go on ends long before the client's time does.
+/// A response that stalls fails long before the client's time limit.
 #[test]
-fn an_answer_that_stalls_is_given_up() {
+fn a_stalled_response_is_aborted() {
     for part in ["HTTP/1.1 200 OK\r\nContent-", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"] {
         let (backend, discovery) = (Listener::new(), Listener::new());
         let known = list(1, true, &[("s-1", backend.address(), "east", "in_service")]);
--- a/crates/marlwinch/tests/trials.rs
+++ b/crates/marlwinch/tests/trials.rs
@@ -9,7 +9,7 @@
 
 /// Runs a plan and asserts that it passes. On a busy machine a run may have no verdict, which is neither a
 /// pass nor a failure, so there are up to three runs.
-fn passes(plan: &str, seed: &str) {
+fn assert_passes(plan: &str, seed: &str) {
     for _ in 0..3 {
         let output = command(&["trial", "run", plan, "--seed", seed]);
         let said =
@@ -28,53 +28,53 @@
 
 #[test]
 fn other_nodes_take_over_from_a_killed_node() {
-    passes("killed", "1");
+    assert_passes("killed", "1");
 }
 
 #[test]
 fn nodes_that_resume_after_a_stall_send_no_expired_requests() {
-    passes("stalled", "1");
+    assert_passes("stalled", "1");
 }
 
 #[test]
 fn rolling_restarts_lose_no_requests() {
-    passes("in-turn", "1");
+    assert_passes("in-turn", "1");
 }
 
 #[test]
 fn nodes_that_all_restart_at_once_serve_again() {
-    passes("all-at-once", "1");
+    assert_passes("all-at-once", "1");
 }
 
 #[test]
 fn nodes_serve_on_while_discovery_is_silent() {
-    passes("silent-discovery", "1");
+    assert_passes("silent-discovery", "1");
 }
 
 #[test]
 fn lost_responses_cause_no_second_execution() {
-    passes("answers-lost", "1");
+    assert_passes("answers-lost", "1");
 }
 
 #[test]
 fn a_slow_link_to_a_site_breaks_no_rule() {
-    passes("slow-site", "1");
+    assert_passes("slow-site", "1");
 }
 
 #[test]
 fn a_drain_holds_for_each_node_from_when_it_was_notified() {
-    passes("late-drain", "1");
+    assert_passes("late-drain", "1");
 }
 
 #[test]
 fn a_retry_through_another_node_executes_once() {
-    passes("other-node", "1");
+    assert_passes("other-node", "1");
 }
 
 #[test]
 fn five_random_plans_pass() {
     for seed in ["1", "10", "18", "23", "26"] {
-        passes("draws", seed);
+        assert_passes("draws", seed);
     }
 }
 
