--- a/crates/marlwinch/tests/data_path.rs
+++ b/crates/marlwinch/tests/data_path.rs
@@ -69,7 +69,7 @@
         ("/w", "503 Later", "X-Unprocessed: 1\r\n", 503),
         ("/w", "429 Slow", "X-Unprocessed: 1\r\n", 429),
     ] {
-        for text in ["the box says why", &long] {
+        for text in ["the backend says why", &long] {
             if path == "/w" {
                 client.write("POST /w HTTP/1.1\r\nHost: t\r\nContent-Length: 1\r\n\r\nx");
             } else {
@@ -562,7 +562,7 @@
         if why == "drain" {
             node.reload(&text);
             // The lines of the start, of the other file, and of this file again.
-            (0..3).for_each(|_| drop(node.logged("taken:")));
+            (0..3).for_each(|_| drop(node.logged("applied:")));
         }
     }
     assert!(node.wait().success());
--- a/crates/marlwinch/tests/demo.rs
+++ b/crates/marlwinch/tests/demo.rs
@@ -130,7 +130,7 @@
         "the page is not self-contained"
     );
     let (_, output, _) = load(&["diff", &json, &json]);
-    assert!(output.contains("p99 ms") && output.contains("(may be chance)"), "{output}");
+    assert!(output.contains("p99 ms") && output.contains("(not significant)"), "{output}");
 }
 
 #[test]
--- a/crates/marlwinch/tests/endings.rs
+++ b/crates/marlwinch/tests/endings.rs
@@ -86,7 +86,7 @@
         }
     });
     node.terminate();
-    node.logged("told to end");
+    node.logged("shutting down");
     let (mut answered, mut closed) = (0, 0);
     let started = Instant::now();
     for (i, mut client) in clients.into_iter().enumerate() {
@@ -123,7 +123,7 @@
     let body = "y".repeat(60_000);
     peer.answer("200 OK", "", &body);
     node.terminate();
-    node.logged("told to end");
+    node.logged("shutting down");
     let mut all = Vec::new();
     loop {
         let mut piece = [0; 4000];
@@ -150,11 +150,11 @@
     client.request("correct", "", "x");
     let mut peer = backend.next_request(&mut Vec::new());
     node.terminate();
-    node.logged("told to end");
+    node.logged("shutting down");
     node.terminate();
     let elsewhere = Listener::new();
     node.reload(&config(elsewhere.address(), &known, |_| {}));
-    node.logged("told to read the configuration again");
+    node.logged("configuration reload:");
     peer.answer("200 OK", "", "in the end");
     let answer = client.read();
     assert_eq!((&answer.body[..], answer.header("connection")), (&b"in the end"[..], Some("close")));
@@ -176,7 +176,7 @@
     fence.request("nothing", "", "");
     assert_eq!(fence.read().status(), 404);
     node.terminate();
-    node.logged("told to end");
+    node.logged("shutting down");
     client.write("half");
     let (request, mut peer) = backend.next_message(&mut Vec::new());
     assert_eq!(request.body, b"halfhalf");
--- a/crates/marlwinch/tests/file_node.rs
+++ b/crates/marlwinch/tests/file_node.rs
@@ -450,8 +450,8 @@
     let (first, mut peer) = Listener::accept_any(&[&one, &other]);
     peer.read();
     node.reload(&with(UNSAFE));
-    node.logged("taken: 1 routes");
-    node.logged("taken: 1 routes");
+    node.logged("applied: 1 routes");
+    node.logged("applied: 1 routes");
     peer.answer("500 Broken", "", "");
     let mut second = [&one, &other][1 - first].accept();
     assert_eq!(second.read().header("idempotency-key"), Some("1"), "retried under the old settings");
@@ -496,13 +496,13 @@
             + &class("c", SAFE)
             + "[[route]]\nprefix = \"/\"\nclass = \"c\"\ncluster = \"fresh\"\n";
     node.reload(&text);
-    node.logged("no longer in the file");
-    node.logged("taken: 1 routes, 1 clusters, 1 boxes");
+    node.logged("removed from the file");
+    node.logged("applied: 1 routes, 1 clusters, 1 backends");
     // The old cluster ends only once its requests have responses.
     copy.answer("200 OK", "", "by the copy");
     assert_eq!(client.read().body, b"by the copy");
     peer.expect_end();
-    node.logged("the cluster tally has ended");
+    node.logged("cluster tally has stopped");
     client.write("GET /a HTTP/1.1\r\nHost: t\r\n\r\n");
     let mut peer = new.accept();
     peer.read();
@@ -531,7 +531,7 @@
     let files = [with("a", &backends.addresses[..2], "one"), with("b", &backends.addresses[2..], "two")];
     let bad = format!("{}retry-on = [\"error\"]\n", files[0]);
     let node = Node::from_file(&files[0]);
-    node.logged("taken: 1 routes");
+    node.logged("applied: 1 routes");
     let (finished, requests) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
     let clients: Vec<_> = (0..4)
         .map(|client| {
@@ -555,7 +555,7 @@
         let before = requests.load(Ordering::Relaxed);
         if round % 2 == 0 {
             node.reload(&files[(round / 2 + 1) % 2]);
-            node.logged("taken: 1 routes");
+            node.logged("applied: 1 routes");
         } else {
             node.reload(&bad);
             node.logged("MW100");
@@ -593,8 +593,8 @@
     held.read();
     let name = format!("name = \"tally-{first}\"\n");
     node.reload(&text.replace(&name, &format!("{name}state = \"draining\"\n")));
-    node.logged("taken: 1 routes");
-    node.logged("taken: 1 routes");
+    node.logged("applied: 1 routes");
+    node.logged("applied: 1 routes");
     let mut second = node.client();
     let mut peer: Option<Peer> = None;
     for _ in 0..20 {
@@ -618,7 +618,7 @@
     let text = file_with_one_class(&[backend.address()], SAFE);
     let node = Node::from_file(&text);
     node.reload(&text.replace("127.0.0.1:0", &taken.address().to_string()));
-    node.logged("refused, going on with the file as it was");
+    node.logged("rejected; the previous configuration stays active");
     let mut client = node.client();
     client.write("GET /a HTTP/1.1\r\nHost: t\r\n\r\n");
     let mut peer = backend.accept();
@@ -629,7 +629,7 @@
     let free = TcpStream::connect(node.address).expect("a connection").local_addr().expect("its port").port();
     let moved = SocketAddr::from(([127, 0, 0, 7], free));
     node.reload(&text.replace("127.0.0.1:0", &moved.to_string()));
-    node.logged("taken: 1 routes");
+    node.logged("applied: 1 routes");
     // The old connection is still served, and the new address too.
     for mut client in [client, Peer::connect(moved)] {
         client.write("GET /a HTTP/1.1\r\nHost: t\r\n\r\n");
@@ -648,7 +648,7 @@
     let mut peer = backend.accept();
     peer.read();
     node.terminate();
-    node.logged("told to end");
+    node.logged("shutting down");
     peer.answer("200 OK", "", "last");
     let answer = client.read();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
@@ -668,7 +668,7 @@
         assert!(output.contains("MW010") && output.contains(":3:1"), "{output}");
         let ended = command(&[command_name, folder.to_str().expect("a path")]);
         assert_eq!(ended.status.code(), Some(3));
-        assert!(String::from_utf8_lossy(&ended.stderr).contains("is a folder"));
+        assert!(String::from_utf8_lossy(&ended.stderr).contains("is a directory"));
         let ended = command(&[command_name, "/nowhere/at-all.toml"]);
         assert_eq!(ended.status.code(), Some(3));
         assert!(String::from_utf8_lossy(&ended.stderr).contains("MW003"));
@@ -686,7 +686,7 @@
     let ended = command(&["check", path.to_str().expect("a path")]);
     let _ = std::fs::remove_file(&path);
     assert_eq!(ended.status.code(), Some(3));
-    assert!(String::from_utf8_lossy(&ended.stderr).contains("is no ordinary file"));
+    assert!(String::from_utf8_lossy(&ended.stderr).contains("is not a regular file"));
 }
 
 #[test]
@@ -780,7 +780,7 @@
     );
     assert_eq!(chunked.read().status(), 200);
     node.reload(&text);
-    node.logged("the trace is over, 0 lines were dropped");
+    node.logged("trace recording ended, 0 lines were dropped");
     post(&mut client, "/after", "X-Account: pati\r\n");
     assert_eq!(client.read().status(), 200);
     node.terminate();
@@ -799,5 +799,5 @@
     }
     let from = load_generator::plan::Plan::steady(1.0, std::time::Duration::from_secs(1), "GET", "/")
         .expect("a plan");
-    assert_eq!(load_generator::plan::Plan::of_trace(trace, &from).expect("a plan").requests().count(), 20);
+    assert_eq!(load_generator::plan::Plan::from_trace(trace, &from).expect("a plan").requests().count(), 20);
 }
--- a/crates/marlwinch/tests/golden_cli_checks.rs
+++ b/crates/marlwinch/tests/golden_cli_checks.rs
@@ -210,7 +210,7 @@
     let transcript = check(&["check"]);
     approve("checks/operator-bad.txt", &transcript);
     // These two are about paths that are not a readable file.
-    let unreadable = [Code::TooLarge, Code::NotAFile];
+    let unreadable = [Code::FileTooLarge, Code::UnreadableFile];
     let is_covered = |code: &&Code| unreadable.contains(code) || transcript.contains(code.as_str());
     let missing: Vec<_> = Code::ALL.iter().filter(|code| !is_covered(code)).collect();
     assert!(missing.is_empty(), "no file with {missing:?}");
@@ -264,10 +264,10 @@
         transcript += &transcripts(words.iter().map(|words| Run::new(words).within(&folder.0)));
     }
     approve("checks/operator-none.txt", &transcript);
-    assert!([Code::TooLarge, Code::NotAFile].iter().all(|code| transcript.contains(code.as_str())));
+    assert!([Code::FileTooLarge, Code::UnreadableFile].iter().all(|code| transcript.contains(code.as_str())));
     let last_transcript = Run::new(&["check", "many-faults.toml"]).within(&folder.0).transcript();
     let last = last_transcript.trim_end().lines().last().expect("a line");
-    assert_eq!(last, "many-faults.toml: refused, 200 faults, and 100 more that are not shown");
+    assert_eq!(last, "many-faults.toml: invalid, 200 errors, and 100 more that are not shown");
 }
 
 #[test]
@@ -275,7 +275,7 @@
     let mut list = String::new();
     for code in Code::ALL {
         let rule = code.rule().map_or("none".to_string(), |rule| rule.to_string());
-        list += &format!("{code} | {rule} | {}\n", code.about());
+        list += &format!("{code} | {rule} | {}\n", code.summary());
     }
     approve("checks/operator-codes.txt", &list);
 }
@@ -471,7 +471,7 @@
     for name in ["first.json", "alone.json", "not-valid.json", "no-notes.json"] {
         let report = std::fs::read(folder.0.join(name)).expect("a report");
         let report = load_generator::report::Report::read(&report).expect("a report");
-        transcript += &format!("# the table of {name}\n{}\n", report.text());
+        transcript += &format!("# the table of {name}\n{}\n", report.to_table());
     }
     approve("checks/load.txt", &transcript);
 }
--- a/crates/marlwinch/tests/node.rs
+++ b/crates/marlwinch/tests/node.rs
@@ -326,7 +326,7 @@
     busy.request("correct", "", "x");
     peer.read();
     node.terminate();
-    node.logged("told to end");
+    node.logged("shutting down");
     // It still accepts connections, ...
     let mut late = node.client();
     late.request("correct", "", "x");
@@ -454,7 +454,7 @@
     let mut watch = begin_watch(&discovery, 41);
     for (bad, named) in [("{", "EOF"), (r#"{"name":"n0"}"#, "listen")] {
         node.reload(bad);
-        let line = node.logged("going on with the old one");
+        let line = node.logged("the previous configuration stays active");
         assert!(line.contains(named) && line.contains(".json"), "{line}");
     }
     watch.line(&list(42, false, &[("s-1", backend.address(), "east", "in_service")]));
--- a/crates/marlwinch/tests/overload.rs
+++ b/crates/marlwinch/tests/overload.rs
@@ -317,7 +317,7 @@
         retry_after.iter().all(|s| (1..=8).contains(s)) && retry_after.iter().any(|s| *s > 1),
         "`Retry-After` is not spread: {retry_after:?}"
     );
-    // With a tolerance for a busy machine; `rejections_come_when_the_time_in_the_queue_is_over`
+    // With a tolerance for a busy machine; `rejections_are_not_later_than_the_maximum_queue_time`
     // (overload-simulation) checks the 750 ms.
     let slowest = seen.iter().flatten().filter(|one| one.status == 503).map(|one| one.took).max();
     assert!(slowest.is_some_and(|took| took < SLOWEST_REJECTION), "the slowest rejection took {slowest:?}");
@@ -394,13 +394,13 @@
     let file = OnDisk::new(&file(&backends, "", more));
     let explained = |rest: &[&str]| {
         let ended = command(&[&["explain", file.path(), "--overload"][..], rest].concat());
-        let said = String::from_utf8_lossy(&ended.stderr).into_owned();
-        (ended.status.code(), String::from_utf8_lossy(&ended.stdout).into_owned(), said)
+        let errors = String::from_utf8_lossy(&ended.stderr).into_owned();
+        (ended.status.code(), String::from_utf8_lossy(&ended.stdout).into_owned(), errors)
     };
     // 8 concurrent requests of 20 ms: 400 requests per second.
     let mix = "look@pati=4,look@kudus=4,correct@pati=1,correct@kudus=1";
-    let (code, text, said) = explained(&["--rate", "2000/s", "--mix", mix, "--again", "never"]);
-    assert_eq!(code, Some(0), "{said}");
+    let (code, text, errors) = explained(&["--rate", "2000/s", "--mix", mix, "--again", "never"]);
+    assert_eq!(code, Some(0), "{errors}");
     let served = |class: &str, tenant: &str| -> f64 {
         let line = text
             .lines()
@@ -419,7 +419,7 @@
         (&["--rate", "1e9/s"], "--rate"),
         (&["--rate", "0/s"], "--rate"),
     ] {
-        let (code, _, said) = explained(rest);
-        assert!(code == Some(2) && said.contains(what), "{rest:?}: {code:?} {said}");
+        let (code, _, errors) = explained(rest);
+        assert!(code == Some(2) && errors.contains(what), "{rest:?}: {code:?} {errors}");
     }
 }
--- a/crates/marlwinch/tests/service.rs
+++ b/crates/marlwinch/tests/service.rs
@@ -12,7 +12,7 @@
 
 /// The address of the node's console.
 fn console_address(node: &Node) -> SocketAddr {
-    let line = node.logged("calls are answered at");
+    let line = node.logged("console listens at");
     line.trim().rsplit(' ').next().and_then(|address| address.parse().ok()).expect("its address")
 }
 
@@ -184,11 +184,11 @@
         while call(new_console, "HEALTH").first().map(String::as_str) != Some("ACK") {
             assert!(started.elapsed() < PEER_TIMEOUT, "the new process does not become ready");
         }
-        old.logged("a new process takes the connections");
+        old.logged("the successor accepts connections");
         // New connections go to the new process, before and after the old one gets SIGTERM.
         let mut early = Peer::connect(address);
         old.terminate();
-        old.logged("told to end");
+        old.logged("shutting down");
         let late = Peer::connect(address);
         early.request("correct", "", "early");
         let mut early_peer = backend.next_request(&mut peers);
@@ -223,16 +223,16 @@
     );
     serve_request(address, &backend, &mut peers);
     without.kill();
-    old.logged("came to nothing");
+    old.logged("handover failed");
     serve_request(address, &backend, &mut peers);
     // After a takeover, the old process accepts connections again if the new one exits.
     let mut new = Node::start_in(
         &with_console(&[&backend], &discovery, |c| c["listen"] = address.to_string().into()),
         &folder.0,
     );
-    old.logged("a new process takes the connections");
+    old.logged("the successor accepts connections");
     new.kill();
-    old.logged("taking connections again");
+    old.logged("accepting connections again");
     serve_request(address, &backend, &mut peers);
 }
 
--- a/crates/marlwinch/tests/trials.rs
+++ b/crates/marlwinch/tests/trials.rs
@@ -123,7 +123,10 @@
     let output = command(&["trial", "run", bad.path()]);
     assert_eq!(output.status.code(), Some(2));
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(said.contains("the duration \"1\" has no unit") && said.contains("no `boxes`"), "{said}");
+    assert!(
+        said.contains("the duration \"1\" has no unit") && said.contains("missing key `boxes` in the plan"),
+        "{said}"
+    );
     // No run can keep this bound: the violation is reported, and `judge` repeats the verdict from the written
     // history.
     let plan = peers::OnDisk::new(
@@ -134,7 +137,8 @@
     let output = command(&["trial", "run", plan.path(), "--report", &folder]);
     let said = String::from_utf8_lossy(&output.stdout).into_owned();
     assert_eq!(output.status.code(), Some(1), "{said}");
-    assert!(said.contains("load: box-1 was opened"), "{said}");
+    assert!(said.contains("load: box-1: "), "{said}");
+    assert!(said.contains(" connections were opened within 1 s, the limit is 0"), "{said}");
     let page = std::fs::read_to_string(format!("{folder}/strict-1.html")).expect("a page");
     assert!(page.contains("<svg") && page.contains("failed: 1 violations"));
     let history = format!("{folder}/strict-1.jsonl");
--- a/crates/route-config/src/check/location.rs
+++ b/crates/route-config/src/check/location.rs
@@ -1,4 +1,4 @@
-//! Checks of a route's host, its path and the captures of that.
+//! Checks of a route's host and path, and of the captures that it uses.
 
 use crate::diagnostic::{Code, Diagnostic, Report};
 use crate::model::{File, Located, PathRule, Route, Span};
@@ -6,36 +6,38 @@
 use crate::route::{HostRule, Pattern};
 use crate::target::{self, EncodedSlash, PathError};
 
-/// The hosts that a route matches; `None` for an invalid host.
+/// The hosts that a route matches; `None` if its host is invalid.
 pub(super) fn host(route: &Route, report: &mut Report) -> Option<HostRule> {
     let Some(host) = &route.host else { return Some(HostRule::Any) };
-    let (wild, name) = match host.value.strip_prefix("*.") {
+    let (is_wildcard, name) = match host.value.strip_prefix("*.") {
         Some(name) => (true, name),
         None => (false, host.value.as_str()),
     };
     match target::normalize_host(name) {
-        Some(form) if form == name => Some(match wild {
+        Some(normalized) if normalized == name => Some(match is_wildcard {
             true => HostRule::Suffix(format!(".{name}")),
             false => HostRule::Exact(name.into()),
         }),
-        Some(form) => {
-            let message =
-                format!("no request has the host {:?}: hosts are matched in their one form", host.value);
-            let star = if wild { "*." } else { "" };
-            let help = format!("write \"{star}{form}\": small letters, without port and final dot");
+        Some(normalized) => {
+            let message = format!(
+                "no request matches the host {:?}: hosts are normalized before they are matched",
+                host.value
+            );
+            let star = if is_wildcard { "*." } else { "" };
+            let help = format!("write \"{star}{normalized}\": in lower case, without port and trailing dot");
             report.push(Diagnostic::new(Code::RouteNeverMatches, host.span.clone(), message, help));
             None
         }
         None => {
-            let help = "write a name such as `tally.example`, or `*.tally.example` for all below it";
-            let message = format!("{:?} is no host", host.value);
-            report.push(Diagnostic::new(Code::HostForm, host.span.clone(), message, help));
+            let help = "write a name such as `tally.example`, or `*.tally.example` for all its subdomains";
+            let message = format!("{:?} is not a valid host", host.value);
+            report.push(Diagnostic::new(Code::InvalidHost, host.span.clone(), message, help));
             None
         }
     }
 }
 
-/// The paths that a route matches; `None` for an invalid path and one that no request has.
+/// The paths that a route matches; `None` if its path is invalid or no request can have it.
 pub(super) fn pattern(file: &File, route: &Route, report: &mut Report) -> Option<Pattern> {
     let rule = route.path.as_ref()?;
     if let Err(diagnostic) = check_normalized(file, rule) {
@@ -50,34 +52,36 @@
     match pattern {
         Ok(pattern) => Some(pattern),
         Err(error) => {
-            let message = format!("{:?} is no path of a route: {error}", rule.value.text());
+            let message = format!("{:?} is not a valid path: {error}", rule.value.text());
             let help = "write a path such as `/tally/{station}`";
-            report.push(Diagnostic::new(Code::PathForm, rule.span.clone(), message, help));
+            report.push(Diagnostic::new(Code::InvalidPath, rule.span.clone(), message, help));
             None
         }
     }
 }
 
-/// Checks that a route's path is a normalized one: all others are normalized before they are matched.
+/// Checks that a route's path is normalized. Requests' paths are normalized before they are matched, so no
+/// request would match any other path.
 fn check_normalized(file: &File, rule: &Located<PathRule>) -> Result<(), Diagnostic> {
     let text = rule.value.text();
     let diagnostic =
         |code, message: String, help: String| Err(Diagnostic::new(code, rule.span.clone(), message, help));
-    // A path must not have braces; those of a template are checked separately.
+    // Only templates may have braces; their syntax is checked by `Pattern::template`.
     let is_template = matches!(rule.value, PathRule::Template(_));
     if !is_template && text.contains(['{', '}']) {
         let help = format!("write `template = {text:?}` for a path with captures");
-        return diagnostic(Code::PathForm, format!("{text:?} has braces, and is no template"), help);
+        return diagnostic(Code::InvalidPath, format!("{text:?} has braces, but is not a template"), help);
     }
-    // A capture's segment is never empty, so a template without its braces is as good as with them.
+    // A capture stands for a non-empty segment, so a template is normalized if it is so without its braces.
     let plain = if is_template { text.replace(['{', '}'], "") } else { text.to_string() };
     let encoded_slash = file.node.encoded_slash.as_ref().map_or(EncodedSlash::Reject, |slash| slash.value);
     match target::normalize_path(&plain, encoded_slash) {
         Ok(normalized) if normalized == plain => Ok(()),
         Ok(normalized) => {
-            let message = format!("no request has the path {text:?}: paths are matched in their one form");
+            let message =
+                format!("no request matches the path {text:?}: paths are normalized before they are matched");
             let help = match is_template {
-                true => "write it without escapes of plain letters, dot segments and empty segments".into(),
+                true => "remove escapes of unreserved characters, dot segments and empty segments".into(),
                 false => format!("write {normalized:?}"),
             };
             diagnostic(Code::RouteNeverMatches, message, help)
@@ -85,17 +89,22 @@
         Err(
             error @ (PathError::EncodedSlash | PathError::AboveRoot | PathError::DotSegmentWithParameters),
         ) => {
-            let message = format!("no request has the path {text:?}: {error}, and is refused");
-            diagnostic(Code::RouteNeverMatches, message, "write the path as boxes know it".into())
+            let message =
+                format!("no request matches the path {text:?}: {error}, so such requests are rejected");
+            diagnostic(
+                Code::RouteNeverMatches,
+                message,
+                "write the normalized path that backends expect".into(),
+            )
         }
         Err(error) => {
             let help = "write a path such as `/tally/submit`".to_string();
-            diagnostic(Code::PathForm, format!("{text:?} is no path: {error}"), help)
+            diagnostic(Code::InvalidPath, format!("{text:?} is not a valid path: {error}"), help)
         }
     }
 }
 
-/// The captures that a rewrite uses, in braces; `None` if its braces don't match.
+/// The names of the captures that a rewrite uses; `None` if its braces are unbalanced.
 pub fn used_captures(text: &str) -> Option<Vec<&str>> {
     let mut names = Vec::new();
     let mut rest = text;
@@ -108,7 +117,7 @@
     Some(names)
 }
 
-/// A route uses only captures of its path, and its rewrite is a path.
+/// Checks that a route uses only captures of its path, and that its rewrite is a normalized path.
 pub(super) fn captures(route: &Route, pattern: &Pattern, report: &mut Report) {
     let known: Vec<_> = pattern.captures().collect();
     let mut missing = |name: &str, span: &Span| {
@@ -118,25 +127,25 @@
         let help = match closest_word(name, known.iter().copied()) {
             Some(known) => format!("did you mean `{known}`?"),
             None if known.is_empty() => "only a `template` such as `/tally/{station}` has captures".into(),
-            None => format!("the path captures {}", list(&known)),
+            None => format!("the path has the captures {}", list(&known)),
         };
-        let message = format!("the path of this route captures no `{name}`");
-        report.push(Diagnostic::new(Code::NoSuchCapture, span.clone(), message, help));
+        let message = format!("the path of this route has no capture `{name}`");
+        report.push(Diagnostic::new(Code::UnknownCapture, span.clone(), message, help));
     };
     for capture in [&route.key, &route.subject].into_iter().flatten() {
         missing(&capture.value, &capture.span);
     }
     let Some(rewrite) = &route.rewrite else { return };
     let Some(used) = used_captures(&rewrite.value) else {
-        let message = format!("the braces of {:?} don't match", rewrite.value);
+        let message = format!("unbalanced braces in {:?}", rewrite.value);
         let help = "write captures as `{name}`";
-        return report.push(Diagnostic::new(Code::PathForm, rewrite.span.clone(), message, help));
+        return report.push(Diagnostic::new(Code::InvalidPath, rewrite.span.clone(), message, help));
     };
     used.iter().for_each(|name| missing(name, &rewrite.span));
     let plain = rewrite.value.replace(['{', '}'], "");
-    if !target::normalize_path(&plain, EncodedSlash::Keep).is_ok_and(|form| form == plain) {
-        let message = format!("{:?} is no path in its one form", rewrite.value);
+    if !target::normalize_path(&plain, EncodedSlash::Keep).is_ok_and(|normalized| normalized == plain) {
+        let message = format!("{:?} is not a normalized path", rewrite.value);
         let help = "write a path such as `/v2/{station}`";
-        report.push(Diagnostic::new(Code::PathForm, rewrite.span.clone(), message, help));
+        report.push(Diagnostic::new(Code::InvalidPath, rewrite.span.clone(), message, help));
     }
 }
--- a/crates/route-config/src/parse/route.rs
+++ b/crates/route-config/src/parse/route.rs
@@ -1,4 +1,4 @@
-//! Parses routes: the conditions that a request must meet, and where it goes then.
+//! Parses routes: their conditions, class, cluster and settings.
 
 use super::header::headers;
 use super::request_settings::request_settings;
@@ -14,8 +14,8 @@
     let methods = s.get("methods").and_then(|v| methods(v, report));
     let path = path_rule(&mut s, report);
     let headers = s.get("headers").map(|v| headers(v, report)).unwrap_or_default();
-    let class = s.need("class", "\"look\"", report).and_then(|v| read::text(v, report));
-    let cluster = s.need("cluster", "\"tally\"", report).and_then(|v| read::text(v, report));
+    let class = s.required("class", "\"look\"", report).and_then(|v| read::text(v, report));
+    let cluster = s.required("cluster", "\"tally\"", report).and_then(|v| read::text(v, report));
     let rewrite = s.get("rewrite").and_then(|v| read::text(v, report));
     let key = s.get("key").and_then(|v| read::text(v, report));
     let subject = s.get("subject").and_then(|v| read::text(v, report));
@@ -26,10 +26,10 @@
     Some(Route { span, name, host, methods, path, headers, class, cluster, rewrite, key, subject, settings })
 }
 
-/// A variant of [`PathRule`].
+/// The constructor of a variant of [`PathRule`].
 type PathRuleKind = fn(String) -> PathRule;
 
-/// Parses the path of a route, which is set by exactly one of three keys.
+/// Parses the path of a route, which must be set by exactly one of three keys.
 fn path_rule(section: &mut Section, report: &mut Report) -> Option<Located<PathRule>> {
     let mut path = None;
     let rules: [(&'static str, PathRuleKind); 3] =
@@ -45,7 +45,7 @@
         [] => {
             let help = "add `path = \"/a\"`, `prefix = \"/a\"` or `template = \"/a/{b}\"`";
             report.push(Diagnostic::new(
-                Code::RoutePath,
+                Code::RoutePathCount,
                 section.span.clone(),
                 "this route has no path",
                 help,
@@ -53,8 +53,8 @@
         }
         [(first, at), (key, span), ..] => {
             let message = format!("this route has both `{first}` and `{key}`");
-            let diagnostic = Diagnostic::new(Code::RoutePath, span.clone(), message, "keep one of them");
-            report.push(diagnostic.with(at.clone(), "the other is here"));
+            let diagnostic = Diagnostic::new(Code::RoutePathCount, span.clone(), message, "keep one of them");
+            report.push(diagnostic.with_related(at.clone(), "the other path"));
         }
     }
     path
@@ -64,8 +64,8 @@
     let items = read::array(value, "methods, such as [\"GET\"]", report)?;
     let help = "write `GET`, `HEAD`, `POST`, `PUT`, `PATCH`, `DELETE` or `OPTIONS`";
     if items.is_empty() {
-        let message = "this route is for no method";
-        report.push(Diagnostic::new(Code::MethodForm, value.span(), message, help));
+        let message = "the list of methods is empty";
+        report.push(Diagnostic::new(Code::InvalidMethod, value.span(), message, help));
         return None;
     }
     let mut methods = Vec::new();
@@ -86,11 +86,11 @@
             None => {
                 let upper = text.value.to_ascii_uppercase();
                 let help = match known.iter().find(|method| method.as_str() == upper) {
-                    Some(method) => format!("methods are in capitals: `{method}`"),
+                    Some(method) => format!("write methods in upper case: `{method}`"),
                     None => help.to_string(),
                 };
-                let message = format!("{:?} is no method that is passed on", text.value);
-                report.push(Diagnostic::new(Code::MethodForm, text.span, message, help));
+                let message = format!("{:?} is not a supported method", text.value);
+                report.push(Diagnostic::new(Code::InvalidMethod, text.span, message, help));
                 return None;
             }
         }
