--- a/crates/marlwinch/tests/bodies.rs
+++ b/crates/marlwinch/tests/bodies.rs
@@ -184,7 +184,7 @@
     drop(client);
     let (come, _) = peer.read_to_end();
     assert!(come.len() < 300_000, "{} bytes", come.len());
-    // The backend disconnects: a retry is harmless, and the client is told so at once.
+    // The backend disconnects: a retry is harmless, which the client learns at once.
     let mut client = node.client();
     client.write(format!("{head}2\r\n{half}"));
     let (_, mut peer) = Listener::accept_any(&[&one, &other]);
--- a/crates/marlwinch/tests/golden_platform_config.rs
+++ b/crates/marlwinch/tests/golden_platform_config.rs
@@ -51,9 +51,9 @@
 }
 
 impl Texts {
-    fn add(&mut self, about: &str, said: &str) {
-        let into = if shows_a_type(said) { &mut self.with_types } else { &mut self.plain };
-        *into += &format!("{about}\n{said}");
+    fn add(&mut self, about: &str, log: &str) {
+        let into = if shows_a_type(log) { &mut self.with_types } else { &mut self.plain };
+        *into += &format!("{about}\n{log}");
     }
     fn check(&self, name: &str) {
         check(&format!("{name}.txt"), &self.plain);
@@ -147,7 +147,7 @@
     }
     let mut config = complete_config();
     config["listen"] = "127.0.0.1:nowhere".into();
-    let said = startup_log(Some(&config.to_string()), &[("ROUTER_LISTEN", "127.0.0.1:0")]);
-    texts.add("a bad field beside a good variable", &said);
+    let log = startup_log(Some(&config.to_string()), &[("ROUTER_LISTEN", "127.0.0.1:0")]);
+    texts.add("a bad field beside a good variable", &log);
     texts.check("config_variables");
 }
--- a/crates/marlwinch/tests/golden_platform_console.rs
+++ b/crates/marlwinch/tests/golden_platform_console.rs
@@ -46,14 +46,14 @@
         config["console"] = "127.0.0.1:0".into();
     }));
     let console = console_address(&node);
-    let mut note = |said: &str, answer: String| text += &format!("{said:?}\n{answer}\n");
+    let mut note = |command: &str, answer: String| text += &format!("{command:?}\n{answer}\n");
     note("HEALTH\n", call(console, "HEALTH\n"));
     note("DUMP\n", call(console, "DUMP\n"));
     let mut watch = discovery.open_watch();
     watch.line(&list(1, true, &[("s-1", backend.address(), "east", "in_service")]));
     note("HEALTH\n", wait_for(console, "HEALTH\n", "ACK"));
-    for said in [" HEALTH \r\n", "HEALTH\nDUMP\n", "health\n", "\n", "STATUS\n"] {
-        note(said, call(console, said));
+    for command in [" HEALTH \r\n", "HEALTH\nDUMP\n", "health\n", "\n", "STATUS\n"] {
+        note(command, call(console, command));
     }
     let long = "x".repeat(300);
     note("300 bytes without an end", call(console, &long));
--- a/crates/marlwinch/tests/golden_platform_handover.rs
+++ b/crates/marlwinch/tests/golden_platform_handover.rs
@@ -108,11 +108,11 @@
     assert!(name.contains(&node.address.port().to_string()));
     // A new process with an invalid reply.
     let mut stream = connect(&path);
-    let (said, sockets) = receive(&stream);
+    let (message, sockets) = receive(&stream);
     // The mode of the socket is final only once the old process accepts connections.
     let mode = std::fs::metadata(&path).expect("a file").permissions().mode() & 0o777;
     let mut text = format!("place {} mode {mode:o}\n", without_ports(&name));
-    text += &format!("old {said:?} with {} sockets\n", sockets.len());
+    text += &format!("old {message:?} with {} sockets\n", sockets.len());
     stream.write_all(b"hello\n").expect("written");
     text += &format!(
         "new \"hello\\n\"\nold {:?}\n{}\n",
@@ -121,11 +121,11 @@
     );
     // A new process that takes over, and exits.
     let mut stream = connect(&path);
-    let (said, sockets) = receive(&stream);
+    let (message, sockets) = receive(&stream);
     let addresses: Vec<SocketAddr> =
         sockets.into_iter().map(|s| TcpListener::from(s).local_addr().expect("bound")).collect();
     assert_eq!(addresses, [node.address]);
-    text += &format!("old {said:?} with the socket that it listens on\n");
+    text += &format!("old {message:?} with the socket that it listens on\n");
     stream.write_all(b"ready\n").expect("written");
     text += &format!(
         "new \"ready\\n\"\nold {:?}\n{}\n",
@@ -162,11 +162,11 @@
         stream.set_read_timeout(Some(PEER_TIMEOUT)).expect("a socket");
         let sockets = if with_socket { vec![&listener] } else { Vec::new() };
         send(&stream, &greeted, &sockets);
-        let said = read_line(&mut stream);
+        let message = read_line(&mut stream);
         if let Some(answered) = answered {
             stream.write_all(answered.as_bytes()).expect("written");
         }
-        (said, stream)
+        (message, stream)
     });
     let logged = match word {
         Some(word) => {
@@ -176,9 +176,9 @@
         }
         None => startup_log(Some(&text), &[("TMPDIR", folder.0.to_str().expect("a path"))]),
     };
-    let (said, _stream) = old_process.join().expect("the old process");
+    let (message, _stream) = old_process.join().expect("the old process");
     let sockets = if with_socket { "with" } else { "without" };
-    format!("old {greeting:?} {sockets} its socket\nnew {said:?}\n{logged}")
+    format!("old {greeting:?} {sockets} its socket\nnew {message:?}\n{logged}")
 }
 
 #[test]
--- a/crates/marlwinch/tests/leaving_drawn.rs
+++ b/crates/marlwinch/tests/leaving_drawn.rs
@@ -116,6 +116,7 @@
     assert_eq!(other.read().status(), 400);
 }
 
+/// A request of the class `correct` of the platform's node.
 fn post(id: &str) -> String {
     format!(
         "POST /correct/7f HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: {id}\r\nX-Account: acme\r\n\
@@ -123,23 +124,23 @@
     )
 }
 
-/// The same for a class of an operator's file.
+/// A request that the operator's file of these tests routes.
 fn get(id: &str) -> String {
     format!("GET /7f HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: {id}\r\n\r\n")
 }
 
-/// A client that stays.
-fn stays(node: &Node, text: impl Fn(&str) -> String) -> Peer {
+/// Sends the request of a client that stays connected.
+fn send_staying_request(node: &Node, text: impl Fn(&str) -> String) -> Peer {
     let mut client = node.client();
     client.write(text("stays"));
     client
 }
 
 #[test]
-fn around_the_listing_of_a_backend() {
+fn disconnects_around_the_listing_of_a_backend() {
     for seed in 0..SEEDS {
         let (backend, discovery) = (Listener::new(), Listener::new());
-        // What waits looks for a backend again after a sixteenth of the shortest aim.
+        // Waiting requests look for a backend again after a sixteenth of the shortest target.
         let node = Node::start(&config(discovery.address(), &list(41, true, &[]), |c| {
             c["settings"]["Classes"][2]["Target"] = 1600.0.into();
         }));
@@ -147,13 +148,19 @@
         let clients = send_requests(&node, post);
         let lists = list(42, true, &[("s-1", backend.address(), "east", "in_service")]);
         let (left, released) = disconnect_around(seed, clients, || watch.line(&lists));
-        answer_until_served(&[backend], &mut Vec::new(), || stays(&node, post), &left, |_| Some(released));
+        answer_until_served(
+            &[backend],
+            &mut Vec::new(),
+            || send_staying_request(&node, post),
+            &left,
+            |_| Some(released),
+        );
     }
 }
 
-/// Whether attempts may be called off or not.
+/// With and without the permission to cancel attempts.
 #[test]
-fn around_the_moment_at_which_connections_come_up() {
+fn disconnects_around_the_establishment_of_a_connection() {
     for seed in 0..SEEDS {
         let (backend, full) = Listener::full();
         let discovery = Listener::new();
@@ -163,10 +170,16 @@
             c["settings"]["Permissions"]["Cancel"] = (seed % 2 == 0).into();
         }));
         let clients = send_requests(&node, post);
-        // The system tries again by itself once those that filled its queue are out of it.
+        // Once the backlog has room, the kernel retries the connect.
         let (left, released) =
             disconnect_around(seed, clients, || full.into_iter().for_each(|_| drop(backend.accept())));
-        answer_until_served(&[backend], &mut Vec::new(), || stays(&node, post), &left, |_| Some(released));
+        answer_until_served(
+            &[backend],
+            &mut Vec::new(),
+            || send_staying_request(&node, post),
+            &left,
+            |_| Some(released),
+        );
     }
 }
 
@@ -174,15 +187,15 @@
     let line = |(i, backend): (usize, &Listener)| {
         format!("[[cluster.box]]\nname = \"b-{i}\"\naddress = \"{}\"\n", backend.address())
     };
-    let boxes: String = backends.iter().enumerate().map(line).collect();
+    let sections: String = backends.iter().enumerate().map(line).collect();
     format!(
-        "[[listener]]\naddress = \"127.0.0.1:0\"\n[[cluster]]\nname = \"b\"\n{boxes}[[class]]\nname = \"c\"\nrepeat = \"safe\"\ntime = \"25s\"\n{class}\n\
+        "[[listener]]\naddress = \"127.0.0.1:0\"\n[[cluster]]\nname = \"b\"\n{sections}[[class]]\nname = \"c\"\nrepeat = \"safe\"\ntime = \"25s\"\n{class}\n\
          [[route]]\nprefix = \"/\"\nclass = \"c\"\ncluster = \"b\"\n"
     )
 }
 
 #[test]
-fn around_the_moment_at_which_a_place_in_the_queue_comes_free() {
+fn disconnects_around_the_release_of_a_queued_request() {
     for seed in 0..SEEDS {
         let backends = [Listener::new()];
         let queue = "in-hand = 1\nqueue = { length = 100, time = \"20s\" }";
@@ -193,16 +206,22 @@
         let clients = send_requests(&node, get);
         let (left, released) = disconnect_around(seed, clients, || peer.answer("200 OK", "", "done"));
         assert_eq!(first.read().status(), 200);
-        answer_until_served(&backends, &mut vec![peer], || stays(&node, get), &left, |_| Some(released));
+        answer_until_served(
+            &backends,
+            &mut vec![peer],
+            || send_staying_request(&node, get),
+            &left,
+            |_| Some(released),
+        );
     }
 }
 
 /// Each request has had an attempt that did not run, and waits 600 ms for the next one.
 #[test]
-fn around_the_end_of_a_back_off() {
+fn disconnects_around_the_end_of_a_back_off() {
     const BACK_OFF: Duration = Duration::from_millis(600);
     for seed in 0..SEEDS {
-        // The other attempt goes to the other backend.
+        // The second attempt goes to the other backend.
         let backends = [Listener::new(), Listener::new()];
         let terms = "attempts = 2\nback-off = { first = \"600ms\", jitter = 0 }\n\
                      budget = { share = 1, floor = \"1000/s\" }";
@@ -220,6 +239,6 @@
         }
         let (left, _) = disconnect_around(seed, clients, || {});
         let released_at = |id: &str| rejected_at.get(id).map(|at| *at + BACK_OFF);
-        answer_until_served(&backends, &mut peers, || stays(&node, get), &left, released_at);
+        answer_until_served(&backends, &mut peers, || send_staying_request(&node, get), &left, released_at);
     }
 }
